--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -4,9 +4,9 @@
     crate::{
         callers::Reply,
         core::Node,
-        fetch, keys,
+        keys,
         message::Ask,
-        peer,
+        peer, spec_text,
         store::{Applied, Change, MAX_ENTRIES},
         time,
     },
@@ -14,7 +14,7 @@
     kernel::Verdict,
     std::{
         collections::HashSet,
-        sync::mpsc::{self, Receiver, Sender, SyncSender},
+        sync::mpsc::{self, Receiver, SyncSender},
     },
 };
 
@@ -24,16 +24,16 @@
 const TRIES: usize = 3;
 
 /// One job on its way into the store, and where its answer goes.
-pub struct Knock {
+pub struct Pending {
     submission: Submission,
     answer: SyncSender<Reply>,
 }
 
 /// The way to the task that accepts jobs.
-pub type Door = Sender<Knock>;
+pub type Sender = mpsc::Sender<Pending>;
 
 /// The way to the accepting task, and its end.
-pub fn door() -> (Door, Receiver<Knock>) {
+pub fn channel() -> (Sender, Receiver<Pending>) {
     mpsc::channel()
 }
 
@@ -61,7 +61,7 @@
         );
     }
     let (answer, answered) = mpsc::sync_channel(1);
-    let knock = Knock {
+    let knock = Pending {
         submission: submission.clone(),
         answer,
     };
@@ -77,13 +77,13 @@
     metrics::counter!("magpie_refused_total").increment(1);
     let wait = node
         .shared
-        .comeback
-        .wait(time::now(), submission.queue.priority);
+        .retry_after
+        .record_refusal(time::now(), submission.queue.priority);
     Reply::Busy(wait)
 }
 
 /// Accepts jobs, several in one change.
-pub fn run(node: &Node, knocks: &Receiver<Knock>) {
+pub fn run(node: &Node, knocks: &Receiver<Pending>) {
     while let Ok(first) = knocks.recv() {
         let mut group = vec![first];
         let mut ids: HashSet<Id> = HashSet::new();
@@ -107,7 +107,7 @@
 ///
 /// Once the store has failed this box, no write leaves until a read has come back: a write without an
 /// answer leaves the caller unsure, while without one the refusal is a true "not run".
-fn accept(node: &Node, mut group: Vec<Knock>) {
+fn accept(node: &Node, mut group: Vec<Pending>) {
     if node.shared.is_failing()
         && let Err(failure) = node.shared.probe(&*node.outside.store)
     {
@@ -151,7 +151,7 @@
     refuse(node, &group, "its conditions do not come true");
 }
 
-fn change_of(node: &Node, group: &[Knock]) -> Change {
+fn change_of(node: &Node, group: &[Pending]) -> Change {
     let mut change = Change::default();
     for knock in group {
         let id = &knock.submission.id;
@@ -159,29 +159,29 @@
         change.expect.push((keys::state(id), 0));
         change
             .put
-            .extend(fetch::puts(&node.settings, &knock.submission));
+            .extend(spec_text::writes(&node.settings, &knock.submission));
     }
     change
 }
 
-fn confirm(node: &Node, knock: &Knock, revision: u64) {
+fn confirm(node: &Node, knock: &Pending, revision: u64) {
     let id = &knock.submission.id;
     log::info!(target: "accept", job = id.as_str(), queue = &*knock.submission.queue.name, revision; "A job is accepted.");
     metrics::counter!("magpie_accepted_total").increment(1);
     answer(knock, Reply::Accepted);
-    let submission = fetch::heard(&node.settings, &knock.submission);
+    let submission = spec_text::for_owner(&node.settings, &knock.submission);
     node.remote
         .tell(move |core, cx| core.accepted(cx, submission));
 }
 
-fn refuse(node: &Node, group: &[Knock], cause: &str) {
+fn refuse(node: &Node, group: &[Pending], cause: &str) {
     for knock in group {
         answer(knock, refusal(node, &knock.submission, cause));
     }
 }
 
 /// The write has no answer: reads once whether it took effect.
-fn settle(node: &Node, group: &[Knock]) {
+fn settle(node: &Node, group: &[Pending]) {
     for knock in group {
         let id = &knock.submission.id;
         let stands = match node.shared.is_cut_off() {
@@ -197,6 +197,6 @@
 }
 
 /// A caller that has gone needs no answer.
-fn answer(knock: &Knock, reply: Reply) {
+fn answer(knock: &Pending, reply: Reply) {
     let _ = knock.answer.send(reply);
 }
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         accept, cancel,
-        comeback::SOONEST,
         core::Node,
-        kept, keys,
+        decode, keys,
         message::{Ask, Told},
         peer,
+        retry_after::MIN_RETRY_AFTER,
     },
     job::{Id, Queue, Spec, State, Submission},
     kernel::{Failure, wall},
@@ -88,7 +88,7 @@
         }
         self.kept_state(id).unwrap_or_else(|failure| {
             log::info!(target: "callers", job = id.as_str(), error:% = failure; "The state of a job cannot be read.");
-            Reply::Busy(SOONEST)
+            Reply::Busy(MIN_RETRY_AFTER)
         })
     }
 
@@ -97,7 +97,7 @@
         let store = &self.outside.store;
         let record = store.get(&keys::state(id))?;
         if let Some(item) = &record {
-            let record = kept::record(item)?;
+            let record = decode::record(item)?;
             if record.state.is_final() {
                 return Ok(Reply::State(record.state));
             }
@@ -115,7 +115,7 @@
         let Some(item) = store.get(&keys::state(id))? else {
             return Ok(Reply::Gone);
         };
-        Ok(Reply::State(kept::record(&item)?.state))
+        Ok(Reply::State(decode::record(&item)?.state))
     }
 
     fn waiting(&self, queue: &Arc<Queue>) -> Reply {
@@ -124,7 +124,7 @@
         }
         match peer::ask_owner(self, &Ask::Waiting(queue.name.clone())) {
             Some(Told::Waiting(Some(waiting))) => Reply::Waiting(waiting),
-            _ => Reply::Busy(SOONEST),
+            _ => Reply::Busy(MIN_RETRY_AFTER),
         }
     }
 }
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -3,13 +3,12 @@
 use {
     crate::{
         callers::Reply,
-        comeback::SOONEST,
         core::Node,
-        follow,
         group::put,
         keys,
         message::{Ask, Told},
-        peer,
+        owner_watch, peer,
+        retry_after::MIN_RETRY_AFTER,
         settings::{TELL_FOR, TELL_GAP},
         store::{Applied, Change},
         time,
@@ -18,16 +17,16 @@
     kernel::{Verdict, wall},
     std::{
         collections::VecDeque,
-        sync::mpsc::{self, Receiver, Sender},
+        sync::mpsc::{self, Receiver},
         thread,
     },
 };
 
 /// The way to the task that tells the owner again.
-pub type Door = Sender<Id>;
+pub type Sender = mpsc::Sender<Id>;
 
 /// The way to the task that tells the owner again, and its end.
-pub fn door() -> (Door, Receiver<Id>) {
+pub fn channel() -> (Sender, Receiver<Id>) {
     mpsc::channel()
 }
 
@@ -43,13 +42,13 @@
 
 fn cancel_here(node: &Node, id: &Id) -> Reply {
     if node.shared.is_cut_off() {
-        return Reply::Busy(SOONEST);
+        return Reply::Busy(MIN_RETRY_AFTER);
     }
     let store = &node.outside.store;
     let job = match store.get(&keys::job(id)) {
         Ok(Some(item)) => item,
         Ok(None) => return cancel_ended(node, id),
-        Err(_) => return Reply::Busy(SOONEST),
+        Err(_) => return Reply::Busy(MIN_RETRY_AFTER),
     };
     let change = Change {
         expect: vec![(job.key, job.revision)],
@@ -64,7 +63,7 @@
         }
         Ok(Applied::Conflict(_)) => cancel_ended(node, id),
         Ok(Applied::NoLease) => Reply::Unsure,
-        Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(SOONEST),
+        Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(MIN_RETRY_AFTER),
         Err(_) => Reply::Unsure,
     }
 }
@@ -74,7 +73,7 @@
     match node.outside.store.get(&keys::state(id)) {
         Ok(Some(_)) => Reply::Cancelled,
         Ok(None) => Reply::Gone,
-        Err(_) => Reply::Busy(SOONEST),
+        Err(_) => Reply::Busy(MIN_RETRY_AFTER),
     }
 }
 
@@ -86,7 +85,7 @@
     }
     log::info!(target: "cancel", job = id.as_str(); "The owner has not confirmed a cancellation; it is told again.");
     // The task lives as long as the box.
-    let _ = node.untold.send(id.clone());
+    let _ = node.unconfirmed.send(id.clone());
 }
 
 /// What a try to tell the owner brought.
@@ -120,7 +119,7 @@
 }
 
 /// Answers a box that tells of a cancellation: it is told again until the job is known here.
-pub(crate) fn told(node: &Node, id: &Id) -> Reply {
+pub(crate) fn receive(node: &Node, id: &Id) -> Reply {
     if is_taken_in(node, id) {
         Reply::Cancelled
     } else {
@@ -144,7 +143,7 @@
         for id in fresh.try_iter() {
             untold.add(id, time::now());
         }
-        follow::look(node);
+        owner_watch::refresh(node);
         untold.round(time::now(), |id| tell(node, id));
         thread::sleep(TELL_GAP);
     }
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         core::Node,
+        decode,
         group::{CELL, own, put},
-        kept, keys,
+        keys,
         message::{Ask, Head, Member, Told},
         outside::Closure,
         owning, peer,
@@ -239,7 +240,7 @@
         let Some(id) = keys::id(&item.key, keys::STATE) else {
             continue;
         };
-        let Some(record) = read_or_tell(item, kept::record(item)) else {
+        let Some(record) = read_or_tell(item, decode::record(item)) else {
             unreadable.insert(id);
             continue;
         };
@@ -255,7 +256,7 @@
             cancelled.push(id);
             continue;
         }
-        let Some(submission) = read_or_tell(item, kept::submission(item)) else {
+        let Some(submission) = read_or_tell(item, decode::submission(item)) else {
             continue;
         };
         // What it has done is not known, and must not be done twice.
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -4,8 +4,8 @@
 //! read now and then; how often depends on how long that takes. While the owner tells which value is the newest, other
 //! boxes read only what they do not have.
 
-mod plan;
-mod sight;
+mod schedule;
+mod staleness;
 
 use {
     crate::{
@@ -15,8 +15,8 @@
         time,
     },
     kernel::{Failure, clock::Mark, verdict::Cause},
-    plan::{Plan, Step},
-    sight::Sight,
+    schedule::{Schedule, Step},
+    staleness::Staleness,
     std::{
         sync::{Arc, atomic::Ordering},
         thread,
@@ -28,8 +28,8 @@
 pub fn follow(node: &Node) {
     let mut follower = Follower {
         node,
-        plan: Plan::default(),
-        sight: Sight::new(node),
+        schedule: Schedule::default(),
+        staleness: Staleness::new(node),
     };
     loop {
         let begun = time::now();
@@ -37,23 +37,23 @@
             node.shared.monitor.config.wait(rest);
             continue;
         }
-        let result = match follower.plan.step(begun) {
+        let result = match follower.schedule.step(begun) {
             Step::Read(known) => follower.read(known, begun),
             Step::Watch(after) => follower.watch(after, begun),
         };
         if let Err(failure) = result {
-            follower.sight.failed(&failure, time::now() - begun);
+            follower.staleness.failed(&failure, time::now() - begun);
             follower.pause();
         }
-        follower.sight.measure();
+        follower.staleness.measure();
     }
 }
 
 /// The task.
 struct Follower<'a> {
     node: &'a Node,
-    plan: Plan,
-    sight: Sight<'a>,
+    schedule: Schedule,
+    staleness: Staleness<'a>,
 }
 
 impl Follower<'_> {
@@ -65,12 +65,12 @@
             return None;
         }
         let (newest, left) = shared.monitor.fresh(now)?;
-        if newest != self.plan.known() {
-            self.plan.outdated(now);
+        if newest != self.schedule.known() {
+            self.schedule.outdated(now);
             return None;
         }
-        self.sight.proven(0);
-        self.sight.measure();
+        self.staleness.proven(0);
+        self.staleness.measure();
         let is_due = shared.is_failing() || shared.is_quiet(PROBE_GAP);
         if is_due && let Err(failure) = shared.probe(&*self.node.outside.store) {
             log::debug!(target: "config", error:% = failure; "The store does not answer a probe.");
@@ -99,13 +99,13 @@
             }
             _ => self.node.outside.configs.read(known),
         };
-        self.plan.read(begun, time::now());
+        self.schedule.read(begun, time::now());
         match read? {
             Read::Found(found) => self.take(found, begun, mark),
             Read::Same(at) => {
                 self.node.shared.prove_config(mark);
-                self.plan.proven(at);
-                self.sight.proven(time::now() - begun);
+                self.schedule.proven(at);
+                self.staleness.proven(time::now() - begun);
             }
             Read::Absent => thread::sleep(STORE_PAUSE),
         }
@@ -119,7 +119,7 @@
             Waited::Found(found) => self.take(found, begun, mark),
             // The next watch goes on from the same revision: what this one missed comes with it.
             Waited::Nothing => {}
-            Waited::Forgotten => self.plan.forgotten(),
+            Waited::Forgotten => self.schedule.forgotten(),
         }
         Ok(())
     }
@@ -127,9 +127,9 @@
     /// Takes in what a read or a watch has found.
     fn take(&mut self, found: Found, begun: u64, mark: Mark) {
         let now = time::now();
-        self.plan.found(&found, now);
+        self.schedule.found(&found, now);
         adopt(self.node, found, now - begun, mark);
-        self.sight.proven(now - begun);
+        self.staleness.proven(now - begun);
     }
 }
 
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// It could not be read, or the store has not answered this box for so long that it is not asked.
-pub fn prove(node: &Node) -> Result<(), Failure> {
+pub fn revalidate(node: &Node) -> Result<(), Failure> {
     if !node.shared.is_config_doubtful() {
         return Ok(());
     }
--- a/components/node/src/config/plan.rs
+++ b/components/node/src/config/schedule.rs
@@ -16,7 +16,7 @@
 
 /// What is known of the value, and when to read it. Times are in milliseconds.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct Schedule {
     /// The revision of the value that was taken in last; 0 for none.
     known: u64,
     /// The revision of the store at which that value was the newest, by a read or a change; 0 when there is
@@ -26,7 +26,7 @@
     due: u64,
 }
 
-impl Plan {
+impl Schedule {
     /// The next step.
     pub fn step(&self, now: u64) -> Step {
         if self.at == 0 || now >= self.due {
@@ -110,86 +110,86 @@
     }
 
     /// A value of revision 5 that a read of 10 ms has found at revision 7 of the store, at 1,000 ms.
-    fn plan(bytes: usize) -> Plan {
-        let mut plan = Plan::default();
-        plan.read(990, 1_000);
-        plan.found(&found(5, 7, bytes), 1_000);
-        plan
+    fn schedule(bytes: usize) -> Schedule {
+        let mut schedule = Schedule::default();
+        schedule.read(990, 1_000);
+        schedule.found(&found(5, 7, bytes), 1_000);
+        schedule
     }
 
     #[test]
     fn step_at_start() {
-        assert_eq!(Plan::default().step(1), Step::Read(0));
+        assert_eq!(Schedule::default().step(1), Step::Read(0));
     }
 
     /// Watches that hear nothing go on from the same revision until a read is due.
     #[test]
     fn step_after_small_value() {
-        let plan = plan(SMALL);
-        assert_eq!(plan.step(1_000), Step::Watch(7));
-        assert_eq!(plan.step(1_000 + GAP - 1), Step::Watch(7));
-        assert_eq!(plan.step(1_000 + GAP), Step::Read(5));
+        let schedule = schedule(SMALL);
+        assert_eq!(schedule.step(1_000), Step::Watch(7));
+        assert_eq!(schedule.step(1_000 + GAP - 1), Step::Watch(7));
+        assert_eq!(schedule.step(1_000 + GAP), Step::Read(5));
     }
 
     /// After a large value the newest is read, until nothing newer comes.
     #[test]
     fn step_after_large_value() {
-        let mut plan = plan(CONFIG_LARGE);
-        assert_eq!(plan.step(1_000), Step::Read(5));
-        plan.read(1_000, 1_400);
-        plan.found(&found(8, 8, CONFIG_LARGE), 1_400);
-        assert_eq!(plan.step(1_400), Step::Read(8));
-        plan.read(1_400, 1_800);
-        plan.proven(9);
-        assert_eq!(plan.step(1_800), Step::Watch(9));
+        let mut schedule = schedule(CONFIG_LARGE);
+        assert_eq!(schedule.step(1_000), Step::Read(5));
+        schedule.read(1_000, 1_400);
+        schedule.found(&found(8, 8, CONFIG_LARGE), 1_400);
+        assert_eq!(schedule.step(1_400), Step::Read(8));
+        schedule.read(1_400, 1_800);
+        schedule.proven(9);
+        assert_eq!(schedule.step(1_800), Step::Watch(9));
     }
 
     /// A change that comes twice is not new the second time.
     #[test]
     fn step_after_same_value() {
-        let mut plan = plan(CONFIG_LARGE);
-        plan.read(1_000, 1_010);
-        plan.found(&found(5, 7, CONFIG_LARGE), 1_010);
-        assert_eq!(plan.step(1_010), Step::Watch(7));
+        let mut schedule = schedule(CONFIG_LARGE);
+        schedule.read(1_000, 1_010);
+        schedule.found(&found(5, 7, CONFIG_LARGE), 1_010);
+        assert_eq!(schedule.step(1_010), Step::Watch(7));
     }
 
     #[test]
     fn step_after_forgotten_history() {
-        let mut plan = plan(SMALL);
-        plan.forgotten();
-        assert_eq!(plan.step(1_001), Step::Read(5));
-        plan.read(1_001, 1_010);
-        plan.proven(40);
-        assert_eq!(plan.step(1_010), Step::Watch(40));
+        let mut schedule = schedule(SMALL);
+        schedule.forgotten();
+        assert_eq!(schedule.step(1_001), Step::Read(5));
+        schedule.read(1_001, 1_010);
+        schedule.proven(40);
+        assert_eq!(schedule.step(1_010), Step::Watch(40));
     }
 
     #[test]
     fn step_after_outdated_value() {
-        let mut plan = plan(SMALL);
-        plan.outdated(1_001);
-        assert_eq!(plan.step(1_001), Step::Read(5));
+        let mut schedule = schedule(SMALL);
+        schedule.outdated(1_001);
+        assert_eq!(schedule.step(1_001), Step::Read(5));
     }
 
     /// A read that failed is not made again at once while there is a revision to watch from.
     #[test]
     fn step_after_failed_read() {
-        let mut plan = plan(SMALL);
+        let mut schedule = schedule(SMALL);
         let due = 1_000 + GAP;
-        plan.read(due, due + 900);
-        assert_eq!(plan.step(due + 900), Step::Watch(7));
-        plan.forgotten();
-        assert_eq!(plan.step(due + 900), Step::Read(5));
+        schedule.read(due, due + 900);
+        assert_eq!(schedule.step(due + 900), Step::Watch(7));
+        schedule.forgotten();
+        assert_eq!(schedule.step(due + 900), Step::Read(5));
     }
 
     #[test_case(5, GAP; "short")]
     #[test_case(300, 3_000; "long")]
     #[test_case(6_000, REST; "very long")]
     fn rest_after_read(took: u64, rest: u64) {
-        let mut plan = plan(SMALL);
+        let mut schedule = schedule(SMALL);
         let now = 10_000 + took;
-        plan.read(10_000, now);
-        plan.proven(9);
-        assert_eq!(plan.step(now + rest - 1), Step::Watch(9));
-        assert_eq!(plan.step(now + rest), Step::Read(5));
+        schedule.read(10_000, now);
+        schedule.proven(9);
+        assert_eq!(schedule.step(now + rest - 1), Step::Watch(9));
+        assert_eq!(schedule.step(now + rest), Step::Read(5));
     }
 }
--- a/components/node/src/config/sight.rs
+++ b/components/node/src/config/staleness.rs
@@ -10,7 +10,7 @@
 const TELLING: u32 = 2;
 
 /// What is told and measured.
-pub struct Sight<'a> {
+pub struct Staleness<'a> {
     node: &'a Node,
     /// When the configuration in force was last proven to be the newest; at first, when the box started.
     proven: u64,
@@ -18,10 +18,10 @@
     failures: u32,
 }
 
-impl<'a> Sight<'a> {
+impl<'a> Staleness<'a> {
     /// Nothing is proven.
     pub fn new(node: &'a Node) -> Self {
-        Sight {
+        Staleness {
             node,
             proven: time::now(),
             failures: 0,
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -2,16 +2,14 @@
 
 use {
     crate::{
-        accept, cancel,
-        comeback::Comeback,
-        config,
-        fetch::Fetched,
-        follow,
+        accept, cancel, config,
         heartbeat::Monitor,
         message::Owner,
         outside::Outside,
-        peer, relay,
+        owner_watch, peer, relay,
+        retry_after::RetryAfter,
         settings::{ANSWER_MOST, CUT_OFF, PROBE_LONG, STORE_PAUSE, STORE_REST, Settings},
+        spec_text::SpecCache,
         store::{Applied, Change, Item, Page, Store, Watched},
         tenure::Tenure,
         time,
@@ -52,7 +50,7 @@
     /// The store's revision of the configuration that was found last.
     pub(crate) config_revision: AtomicU64,
     /// How callers that are refused are told to come back.
-    pub comeback: Comeback,
+    pub retry_after: RetryAfter,
     /// What the owner has told of the store.
     pub(crate) monitor: Monitor,
 }
@@ -240,11 +238,11 @@
     /// Calls to other boxes.
     pub client: Client,
     pub(crate) remote: Remote<Core>,
-    pub(crate) acceptor: accept::Door,
+    pub(crate) acceptor: accept::Sender,
     /// Cancellations that the owner has not confirmed.
-    pub(crate) untold: cancel::Door,
+    pub(crate) unconfirmed: cancel::Sender,
     /// Specifications that were read from the store.
-    pub(crate) fetched: Arc<Fetched>,
+    pub(crate) specs: Arc<SpecCache>,
 }
 
 /// A box that runs.
@@ -269,8 +267,8 @@
         store: Arc::new(noted),
         ..outside
     };
-    let (acceptor, submissions) = accept::door();
-    let (untold, cancellations) = cancel::door();
+    let (acceptor, submissions) = accept::channel();
+    let (unconfirmed, cancellations) = cancel::channel();
     let settings = Arc::new(settings);
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
     let host = Host::start("core", move |_, remote| {
@@ -281,8 +279,8 @@
             client,
             remote,
             acceptor,
-            untold,
-            fetched: Arc::default(),
+            unconfirmed,
+            specs: Arc::default(),
         };
         // The receiver waits for just this one.
         let _ = sender.send(node.clone());
@@ -296,7 +294,7 @@
     let own = node.clone();
     task::spawn("config", move || config::follow(&own))?;
     let own = node.clone();
-    task::spawn("owner", move || follow::ownership(&own))?;
+    task::spawn("owner", move || owner_watch::run(&own))?;
     let own = node.clone();
     task::spawn("relay", move || relay::run(&own))?;
     Ok(Running { node, _host: host })
--- a/components/node/src/kept.rs
+++ b/components/node/src/decode.rs
@@ -16,7 +16,7 @@
     if keys::job(&submission.id) != item.key {
         return Err(bad("it is kept under the key of another job"));
     }
-    sound(submission)
+    validate(submission)
 }
 
 /// The same, if it can be worked with.
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// It cannot.
-pub fn sound(submission: Submission) -> Result<Submission, Failure> {
+pub fn validate(submission: Submission) -> Result<Submission, Failure> {
     let id = submission.id.as_str();
     if Id::new(id).is_none() {
         return Err(bad("its name is none of a job"));
--- a/components/node/src/texts.rs
+++ b/components/node/src/job_cache.rs
@@ -12,37 +12,37 @@
 
 /// Specifications that a relay keeps: those of the last jobs that it was told of. Of 4 KB each at most; a fleet of
 /// 900 workers begins 29 jobs a second, which last for some 10 s.
-pub const KEPT: usize = 512;
+pub const CAPACITY: usize = 512;
 
 /// The last jobs that texts were sent for, with something kept for each.
 #[derive(Debug)]
-pub struct Texts<T> {
+pub struct JobCache<T> {
     by_job: HashMap<Id, T>,
     order: VecDeque<Id>,
 }
 
-impl<T> Default for Texts<T> {
+impl<T> Default for JobCache<T> {
     fn default() -> Self {
-        Texts {
+        JobCache {
             by_job: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 }
 
-impl<T> Texts<T> {
+impl<T> JobCache<T> {
     /// What is kept for a job.
     pub fn get(&self, job: &Id) -> Option<&T> {
         self.by_job.get(job)
     }
 
     /// Keeps something for a job; the oldest goes where that is too many.
-    pub fn keep(&mut self, job: Id, kept: T) {
+    pub fn insert(&mut self, job: Id, kept: T) {
         if self.by_job.insert(job.clone(), kept).is_some() {
             return;
         }
         self.order.push_back(job);
-        if self.order.len() <= KEPT {
+        if self.order.len() <= CAPACITY {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
@@ -61,13 +61,16 @@
 
     #[test]
     fn keep_lets_the_oldest_go() {
-        let mut texts = Texts::default();
-        for number in 0..=KEPT {
-            texts.keep(id(number), number);
-            texts.keep(id(number), number);
+        let mut texts = JobCache::default();
+        for number in 0..=CAPACITY {
+            texts.insert(id(number), number);
+            texts.insert(id(number), number);
         }
         assert!(texts.get(&id(0)).is_none());
         assert_eq!(texts.get(&id(1)), Some(&1));
-        assert_eq!((texts.by_job.len(), texts.order.len()), (KEPT, KEPT));
+        assert_eq!(
+            (texts.by_job.len(), texts.order.len()),
+            (CAPACITY, CAPACITY)
+        );
     }
 }
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -1,7 +1,7 @@
 //! Values kept in the store, and messages between boxes.
 
 use {
-    crate::{callers::Reply, heartbeat::Heartbeat, news::News, outside::Unheard},
+    crate::{callers::Reply, heartbeat::Heartbeat, outside::Unheard, report_delta::ReportDelta},
     cell::{Entry, Key, Order, Outcome, Poll, Start},
     job::{Address, Id, State, Submission, spec::Size},
     serde::{Deserialize, Serialize},
@@ -156,7 +156,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Heard {
     /// The outcome of a poll that was allowed at this time of the owner's clock.
-    Report(Arc<str>, u64, Result<News, Unheard>),
+    Report(Arc<str>, u64, Result<ReportDelta, Unheard>),
     /// The relay looks after this worker no longer: the next report of it stands by itself.
     Left(Arc<str>),
     /// The outcome of the order of this number.
--- a/components/node/src/queued.rs
+++ b/components/node/src/order_queue.rs
@@ -16,7 +16,7 @@
 
 /// An order that waits for those before it.
 #[derive(Debug)]
-pub struct Queued {
+pub struct QueuedOrder {
     /// The order.
     pub order: Order,
     /// Its number between the owner and a relay; 0 on the owner's own box.
@@ -25,10 +25,10 @@
     since: u64,
 }
 
-impl Queued {
+impl QueuedOrder {
     /// An order that was decided so many milliseconds ago.
     pub fn new(order: Order, number: u64, age: u64, now: u64) -> Self {
-        Queued {
+        QueuedOrder {
             order,
             number,
             since: now.saturating_sub(age),
@@ -47,51 +47,51 @@
 
 /// The way in of a worker's orders.
 #[derive(Debug)]
-pub struct Entrance {
-    orders: UnboundedSender<Queued>,
+pub struct OrderSender {
+    orders: UnboundedSender<QueuedOrder>,
     barred: Barred,
 }
 
 /// The way out of a worker's orders.
 #[derive(Debug)]
-pub struct Exit {
-    orders: UnboundedReceiver<Queued>,
+pub struct OrderReceiver {
+    orders: UnboundedReceiver<QueuedOrder>,
     barred: Barred,
 }
 
 /// The way of a worker's orders.
-pub fn line() -> (Entrance, Exit) {
+pub fn channel() -> (OrderSender, OrderReceiver) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let barred = Barred::default();
-    let entrance = Entrance {
+    let entrance = OrderSender {
         orders: sender,
         barred: barred.clone(),
     };
-    let exit = Exit {
+    let exit = OrderReceiver {
         orders: receiver,
         barred,
     };
     (entrance, exit)
 }
 
-impl Entrance {
+impl OrderSender {
     /// Notes that an order is about to come which keeps a start from leaving, where it is one.
-    pub fn bar(&self, order: &Order) {
+    pub fn revoke_start(&self, order: &Order) {
         if let Some(barred) = barred_by(order) {
             lock(&self.barred).insert(barred);
         }
     }
 
     /// Lets an order in. False when nobody takes it any more.
-    pub fn send(&self, queued: Queued) -> bool {
-        self.bar(&queued.order);
+    pub fn send(&self, queued: QueuedOrder) -> bool {
+        self.revoke_start(&queued.order);
         self.orders.send(queued).is_ok()
     }
 }
 
-impl Exit {
+impl OrderReceiver {
     /// The next order, once there is one; `None` when no more will come.
-    pub async fn next(&mut self) -> Option<Queued> {
+    pub async fn next(&mut self) -> Option<QueuedOrder> {
         let queued = self.orders.recv().await?;
         if let Some(barred) = barred_by(&queued.order) {
             lock(&self.barred).remove(&barred);
@@ -100,7 +100,7 @@
     }
 
     /// True for a start that must not leave any more: a stop or a withdrawal of its run is on its way.
-    pub fn is_barred(&self, order: &Order) -> bool {
+    pub fn is_revoked(&self, order: &Order) -> bool {
         let Order::Start(start) = order else {
             return false;
         };
@@ -171,7 +171,7 @@
     fn is_stale_by_wait(order: Order, age: u64, wait: u64, is_stale: bool) {
         let now = 100_000;
         assert_eq!(
-            Queued::new(order, 0, age, now).is_stale(now + wait),
+            QueuedOrder::new(order, 0, age, now).is_stale(now + wait),
             is_stale
         );
     }
@@ -179,12 +179,12 @@
     /// A start that was decided before the machine was suspended: by the steady clock no time has passed.
     #[test]
     fn is_stale_after_suspension() {
-        let queued = Queued::new(start(), 0, 0, time::now());
+        let queued = QueuedOrder::new(start(), 0, 0, time::now());
         clock::suspend(Duration::from_secs(2));
         assert!(queued.is_stale(time::now()));
     }
 
-    fn next(exit: &mut Exit) -> Queued {
+    fn next(exit: &mut OrderReceiver) -> QueuedOrder {
         net::wait(exit.next()).unwrap().unwrap()
     }
 
@@ -196,13 +196,13 @@
     #[test_case(stop(); "stop")]
     #[test_case(withdrawal(); "withdrawal")]
     fn is_barred_by_order_on_its_way(order: Order) {
-        let (entrance, mut exit) = line();
-        entrance.send(Queued::new(start(), 0, 0, 1));
+        let (entrance, mut exit) = channel();
+        entrance.send(QueuedOrder::new(start(), 0, 0, 1));
         let first = next(&mut exit);
-        assert!(!exit.is_barred(&first.order));
-        entrance.send(Queued::new(order, 0, 0, 1));
-        assert!(exit.is_barred(&first.order));
+        assert!(!exit.is_revoked(&first.order));
+        entrance.send(QueuedOrder::new(order, 0, 0, 1));
+        assert!(exit.is_revoked(&first.order));
         next(&mut exit);
-        assert!(!exit.is_barred(&first.order));
+        assert!(!exit.is_revoked(&first.order));
     }
 }
--- a/components/node/src/follow.rs
+++ b/components/node/src/owner_watch.rs
@@ -16,7 +16,7 @@
 };
 
 /// Follows who owns the cell, and claims it when nobody does.
-pub fn ownership(node: &Node) {
+pub fn run(node: &Node) {
     let store = &node.outside.store;
     while !node.shared.is_stopping() {
         if let Some(rest) = rest(node) {
@@ -69,7 +69,7 @@
 
 /// Reads who the owner is, for a box whose owner does not answer or wants nothing any more: the watch
 /// may have gone silent, and a new owner needs its relays at once.
-pub fn look(node: &Node) {
+pub fn refresh(node: &Node) {
     match node.outside.store.get(&keys::owner(CELL)) {
         Ok(Some(item)) => note(node, &item),
         Ok(None) => {}
--- a/components/node/src/owning.rs
+++ b/components/node/src/owning.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         core::Node,
+        decode,
         group::{CELL, put_compact},
-        kept, keys,
+        keys,
         settings::{
             HALLS_GAP, INTAKE_WAIT, LEARNED_GAP, LEARNED_SHARE, LEASE, LIST_GAP, LIST_SHARE, RENEW,
             STORE_PAUSE, WAVE_GAP,
@@ -308,7 +309,7 @@
             cancelled.push(id);
             continue;
         }
-        match kept::submission(&item) {
+        match decode::submission(&item) {
             Ok(submission) => {
                 cell.admit(submission, wall::millis());
             }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -6,7 +6,7 @@
         callers::Reply,
         cancel,
         core::Node,
-        kept,
+        decode,
         message::{Ask, Offer, Shut, Told},
         settings::{PEER_TIMEOUT, PEER_TWICE},
     },
@@ -94,11 +94,11 @@
         }
         Ask::Waiting(queue) => Ok(Told::Waiting(waiting(node, queue)?)),
         Ask::Submit(submission) => {
-            let submission = kept::sound(*submission)?;
+            let submission = decode::validate(*submission)?;
             Ok(Told::Reply(accept::submit(node, submission, false)))
         }
         Ask::Cancel(id) => Ok(Told::Reply(cancel::cancel(node, &id, false))),
-        Ask::Cancelled(id) => Ok(Told::Reply(cancel::told(node, &id))),
+        Ask::Cancelled(id) => Ok(Told::Reply(cancel::receive(node, &id))),
         Ask::Probe { release } => probe(node, release),
         Ask::Halls { passed } => Ok(Told::Halls(halls(node, passed)?)),
     }
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -7,13 +7,13 @@
 use {
     crate::{
         core::Node,
-        follow,
+        job_cache::JobCache,
         message::{Begin, Command, Duty, Heard, Offer, Owner},
-        news::News,
+        order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
         outside::Unheard,
-        queued::{self, Entrance, Exit, Queued},
+        owner_watch,
+        report_delta::ReportDelta,
         settings::{LOOK_IDLE, LOOK_RELAY, POLL_PAUSE, RELAY_BUSY, RELAY_IDLE, RELAY_TIME},
-        texts::Texts,
         time, worker,
     },
     cell::{Entry, Order, Outcome, Poll, Reason, Report, Run},
@@ -34,7 +34,7 @@
 /// The ways to the two tasks of a worker.
 struct Ways {
     polls: UnboundedSender<(u64, Poll)>,
-    orders: Entrance,
+    orders: OrderSender,
 }
 
 /// What a relay does in one session.
@@ -49,7 +49,7 @@
     pause: Duration,
     ways: HashMap<Arc<str>, Ways>,
     /// The specifications that the owner has sent; empty ones are read from the store.
-    texts: Texts<Arc<str>>,
+    texts: JobCache<Arc<str>>,
     heard: Arc<Mutex<Ear>>,
 }
 
@@ -67,7 +67,7 @@
         let Some(list) = self.lists.get_mut(id) else {
             return;
         };
-        let news = result.map(|report| News::of(report, list));
+        let news = result.map(|report| ReportDelta::diff(report, list));
         self.heard.push(Heard::Report(id.clone(), at, news));
     }
 
@@ -140,7 +140,7 @@
         }
         let gap = if is_relay { LOOK_RELAY } else { LOOK_IDLE };
         self.next = now + gap + fastrand::u64(0..gap);
-        follow::look(node);
+        owner_watch::refresh(node);
     }
 }
 
@@ -206,7 +206,7 @@
             offered: 0,
             pause: RELAY_BUSY,
             ways: HashMap::new(),
-            texts: Texts::default(),
+            texts: JobCache::default(),
             heard: Arc::default(),
         }
     }
@@ -228,7 +228,7 @@
                     self.ways.remove(&id);
                     lock(&self.heard).leave(id);
                 }
-                Command::Text(job, text) => self.texts.keep(job, text.unwrap_or_default()),
+                Command::Text(job, text) => self.texts.insert(job, text.unwrap_or_default()),
                 // A task that has ended belongs to a worker that was left.
                 Command::Poll(id, at, poll) => {
                     if let Some(ways) = self.ways.get(&id) {
@@ -249,7 +249,7 @@
             if let Command::Order(id, _, _, order) = command
                 && let Some(ways) = self.ways.get(id)
             {
-                ways.orders.bar(order);
+                ways.orders.revoke_start(order);
             }
         }
     }
@@ -257,7 +257,7 @@
     /// Hands an order of this age, in milliseconds, to its worker's task. Without one it is surely not sent: the owner
     /// counts it as on its way until it is answered.
     fn order(&self, id: &Arc<str>, number: u64, order: Order, age: u64) {
-        let queued = Queued::new(order, number, age, time::now());
+        let queued = QueuedOrder::new(order, number, age, time::now());
         let ways = self.ways.get(id);
         if ways.is_none_or(|ways| !ways.orders.send(queued)) {
             self.refuse([number]);
@@ -290,7 +290,7 @@
     fn tend(&mut self, node: &Node, entry: Entry) {
         lock(&self.heard).lists.insert(entry.id.clone(), Vec::new());
         let (polls, next) = mpsc::unbounded_channel();
-        let (orders, sent) = queued::line();
+        let (orders, sent) = order_queue::channel();
         let id = entry.id.clone();
         let fence = self.fence;
         let polling = poll(node.clone(), fence, entry.clone(), next, self.heard.clone());
@@ -320,7 +320,13 @@
     }
 }
 
-async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit, heard: Arc<Mutex<Ear>>) {
+async fn send(
+    node: Node,
+    fence: u64,
+    entry: Entry,
+    mut orders: OrderReceiver,
+    heard: Arc<Mutex<Ear>>,
+) {
     while let Some(queued) = orders.next().await {
         let number = queued.number;
         let outcome = worker::send_one(&node, fence, &entry, queued, &orders).await;
--- a/components/node/src/relays/idle.rs
+++ b/components/node/src/relays/idle_offers.rs
@@ -10,7 +10,7 @@
 
 /// How many boxes there are.
 #[derive(Default)]
-pub struct Idle {
+pub struct IdleOffers {
     /// Those heard since `since`.
     names: HashSet<Arc<str>>,
     since: u64,
@@ -18,7 +18,7 @@
     counted: usize,
 }
 
-impl Idle {
+impl IdleOffers {
     /// How long a box waits before it offers itself again, in milliseconds: the more boxes the longer, so that offers take a
     /// bounded part of the owner's processor. While workers wait for a relay, boxes offer themselves as often as they may.
     pub fn pause(&mut self, name: &str, is_complete: bool, now: u64) -> u64 {
@@ -49,7 +49,7 @@
     #[test_case(1_174, 1_500; "twice that")]
     #[test_case(2_348, 1_500; "four times")]
     fn pause_offers_a_second(boxes: u64, offers: u64) {
-        let mut idle = Idle::default();
+        let mut idle = IdleOffers::default();
         let mut made = 0;
         let mut due: Vec<u64> = (0..boxes).collect();
         for now in 0..20_000 {
@@ -65,7 +65,7 @@
 
     #[test]
     fn pause_while_workers_wait() {
-        let mut idle = Idle::default();
+        let mut idle = IdleOffers::default();
         for number in 0..587 {
             idle.pause(&format!("b{number}"), true, 0);
         }
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -1,21 +1,21 @@
 //! The owner's book of relays: which box looks after which worker, and what is on its way to it.
 
-mod allowance;
-mod idle;
+mod idle_offers;
 mod relay;
+mod text_budget;
 
 use {
     self::{
-        allowance::Allowance,
-        idle::Idle,
+        idle_offers::IdleOffers,
         relay::{Relay, START_BYTES, TEXT_BYTES, bytes, start_bytes},
+        text_budget::TextBudget,
     },
     crate::{
+        job_cache::JobCache,
         message::{Command, Duty, Offer},
-        news::News,
         outside::Unheard,
+        report_delta::ReportDelta,
         settings::{AHEAD, RELAY_BUSY, RELAY_SLOW},
-        texts::Texts,
     },
     cell::{Entry, Order, Poll, Report},
     std::{
@@ -36,7 +36,7 @@
 const FAR_AFTER: u64 = 900;
 /// After this time, in milliseconds, the owner looks after workers itself that no relay has room
 /// for: boxes offer themselves every 0.4 s.
-const UNATTENDED: u64 = 1_500;
+const UNASSIGNED_TIMEOUT: u64 = 1_500;
 
 /// What an exchange takes of the owner's link besides what it carries, in bytes each way: heads of HTTP and of
 /// the messages.
@@ -66,11 +66,11 @@
     orders: HashMap<u64, (Arc<str>, Order)>,
     numbers: u64,
     /// Workers that nobody looks after, and since when.
-    unattended: Vec<(Entry, u64)>,
+    unassigned: Vec<(Entry, u64)>,
     /// What of the owner's link specifications may take.
-    allowance: Allowance,
+    text_budget: TextBudget,
     /// The boxes that offer themselves in vain.
-    idle: Idle,
+    idle: IdleOffers,
 }
 
 /// The fastest link that is reckoned with, in bytes a millisecond: 100 Gbit/s. What is reckoned from a link stays far below
@@ -88,7 +88,7 @@
         let is_far = |relay: &Relay| relay.hall != entry.hall;
         let best = open.min_by_key(|(name, relay)| (is_far(relay), load(relay), (*name).clone()));
         let Some((name, relay)) = best else {
-            self.unattended.push((entry, since));
+            self.unassigned.push((entry, since));
             return None;
         };
         relay.workers.insert(entry.id.clone());
@@ -97,21 +97,21 @@
     }
 
     /// True when some relay has room for another worker.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.by_name.values().any(Relay::is_open)
     }
 
     /// Workers that wait for somebody to look after them, and since when.
-    pub fn take_unattended(&mut self) -> Vec<(Entry, u64)> {
-        std::mem::take(&mut self.unattended)
+    pub fn take_unassigned(&mut self) -> Vec<(Entry, u64)> {
+        std::mem::take(&mut self.unassigned)
     }
 
     /// Workers that have waited for too long.
-    pub fn take_neglected(&mut self, now: u64) -> Vec<Entry> {
+    pub fn take_overdue(&mut self, now: u64) -> Vec<Entry> {
         let mut neglected = Vec::new();
-        for (entry, since) in std::mem::take(&mut self.unattended) {
-            if now < since + UNATTENDED {
-                self.unattended.push((entry, since));
+        for (entry, since) in std::mem::take(&mut self.unassigned) {
+            if now < since + UNASSIGNED_TIMEOUT {
+                self.unassigned.push((entry, since));
                 continue;
             }
             neglected.push(entry);
@@ -137,7 +137,7 @@
         relay.starting += start_bytes(&order);
         match order {
             Order::Start(start) => {
-                relay.send_text(&start, &mut self.allowance);
+                relay.send_text(&start, &mut self.text_budget);
                 relay.start(id, self.numbers, now, &start);
             }
             order => relay.command(Command::Order(id.clone(), self.numbers, now, order)),
@@ -145,7 +145,7 @@
     }
 
     /// The order of a number, which a relay has now answered for.
-    pub fn answered(&mut self, name: &str, number: u64) -> Option<(Arc<str>, Order)> {
+    pub fn complete_order(&mut self, name: &str, number: u64) -> Option<(Arc<str>, Order)> {
         let (id, order) = self.orders.remove(&number)?;
         if let Some(relay) = self.by_name.get_mut(name) {
             relay.starting = relay.starting.saturating_sub(start_bytes(&order));
@@ -155,7 +155,7 @@
 
     /// How many more starts may be decided now, for an owner with this link: work waits in the queue and not
     /// on the wire, where nothing can go before it.
-    pub fn starts(&self, link: u64) -> usize {
+    pub fn start_budget(&self, link: u64) -> usize {
         let unsent: usize = self.by_name.values().map(|relay| relay.unsent).sum();
         let room = ((link * AHEAD) as usize).saturating_sub(unsent);
         // With a text for every fourth start.
@@ -169,42 +169,42 @@
 
     /// Lets specifications take their part of an owner's link; all that they need where the store, from which relays
     /// would read them, fails.
-    pub fn allow_texts(&mut self, link: u64, is_failing: bool, now: u64) {
-        self.allowance.grow(link, now);
-        self.allowance.is_all = is_failing;
+    pub fn refill_text_budget(&mut self, link: u64, is_failing: bool, now: u64) {
+        self.text_budget.grow(link, now);
+        self.text_budget.is_all = is_failing;
     }
 
     /// The workers of relays that have as many starts to send as their links take now.
-    pub fn busy(&self) -> HashSet<Arc<str>> {
+    pub fn busy_workers(&self) -> HashSet<Arc<str>> {
         let busy = self.by_name.values().filter(|relay| relay.is_busy());
         busy.flat_map(|relay| relay.workers.iter().cloned())
             .collect()
     }
 
     /// What a relay has told of a worker, in whole. It has to be given all that one tells, in its order.
-    pub fn read(
+    pub fn decode_report(
         &mut self,
         name: &str,
         id: &Arc<str>,
-        told: Result<News, Unheard>,
+        told: Result<ReportDelta, Unheard>,
     ) -> Result<Report, Unheard> {
         let news = told?;
         let mut unknown = Vec::new();
         let list = self.by_name.get_mut(name).map_or(&mut unknown, |relay| {
             relay.lists.entry(id.clone()).or_default()
         });
-        Ok(news.whole(list))
+        Ok(news.apply(list))
     }
 
     /// A relay looks after a worker no longer.
-    pub fn left(&mut self, name: &str, id: &Arc<str>) {
+    pub fn reset_baseline(&mut self, name: &str, id: &Arc<str>) {
         if let Some(relay) = self.by_name.get_mut(name) {
             relay.lists.remove(id);
         }
     }
 
     /// Nobody looks after a worker any more.
-    pub fn leave(&mut self, name: &str, id: &Arc<str>) {
+    pub fn unassign(&mut self, name: &str, id: &Arc<str>) {
         if let Some(relay) = self.by_name.get_mut(name)
             && relay.workers.remove(id)
         {
@@ -217,7 +217,7 @@
     }
 
     /// Takes a box's offer. True when what it brings is new.
-    pub fn take(&mut self, offer: &Offer, now: u64) -> bool {
+    pub fn accept_offer(&mut self, offer: &Offer, now: u64) -> bool {
         let Some(relay) = self.by_name.get_mut(&offer.name) else {
             return false;
         };
@@ -253,7 +253,7 @@
             hall: offer.hall.clone(),
             share: offer.share,
             link: offer.link.min(MAX_LINK),
-            texts: Texts::default(),
+            texts: JobCache::default(),
             unsent: 0,
             starting: 0,
             lists: HashMap::new(),
@@ -273,17 +273,17 @@
         if need == Need::None {
             return false;
         }
-        let is_short = need == Need::Short && !self.has_room();
+        let is_short = need == Need::Short && !self.has_capacity();
         if offer.share >= STRONG || is_short {
             return true;
         }
-        let mut waiting = self.unattended.iter();
+        let mut waiting = self.unassigned.iter();
         waiting.any(|(entry, since)| entry.hall == offer.hall || now >= since + FAR_AFTER)
     }
 
     /// How long relays wait between two exchanges with an owner of this link, in milliseconds: the heads of all
     /// exchanges are to take no more than a part of it.
-    pub fn pause(&self, link: u64) -> u64 {
+    pub fn exchange_interval(&self, link: u64) -> u64 {
         let least = RELAY_BUSY.as_millis() as u64;
         let count = self.by_name.len() as u64;
         let wanted = count * EXCHANGE * EXCHANGE_PART / link.max(1);
@@ -292,10 +292,10 @@
 
     /// What a box has to do next, for an owner of this link.
     pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> Duty {
-        let pause = self.pause(link);
+        let pause = self.exchange_interval(link);
         let Some(relay) = self.by_name.get_mut(name) else {
             return Duty {
-                pause: self.idle.pause(name, self.unattended.is_empty(), now),
+                pause: self.idle.pause(name, self.unassigned.is_empty(), now),
                 ..Duty::default()
             };
         };
@@ -317,7 +317,7 @@
     /// The workers of relays that have not been heard for too long.
     ///
     /// An owner that was late itself judges nobody: what relays sent meanwhile has not been read.
-    pub fn lose_silent(&mut self, now: u64) -> Vec<Arc<str>> {
+    pub fn expire_silent(&mut self, now: u64) -> Vec<Arc<str>> {
         let is_late = now > self.looked + LATE;
         self.looked = now;
         if is_late {
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -1,11 +1,11 @@
 //! One relay as its owner knows it, and what is on its way to it.
 
 use {
-    super::allowance::Allowance,
+    super::text_budget::TextBudget,
     crate::{
+        job_cache::JobCache,
         message::{Begin, Command},
         settings::{AHEAD, Settings},
-        texts::Texts,
     },
     cell::{Order, Run, Start},
     std::{
@@ -30,7 +30,7 @@
     /// What its link carries, in bytes a millisecond.
     pub link: u64,
     /// The jobs whose texts it has.
-    pub texts: Texts<()>,
+    pub texts: JobCache<()>,
     /// Bytes of the commands that it has not acknowledged.
     pub unsent: usize,
     /// Bytes of the starts on their way to workers that have no answer yet.
@@ -96,15 +96,15 @@
         self.command(Command::Starts(job.clone(), now, vec![begin]));
     }
 
-    /// Sends a start's text ahead, if the relay does not have it and the allowance takes it; else the relay reads it
+    /// Sends a start's text ahead, if the relay does not have it and the text_budget takes it; else the relay reads it
     /// from the store.
-    pub fn send_text(&mut self, start: &Start, allowance: &mut Allowance) {
+    pub fn send_text(&mut self, start: &Start, text_budget: &mut TextBudget) {
         let job = &start.key.job;
         if self.texts.get(job).is_some() {
             return;
         }
-        self.texts.keep(job.clone(), ());
-        let is_sent = !start.text.is_empty() && allowance.take(start.text.len());
+        self.texts.insert(job.clone(), ());
+        let is_sent = !start.text.is_empty() && text_budget.take(start.text.len());
         let text = is_sent.then(|| start.text.clone());
         self.command(Command::Text(job.clone(), text));
     }
--- a/components/node/src/relays/allowance.rs
+++ b/components/node/src/relays/text_budget.rs
@@ -9,7 +9,7 @@
 /// sends (480 of 610 KB a second, for 17 jobs a second of 2.4 KB and 12 relays), and any relay can read them from the
 /// store, whose link is wide. While the store fails they go through the owner all the same.
 #[derive(Default)]
-pub(super) struct Allowance {
+pub(super) struct TextBudget {
     /// Bytes that may be sent now.
     left: u64,
     /// When it last grew.
@@ -18,7 +18,7 @@
     pub is_all: bool,
 }
 
-impl Allowance {
+impl TextBudget {
     /// Grows with the time, for an owner with this link.
     pub fn grow(&mut self, link: u64, now: u64) {
         let rate = link / TEXT_PART;
--- a/components/node/src/news.rs
+++ b/components/node/src/report_delta.rs
@@ -12,7 +12,7 @@
 
 /// A report, in terms of the one before.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct ReportDelta {
     /// The worker's clock, in milliseconds.
     clock: u64,
     /// Runs that go on as they were, by their number in the list before, each with its new figure.
@@ -23,10 +23,10 @@
     ended: Vec<End>,
 }
 
-impl News {
+impl ReportDelta {
     /// Tells a report in terms of the list before it, and puts its own list in that one's place: the runs that
     /// go on, then the others.
-    pub fn of(report: Report, known: &mut Vec<Run>) -> Self {
+    pub fn diff(report: Report, known: &mut Vec<Run>) -> Self {
         let mut kept = Vec::new();
         let mut fresh = Vec::new();
         for run in report.running {
@@ -35,7 +35,7 @@
                 None => fresh.push(run),
             }
         }
-        let news = News {
+        let news = ReportDelta {
             clock: report.clock,
             kept,
             fresh,
@@ -46,7 +46,7 @@
     }
 
     /// The whole report, for whoever knows the same list before; which gives way to the report's.
-    pub fn whole(self, known: &mut Vec<Run>) -> Report {
+    pub fn apply(self, known: &mut Vec<Run>) -> Report {
         *known = self.list(known);
         Report {
             clock: self.clock,
@@ -139,8 +139,8 @@
         fn whole_of_any_sequence(reports in prop::collection::vec(report(), 1..8)) {
             let (mut told, mut heard) = (Vec::new(), Vec::new());
             for report in reports {
-                let news = News::of(report.clone(), &mut told);
-                let whole = news.whole(&mut heard);
+                let news = ReportDelta::diff(report.clone(), &mut told);
+                let whole = news.apply(&mut heard);
                 prop_assert_eq!(&told, &heard);
                 prop_assert_eq!(sorted(whole), sorted(report));
             }
@@ -167,9 +167,9 @@
             ended: Vec::new(),
         };
         let mut known = Vec::new();
-        let bytes = |news: &News| kernel::wire::encode_compact(news).unwrap().len();
-        let first = bytes(&News::of(report.clone(), &mut known));
-        let second = bytes(&News::of(report, &mut known));
+        let bytes = |news: &ReportDelta| kernel::wire::encode_compact(news).unwrap().len();
+        let first = bytes(&ReportDelta::diff(report.clone(), &mut known));
+        let second = bytes(&ReportDelta::diff(report, &mut known));
         assert!(first > 20 * 40 && second < 20 * 6 + 20, "{first}, {second}");
     }
 }
--- a/components/node/src/comeback.rs
+++ b/components/node/src/retry_after.rs
@@ -7,7 +7,7 @@
 use {kernel::sync::lock, std::sync::Mutex};
 
 /// The least wait, in seconds: the header has no fractions.
-pub const SOONEST: u64 = 1;
+pub const MIN_RETRY_AFTER: u64 = 1;
 /// The longest wait, in seconds: callers wait for 3 s in all on the deployments seen.
 const LATEST: u64 = 3;
 /// Callers that a box takes back in one second. It writes ten jobs at a time in some 10 ms, and shares
@@ -16,15 +16,15 @@
 
 /// How many callers were refused lately.
 #[derive(Debug, Default)]
-pub struct Comeback {
+pub struct RetryAfter {
     /// The second that is counted, since the box came up, and the callers refused in it.
     refused: Mutex<(u64, u64)>,
 }
 
-impl Comeback {
+impl RetryAfter {
     /// Notes a refusal at this time in milliseconds. Returns the wait in seconds for a caller whose queue
     /// has this priority; 0 goes first.
-    pub fn wait(&self, now: u64, priority: u32) -> u64 {
+    pub fn record_refusal(&self, now: u64, priority: u32) -> u64 {
         let second = now / 1_000;
         let mut refused = lock(&self.refused);
         if refused.0 != second {
@@ -33,7 +33,7 @@
         refused.1 += 1;
         let later = refused.1 / A_SECOND;
         let place = later + u64::from(later > 0 && priority > 0);
-        (SOONEST + place).min(LATEST)
+        (MIN_RETRY_AFTER + place).min(LATEST)
     }
 }
 
@@ -47,11 +47,11 @@
     #[test_case(250, 2, 3; "more, and less urgent")]
     #[test_case(10_000, 0, 3; "no later than the last")]
     fn wait_after(before: u64, priority: u32, expected: u64) {
-        let comeback = Comeback::default();
+        let retry_after = RetryAfter::default();
         for _ in 0..before {
-            comeback.wait(500, 0);
+            retry_after.record_refusal(500, 0);
         }
-        assert_eq!(comeback.wait(999, priority), expected);
-        assert_eq!(comeback.wait(1_000, priority), 1);
+        assert_eq!(retry_after.record_refusal(999, priority), expected);
+        assert_eq!(retry_after.record_refusal(1_000, priority), 1);
     }
 }
--- a/components/node/src/fetch.rs
+++ b/components/node/src/spec_text.rs
@@ -7,10 +7,10 @@
 
 use {
     crate::{
+        job_cache::JobCache,
         keys,
         settings::Settings,
         store::{Put, Store},
-        texts::Texts,
     },
     job::{Id, Submission},
     kernel::{Failure, sync::lock, verdict::Cause, wire},
@@ -22,11 +22,11 @@
 
 /// The specifications that were read last.
 #[derive(Default)]
-pub struct Fetched {
-    texts: Mutex<Texts<Arc<Slot>>>,
+pub struct SpecCache {
+    texts: Mutex<JobCache<Arc<Slot>>>,
 }
 
-impl Fetched {
+impl SpecCache {
     /// The specification of a job. Who needs one that is being read waits, since the same call brings it.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
             return slot.clone();
         }
         let slot = Arc::new(Slot::default());
-        texts.keep(job.clone(), slot.clone());
+        texts.insert(job.clone(), slot.clone());
         slot
     }
 }
@@ -76,7 +76,7 @@
 
 /// A submission as the owner is to hear of it from a box with these settings: an empty specification is one that is
 /// read where it is needed.
-pub fn heard(settings: &Settings, submission: &Submission) -> Submission {
+pub fn for_owner(settings: &Settings, submission: &Submission) -> Submission {
     let mut heard = submission.clone();
     if settings.is_narrow() {
         heard.spec.text = "".into();
@@ -85,12 +85,12 @@
 }
 
 /// What keeps a submission: one value, or two on a narrow link.
-pub fn puts(settings: &Settings, submission: &Submission) -> Vec<Put> {
+pub fn writes(settings: &Settings, submission: &Submission) -> Vec<Put> {
     let value = |message: Vec<u8>| match settings.is_narrow() {
         true => wire::pack(message),
         false => message,
     };
-    let heard = heard(settings, submission);
+    let heard = for_owner(settings, submission);
     let mut puts = vec![put(keys::job(&submission.id), value(encode(&heard)))];
     if heard.spec.text != submission.spec.text {
         let text = encode(&submission.spec.text);
@@ -198,7 +198,7 @@
             price: AtomicU32::new(0),
         };
         for _ in 0..20 {
-            let text = Fetched::default().text(&store, &Id::new(JOB).unwrap());
+            let text = SpecCache::default().text(&store, &Id::new(JOB).unwrap());
             assert_eq!(&*text.unwrap(), "text");
         }
         assert_eq!(store.price.into_inner(), price);
--- a/components/node/src/tenure/mod.rs
+++ b/components/node/src/tenure/mod.rs
@@ -13,8 +13,8 @@
     crate::{
         core::Core,
         group::Group,
+        order_queue::OrderSender,
         owning,
-        queued::Entrance,
         relays::{Need, Relays},
         settings::TICK,
         time,
@@ -38,7 +38,7 @@
 /// Who talks to a worker.
 enum Link {
     /// Tasks of this box.
-    Here(Entrance),
+    Here(OrderSender),
     /// A relay, by its name.
     Relay(Arc<str>),
 }
@@ -133,7 +133,7 @@
     /// Nobody talks to a worker any more.
     fn unlink(&mut self, id: &Arc<str>) {
         if let Some(Link::Relay(name)) = self.links.remove(id) {
-            self.relays.leave(&name, id);
+            self.relays.unassign(&name, id);
         }
     }
 
@@ -270,8 +270,8 @@
         tenure.cell.lapse(time::now());
         tenure.unlink_gone();
         let is_intake_due = tenure.cell.is_intake_due();
-        let orphans = tenure.relays.lose_silent(time::now());
-        let neglected = tenure.relays.take_neglected(time::now());
+        let orphans = tenure.relays.expire_silent(time::now());
+        let neglected = tenure.relays.take_overdue(time::now());
         if is_intake_due {
             owning::read_again(&self.node, fence);
         }
--- a/components/node/src/tenure/pass.rs
+++ b/components/node/src/tenure/pass.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Link,
-    crate::{core::Core, owning, queued::Queued, settings::PASS_GAP, time},
+    crate::{core::Core, order_queue::QueuedOrder, owning, settings::PASS_GAP, time},
     kernel::stakker::{Cx, after},
     std::time::Duration,
 };
@@ -49,18 +49,20 @@
             if let Some(config) = &*config {
                 tenure.cell.set_unguarded(config.unguarded());
             }
-            let most = tenure.relays.starts(link);
-            tenure.cell.hold_back(tenure.relays.busy());
+            let most = tenure.relays.start_budget(link);
+            tenure.cell.hold_back(tenure.relays.busy_workers());
             tenure.cell.place_some(begun, most);
         }
         tenure.passed = time::now();
         tenure.pass_took = tenure.passed - begun;
-        tenure.relays.allow_texts(link, is_failing, time::now());
+        tenure
+            .relays
+            .refill_text_budget(link, is_failing, time::now());
         for (id, order) in tenure.cell.take_orders() {
             match tenure.links.get(&id) {
                 // A task that has ended belongs to a worker that is gone.
                 Some(Link::Here(link)) => {
-                    link.send(Queued::new(order, 0, 0, time::now()));
+                    link.send(QueuedOrder::new(order, 0, 0, time::now()));
                 }
                 Some(Link::Relay(name)) => {
                     tenure.relays.order(name, &id, time::now(), order);
--- a/components/node/src/tenure/talk.rs
+++ b/components/node/src/tenure/talk.rs
@@ -94,7 +94,7 @@
         if self
             .tenure
             .as_mut()
-            .is_some_and(|tenure| tenure.relays.take(&offer, now))
+            .is_some_and(|tenure| tenure.relays.accept_offer(&offer, now))
         {
             for heard in offer.heard {
                 self.hear(cx, fence, &offer.name, heard);
@@ -111,14 +111,14 @@
         match heard {
             Heard::Left(id) => {
                 if let Some(tenure) = self.tenure_of(fence) {
-                    tenure.relays.left(relay, &id);
+                    tenure.relays.reset_baseline(relay, &id);
                 }
             }
             Heard::Report(id, sent, told) => {
                 let Some(tenure) = self.tenure_of(fence) else {
                     return;
                 };
-                let result = tenure.relays.read(relay, &id, told);
+                let result = tenure.relays.decode_report(relay, &id, told);
                 if self.reported(cx, fence, &id, sent, result) == Next::Poll
                     && let Some(tenure) = self.tenure_of(fence)
                 {
@@ -129,7 +129,7 @@
                 let Some(tenure) = self.tenure_of(fence) else {
                     return;
                 };
-                if let Some((id, order)) = tenure.relays.answered(relay, number) {
+                if let Some((id, order)) = tenure.relays.complete_order(relay, number) {
                     self.answered(cx, fence, &id, &order, outcome);
                 }
             }
@@ -142,7 +142,7 @@
             return;
         };
         let now = time::now();
-        let mut entries = tenure.relays.take_unattended();
+        let mut entries = tenure.relays.take_unassigned();
         for id in workers {
             tenure.links.remove(&id);
             if let Some(entry) = tenure.cell.entry(&id) {
@@ -166,7 +166,7 @@
         let Some(tenure) = self.tenure_of(fence) else {
             return false;
         };
-        if tenure.cell.size() <= most || !tenure.relays.has_room() {
+        if tenure.cell.size() <= most || !tenure.relays.has_capacity() {
             return false;
         }
         let Some(entry) = tenure.cell.entry(id).cloned() else {
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         core::Node,
+        order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
         outside::Unheard,
-        queued::{self, Entrance, Exit, Queued},
         settings::POLL_PAUSE,
         time,
     },
@@ -14,8 +14,8 @@
 
 /// Starts the tasks of a worker; they end with the tenure or with the worker. Returns the way for
 /// its orders.
-pub fn tend(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
-    let (entrance, orders) = queued::line();
+pub fn tend(node: &Node, fence: u64, entry: Entry) -> Option<OrderSender> {
+    let (entrance, orders) = order_queue::channel();
     let polled = poll(node.clone(), fence, entry.clone());
     let sent = send(node.clone(), fence, entry, orders);
     match net::spawn(polled).and_then(|()| net::spawn(sent)) {
@@ -50,7 +50,7 @@
     }
 }
 
-async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit) {
+async fn send(node: Node, fence: u64, entry: Entry, mut orders: OrderReceiver) {
     while let Some(queued) = orders.next().await {
         // Orders may have waited behind others while the tenure ended.
         if !node.shared.is_owning(fence) {
@@ -76,8 +76,8 @@
     node: &Node,
     fence: u64,
     entry: &Entry,
-    mut queued: Queued,
-    line: &Exit,
+    mut queued: QueuedOrder,
+    line: &OrderReceiver,
 ) -> Outcome {
     if let Order::Withdraw { .. } = queued.order {
         // It has done its part while it waited.
@@ -87,7 +87,7 @@
         && start.text.is_empty()
     {
         let (own, job) = (node.clone(), start.key.job.clone());
-        let read = move || own.fetched.text(&*own.outside.store, &job);
+        let read = move || own.specs.text(&*own.outside.store, &job);
         match net::blocking(read).await.unwrap_or_else(|| Err(unread())) {
             Ok(text) => start.text = text,
             Err(failure) => {
@@ -96,7 +96,7 @@
             }
         }
     }
-    if queued.is_stale(time::now()) || line.is_barred(&queued.order) {
+    if queued.is_stale(time::now()) || line.is_revoked(&queued.order) {
         metrics::counter!("magpie_orders_stale_total").increment(1);
         return Outcome::Refused(Reason::NotSent);
     }
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -212,10 +212,10 @@
 
     /// Decides, and hands the orders to the relays.
     fn pass(&mut self) {
-        self.cell.hold_back(self.relays.busy());
-        let most = self.relays.starts(LINK);
+        self.cell.hold_back(self.relays.busy_workers());
+        let most = self.relays.start_budget(LINK);
         self.cell.place_some(self.now, most);
-        self.relays.allow_texts(LINK, false, self.now);
+        self.relays.refill_text_budget(LINK, false, self.now);
         for (id, order) in self.cell.take_orders() {
             let relay = name(self.links[&id]);
             self.relays.order(&relay, &id, self.now, order);
@@ -225,9 +225,9 @@
     /// An exchange: the relay's offer has come, and its duty leaves.
     fn exchange(&mut self, relay: usize, answers: Vec<(u64, Outcome)>) {
         let offer = self.offer(relay);
-        self.relays.take(&offer, self.now);
+        self.relays.accept_offer(&offer, self.now);
         for (number, outcome) in answers {
-            let Some((id, order)) = self.relays.answered(&name(relay), number) else {
+            let Some((id, order)) = self.relays.complete_order(&name(relay), number) else {
                 continue;
             };
             self.refused += u64::from(outcome != Outcome::Done);
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -7,9 +7,9 @@
     job::{Address, Id, spec::Size},
     magpie_node::{
         message::{Command, Offer},
-        news::News,
         outside::Unheard,
         relays::{Need, Relays},
+        report_delta::ReportDelta,
     },
     test_case::test_case,
 };
@@ -81,20 +81,20 @@
     assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_none());
     assert!(relays.assign(entry("w1"), 1).is_none());
     assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_some());
-    assert_eq!(relays.take_unattended().len(), 1);
+    assert_eq!(relays.take_unassigned().len(), 1);
 }
 
 /// A box with half a core looks after 90 workers.
 #[test]
 fn has_room_until_full() {
     let mut relays = Relays::default();
-    assert!(!relays.has_room());
+    assert!(!relays.has_capacity());
     relays.join(&offer("b1", 500), Need::Large, 1);
     for number in 0..90 {
-        assert!(relays.has_room());
+        assert!(relays.has_capacity());
         relays.assign(entry(&format!("w{number}")), 1).unwrap();
     }
-    assert!(!relays.has_room());
+    assert!(!relays.has_capacity());
 }
 
 #[test]
@@ -104,12 +104,12 @@
     let first = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!((first.fence, first.commands.len()), (FENCE, 1));
     relays.order("b1", &"w1".into(), 1, stop());
-    assert!(relays.take(&offer, 2));
+    assert!(relays.accept_offer(&offer, 2));
     let again = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!((again.batch, again.commands.len()), (first.batch, 1));
     offer.ack = first.batch;
     offer.batch = 2;
-    assert!(relays.take(&offer, 3));
+    assert!(relays.accept_offer(&offer, 3));
     let second = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!(second.batch, first.batch + 1);
     assert!(matches!(second.commands[..], [Command::Order(..)]));
@@ -118,8 +118,8 @@
 #[test]
 fn offer_repeated_is_not_new() {
     let (mut relays, offer) = joined();
-    assert!(relays.take(&offer, 2));
-    assert!(!relays.take(&offer, 3));
+    assert!(relays.accept_offer(&offer, 2));
+    assert!(!relays.accept_offer(&offer, 3));
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let (mut relays, mut offer) = joined();
     offer.session += 1;
     offer.batch = 7;
-    assert!(!relays.take(&offer, 2));
+    assert!(!relays.accept_offer(&offer, 2));
 }
 
 /// A relay that starts anew has lost its tasks: its workers are given away again.
@@ -143,11 +143,11 @@
 fn silent_relay_loses_workers() {
     let (mut relays, offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.take(&offer, 100);
+    relays.accept_offer(&offer, 100);
     for now in (200..=1_300).step_by(100) {
-        assert!(relays.lose_silent(now).is_empty());
+        assert!(relays.expire_silent(now).is_empty());
     }
-    assert_eq!(relays.lose_silent(1_301), ["w1".into()]);
+    assert_eq!(relays.expire_silent(1_301), ["w1".into()]);
     assert_eq!(relays.duty("b1", FENCE, WIDE, 1).session, 0);
 }
 
@@ -160,8 +160,8 @@
     let Command::Order(_, number, _, _) = duty.commands[1] else {
         panic!("{:?}", duty.commands);
     };
-    assert_eq!(relays.answered("b1", number).unwrap().1, stop());
-    assert!(relays.answered("b1", number).is_none());
+    assert_eq!(relays.complete_order("b1", number).unwrap().1, stop());
+    assert!(relays.complete_order("b1", number).is_none());
 }
 
 #[test]
@@ -172,8 +172,8 @@
         assert!(relays.assign(entry(&id), 1).is_some());
     }
     assert!(relays.assign(entry("w90"), 1).is_none());
-    assert!(relays.take_neglected(1_500).is_empty());
-    assert_eq!(relays.take_neglected(1_501).len(), 1);
+    assert!(relays.take_overdue(1_500).is_empty());
+    assert_eq!(relays.take_overdue(1_501).len(), 1);
 }
 
 #[test]
@@ -198,13 +198,13 @@
 fn late_owner_blames_no_relay() {
     let (mut relays, offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.take(&offer, 100);
-    assert!(relays.lose_silent(200).is_empty());
-    assert!(relays.lose_silent(2_500).is_empty());
+    relays.accept_offer(&offer, 100);
+    assert!(relays.expire_silent(200).is_empty());
+    assert!(relays.expire_silent(2_500).is_empty());
     for now in (2_600..=3_700).step_by(100) {
-        assert!(relays.lose_silent(now).is_empty());
+        assert!(relays.expire_silent(now).is_empty());
     }
-    assert_eq!(relays.lose_silent(3_800), ["w1".into()]);
+    assert_eq!(relays.expire_silent(3_800), ["w1".into()]);
 }
 
 /// Workers that nobody has room for are tried again and again; that must not start their wait anew,
@@ -214,12 +214,12 @@
     let mut relays = Relays::default();
     assert!(relays.assign(entry("w1"), 1).is_none());
     for now in (100..1_500).step_by(100) {
-        assert!(relays.take_neglected(now).is_empty());
-        for (entry, since) in relays.take_unattended() {
+        assert!(relays.take_overdue(now).is_empty());
+        for (entry, since) in relays.take_unassigned() {
             assert!(relays.assign(entry, since).is_none());
         }
     }
-    assert_eq!(relays.take_neglected(1_600).len(), 1);
+    assert_eq!(relays.take_overdue(1_600).len(), 1);
 }
 
 fn start(job: &str, place: usize, text: &str) -> Order {
@@ -249,7 +249,7 @@
 fn order_sends_text_once() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.allow_texts(WIDE, false, 5);
+    relays.refill_text_budget(WIDE, false, 5);
     for place in 0..3 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, "text"));
     }
@@ -268,7 +268,7 @@
     );
     assert_eq!(begins.len(), 3);
     offer.ack = duty.batch;
-    assert!(relays.take(&offer, 6));
+    assert!(relays.accept_offer(&offer, 6));
     relays.order("b1", &"w1".into(), 7, start(JOB, 3, "text"));
     let duty = relays.duty("b1", FENCE, WIDE, 7);
     assert!(matches!(&duty.commands[..], [Command::Starts(_, 7, begins)] if begins.len() == 1));
@@ -369,9 +369,9 @@
     for number in 0..17 {
         relays.join(&offer(&format!("b{number}"), 500), Need::Large, 1);
     }
-    assert_eq!(relays.pause(WIDE), 25);
-    assert_eq!(relays.pause(NARROW), 100);
-    assert_eq!(relays.pause(2_500), 25);
+    assert_eq!(relays.exchange_interval(WIDE), 25);
+    assert_eq!(relays.exchange_interval(NARROW), 100);
+    assert_eq!(relays.exchange_interval(2_500), 25);
 }
 
 /// What is on its way to relays and not acknowledged leaves less room for further starts.
@@ -379,20 +379,20 @@
 fn starts_by_what_is_on_its_way() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.starts(NARROW);
+    let before = relays.start_budget(NARROW);
     assert!((100..300).contains(&before), "{before}");
     let text = "t".repeat(4_000);
-    relays.allow_texts(NARROW, true, 5);
+    relays.refill_text_budget(NARROW, true, 5);
     for number in 0..20 {
         let job = format!("{number:016x}");
         relays.order("b1", &"w1".into(), 5, start(&job, 0, &text));
     }
-    assert_eq!(relays.starts(NARROW), 0);
-    assert!(relays.starts(WIDE) > 4_000);
+    assert_eq!(relays.start_budget(NARROW), 0);
+    assert!(relays.start_budget(WIDE) > 4_000);
     let duty = relays.duty("b1", FENCE, NARROW, 5);
     offer.ack = duty.batch;
-    relays.take(&offer, 6);
-    assert_eq!(relays.starts(NARROW), before);
+    relays.accept_offer(&offer, 6);
+    assert_eq!(relays.start_budget(NARROW), before);
 }
 
 /// No more is decided than the relays' links take, however wide the owner's is.
@@ -405,12 +405,12 @@
         relays.join(&narrow, Need::Large, 1);
     }
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.starts(WIDE);
+    let before = relays.start_budget(WIDE);
     assert!((60..100).contains(&before), "{before}");
     for place in 0..10 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, &"t".repeat(1_200)));
     }
-    assert_eq!(relays.starts(WIDE), before - 10);
+    assert_eq!(relays.start_budget(WIDE), before - 10);
 }
 
 /// A relay whose link is full of starts gets no more until workers have answered.
@@ -425,13 +425,13 @@
     for place in 0..50 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, &text));
     }
-    assert_eq!(relays.busy().len(), 1);
+    assert_eq!(relays.busy_workers().len(), 1);
     for number in 1..=10 {
-        relays.answered("b1", number).unwrap();
+        relays.complete_order("b1", number).unwrap();
     }
-    assert!(relays.busy().is_empty());
-    relays.leave("b1", &"w1".into());
-    assert!(relays.busy().is_empty());
+    assert!(relays.busy_workers().is_empty());
+    relays.unassign("b1", &"w1".into());
+    assert!(relays.busy_workers().is_empty());
 }
 
 fn listed(place: u32, figure: u64) -> Run {
@@ -465,14 +465,14 @@
     let first = report(1, vec![listed(0, 5), listed(1, 6)]);
     let second = report(2, vec![listed(1, 7), listed(2, 8)]);
     for whole in [&first, &second] {
-        let news = News::of(whole.clone(), &mut known);
-        assert_eq!(&relays.read("b1", &id, Ok(news)).unwrap(), whole);
+        let news = ReportDelta::diff(whole.clone(), &mut known);
+        assert_eq!(&relays.decode_report("b1", &id, Ok(news)).unwrap(), whole);
     }
-    relays.left("b1", &id);
-    let news = News::of(first.clone(), &mut Vec::new());
-    assert_eq!(relays.read("b1", &id, Ok(news)).unwrap(), first);
+    relays.reset_baseline("b1", &id);
+    let news = ReportDelta::diff(first.clone(), &mut Vec::new());
+    assert_eq!(relays.decode_report("b1", &id, Ok(news)).unwrap(), first);
     let refused = Err(Unheard::Refused(Reason::Fence));
-    assert!(relays.read("b1", &id, refused).is_err());
+    assert!(relays.decode_report("b1", &id, refused).is_err());
 }
 
 /// Seen with 235 workers on 2 Mbit/s: specifications took more than the owner's link, and quick checks came late by
@@ -483,7 +483,7 @@
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_000);
-    relays.allow_texts(NARROW, is_failing, 1_000);
+    relays.refill_text_budget(NARROW, is_failing, 1_000);
     for number in 0..50 {
         relays.order(
             "b1",
@@ -515,5 +515,5 @@
     };
     assert!(relays.join(&offer, Need::Large, 1).is_some());
     relays.assign(entry("w1"), 1).unwrap();
-    assert!(relays.starts(WIDE) > 0);
+    assert!(relays.start_budget(WIDE) > 0);
 }
