--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -22,7 +22,8 @@
 
 /// The most jobs in one change. Each job takes two conditions and one or two writes.
 const MAX_GROUP: usize = MAX_ENTRIES / 4;
-/// The most attempts to write a group. After a conflict, the jobs that are already stored are removed from it.
+/// The most attempts to write a group. After a conflict, the jobs that are already stored are
+/// removed from it.
 const MAX_ATTEMPTS: usize = 3;
 
 /// A submission that waits to be written, and the channel for its reply.
@@ -39,8 +40,8 @@
     mpsc::channel()
 }
 
-/// Submits a job and waits for the reply. With `may_forward`, a box that cannot reach the store forwards
-/// the job to the owner of the cell.
+/// Submits a job and waits for the reply. With `may_forward`, a box that cannot reach the store
+/// forwards the job to the owner of the cell.
 pub fn submit(node: &Node, submission: Submission, may_forward: bool) -> Reply {
     let reply = submit_locally(node, &submission);
     let Reply::Busy(_) = reply else {
@@ -52,8 +53,8 @@
     peer::pass_on(node, &Ask::Submit(Box::new(submission)), reply)
 }
 
-/// Submits a job through this box. A box that is cut off from the store refuses at once, so that callers do
-/// not wait for an unreachable store.
+/// Submits a job through this box. A box that is cut off from the store refuses at once, so that
+/// callers do not wait for an unreachable store.
 fn submit_locally(node: &Node, submission: &Submission) -> Reply {
     if node.shared.is_cut_off() || node.shared.is_probe_long() {
         return refusal(
@@ -107,8 +108,8 @@
 
 /// Accepts a group of jobs in one change.
 ///
-/// After a failed call, the store is probed before any further write. A write without an answer has an
-/// unknown outcome, while a job that was not sent can be refused with certainty.
+/// After a failed call, the store is probed before any further write. A write without an answer has
+/// an unknown outcome, while a job that was not sent can be refused with certainty.
 fn accept(node: &Node, mut group: Vec<Pending>) {
     if node.shared.is_failing()
         && let Err(failure) = node.shared.probe(&*node.outside.store)
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -93,7 +93,8 @@
         })
     }
 
-    /// The state according to the store, for when there is no owner or the owner has not read the job yet.
+    /// The state according to the store, for when there is no owner or the owner has not read the
+    /// job yet.
     fn stored_state(&self, id: &Id) -> Result<Reply, Failure> {
         let store = &self.outside.store;
         let record = store.get(&keys::state(id))?;
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -1,5 +1,5 @@
-//! Cancellation of jobs: written to the store before it is confirmed, then sent to the owner of the cell
-//! until the owner acknowledges it.
+//! Cancellation of jobs: written to the store before it is confirmed, then sent to the owner of the
+//! cell until the owner acknowledges it.
 
 use {
     crate::{
@@ -31,8 +31,8 @@
     mpsc::channel()
 }
 
-/// Cancels a job. With `may_forward`, a box that cannot reach the store forwards the request to the owner
-/// of the cell.
+/// Cancels a job. With `may_forward`, a box that cannot reach the store forwards the request to the
+/// owner of the cell.
 pub fn cancel(node: &Node, id: &Id, may_forward: bool) -> Reply {
     let reply = cancel_locally(node, id);
     match reply {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Notifies the owner at once of a stored cancellation, since its watch of the store may have stalled.
-/// Without an acknowledgement the notification is queued for retry.
+/// Notifies the owner at once of a stored cancellation, since its watch of the store may have
+/// stalled. Without an acknowledgement the notification is queued for retry.
 fn notify_owner(node: &Node, id: &Id) {
     if notify(node, id) == Delivery::Acknowledged {
         return;
@@ -112,15 +112,15 @@
     }
 }
 
-/// Records a stored cancellation in the cell of this box. False when this box does not own the cell, or has
-/// not read the job yet.
+/// Records a stored cancellation in the cell of this box. False when this box does not own the
+/// cell, or has not read the job yet.
 fn record(node: &Node, id: &Id) -> bool {
     let id = id.clone();
     node.remote.ask(move |core, cx| core.cancelled(cx, &id)) == Ok(true)
 }
 
-/// Handles the notification of another box about a stored cancellation. That box retries until the job is
-/// known here.
+/// Handles the notification of another box about a stored cancellation. That box retries until the
+/// job is known here.
 pub(crate) fn receive(node: &Node, id: &Id) -> Reply {
     if record(node, id) {
         Reply::Cancelled
@@ -131,8 +131,9 @@
 
 /// Retries notifications that the owner has not acknowledged, for as long as the process runs.
 ///
-/// Before each round the owner's key is read, since this box may know no owner yet or a former one. This
-/// costs at most four reads of the store per second, and none while everything is acknowledged.
+/// Before each round the owner's key is read, since this box may know no owner yet or a former one.
+/// This costs at most four reads of the store per second, and none while everything is
+/// acknowledged.
 pub fn run(node: &Node, queue: &Receiver<Id>) {
     let mut pending = Unacknowledged::default();
     loop {
@@ -164,8 +165,8 @@
         self.waiting.push_back((id, now));
     }
 
-    /// Sends each notification once. If the owner is unreachable, the round ends, and the next round starts
-    /// with the cancellations that were not sent.
+    /// Sends each notification once. If the owner is unreachable, the round ends, and the next
+    /// round starts with the cancellations that were not sent.
     fn round(&mut self, now: u64, mut notify: impl FnMut(&Id) -> Delivery) {
         for _ in 0..self.waiting.len() {
             let Some((id, since)) = self.waiting.pop_front() else {
@@ -215,7 +216,8 @@
         sent
     }
 
-    /// A box that accepted a cancellation before it knew any owner must still notify the owner later.
+    /// A box that accepted a cancellation before it knew any owner must still notify the owner
+    /// later.
     #[test]
     fn round_until_acknowledged() {
         let mut pending = pending(1);
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -1,8 +1,9 @@
 //! The task of every box that keeps the operators' configuration up to date.
 //!
-//! A watch of the store delivers changes at once. Since a watch may stall and miss a change, the value is also
-//! read periodically, at an interval that depends on how long a read takes. While heartbeats of the owner state the
-//! newest revision, other boxes read the value only when they do not have that revision.
+//! A watch of the store delivers changes at once. Since a watch may stall and miss a change, the
+//! value is also read periodically, at an interval that depends on how long a read takes. While
+//! heartbeats of the owner state the newest revision, other boxes read the value only when they do
+//! not have that revision.
 
 mod schedule;
 mod staleness;
@@ -57,8 +58,9 @@
 }
 
 impl Follower<'_> {
-    /// How long to wait if a valid heartbeat of the owner states that the known value is the newest. The store is
-    /// probed periodically, so that the box notices when it is cut off from the store.
+    /// How long to wait if a valid heartbeat of the owner states that the known value is the
+    /// newest. The store is probed periodically, so that the box notices when it is cut off from
+    /// the store.
     fn idle_time(&mut self, now: u64) -> Option<Duration> {
         let shared = &self.node.shared;
         if shared.has_cell() || shared.is_config_doubtful() {
@@ -79,8 +81,8 @@
         Some(left.min(PROBE_GAP))
     }
 
-    /// Waits after a failure. The task that watches the owner probes a failing store, except while a valid heartbeat
-    /// keeps it idle; then the store is probed here.
+    /// Waits after a failure. The task that watches the owner probes a failing store, except while
+    /// a valid heartbeat keeps it idle; then the store is probed here.
     fn pause(&self) {
         let shared = &self.node.shared;
         match shared.monitor.fresh(time::now()) {
@@ -133,12 +135,13 @@
     }
 }
 
-/// Verifies that the configuration in force is the newest, if this box was suspended since the last verification:
-/// callers must not be served with an outdated one.
+/// Verifies that the configuration in force is the newest, if this box was suspended since the last
+/// verification: callers must not be served with an outdated one.
 ///
 /// # Errors
 ///
-/// The configuration could not be read, or the box is cut off from the store and the read was not attempted.
+/// The configuration could not be read, or the box is cut off from the store and the read was not
+/// attempted.
 pub fn revalidate(node: &Node) -> Result<(), Failure> {
     if !node.shared.is_config_doubtful() {
         return Ok(());
@@ -159,7 +162,8 @@
     Ok(())
 }
 
-/// Records the revision of a value that was read, and installs the value. `mark` is a time before the read.
+/// Records the revision of a value that was read, and installs the value. `mark` is a time before
+/// the read.
 fn adopt(node: &Node, found: Found, took: u64, mark: Mark) {
     node.shared
         .config_revision
--- a/components/node/src/config/schedule.rs
+++ b/components/node/src/config/schedule.rs
@@ -19,8 +19,8 @@
 pub struct Schedule {
     /// The revision of the value that was read last; 0 for none.
     known: u64,
-    /// The revision of the store at which a read or a change has shown that value to be the newest; 0 if there is
-    /// none to watch from. A watch without a change does not advance it.
+    /// The revision of the store at which a read or a change has shown that value to be the newest;
+    /// 0 if there is none to watch from. A watch without a change does not advance it.
     at: u64,
     /// The time of the next read.
     due: u64,
@@ -35,8 +35,8 @@
         Step::Watch(self.at)
     }
 
-    /// Records that a read that started at `begun` has ended, with or without success. The next read is delayed, so
-    /// that reads take a bounded share of the time and of the link.
+    /// Records that a read that started at `begun` has ended, with or without success. The next
+    /// read is delayed, so that reads take a bounded share of the time and of the link.
     pub fn read_ended(&mut self, begun: u64, now: u64) {
         let shortest = CONFIG_GAP.as_millis() as u64;
         let longest = CONFIG_REST.as_millis() as u64;
@@ -49,8 +49,9 @@
         self.at = at;
     }
 
-    /// Records a value. After a new large value the next call is a read: further values may have been written during
-    /// the transfer, and a watch would transfer each of them, a read only the newest.
+    /// Records a value. After a new large value the next call is a read: further values may have
+    /// been written during the transfer, and a watch would transfer each of them, a read only the
+    /// newest.
     pub fn found(&mut self, found: &Found, now: u64) {
         let is_newer = found.revision > self.known;
         self.known = found.revision;
@@ -70,7 +71,8 @@
         self.due = now;
     }
 
-    /// Records that the store has compacted the history after the known revision, so that a watch cannot continue.
+    /// Records that the store has compacted the history after the known revision, so that a watch
+    /// cannot continue.
     pub fn history_lost(&mut self) {
         self.at = 0;
     }
@@ -109,7 +111,8 @@
         }
     }
 
-    /// The state at 1,000 ms, after a read of 10 ms found a value of revision 5 at revision 7 of the store.
+    /// The state at 1,000 ms, after a read of 10 ms found a value of revision 5 at revision 7 of
+    /// the store.
     fn schedule(bytes: usize) -> Schedule {
         let mut schedule = Schedule::default();
         schedule.read_ended(990, 1_000);
--- a/components/node/src/config/staleness.rs
+++ b/components/node/src/config/staleness.rs
@@ -5,14 +5,15 @@
     kernel::Failure,
 };
 
-/// The number of consecutive failures that is logged as a warning. A single failure needs no action: a pending
-/// watch may be disconnected.
+/// The number of consecutive failures that is logged as a warning. A single failure needs no
+/// action: a pending watch may be disconnected.
 const LOGGED_FAILURES: u32 = 2;
 
 /// Tracks when the configuration in force was last known to be the newest.
 pub struct Staleness<'a> {
     node: &'a Node,
-    /// When the configuration in force was last verified to be the newest; initially the start of the box.
+    /// When the configuration in force was last verified to be the newest; initially the start of
+    /// the box.
     verified: u64,
     /// Failed attempts since then.
     failures: u32,
@@ -39,7 +40,8 @@
         time::now() - self.verified
     }
 
-    /// Records that a read, a watch or a heartbeat has shown the configuration in force to be the newest.
+    /// Records that a read, a watch or a heartbeat has shown the configuration in force to be the
+    /// newest.
     pub fn confirmed(&mut self, took: u64) {
         if self.failures >= LOGGED_FAILURES {
             log::info!(target: "config", version = self.version(), unproven = self.age(), took; "The configuration can be read again.");
--- a/components/node/src/decode.rs
+++ b/components/node/src/decode.rs
@@ -1,5 +1,5 @@
-//! Decoding and validation of submissions and job records from the store, where other programs may have
-//! written invalid values.
+//! Decoding and validation of submissions and job records from the store, where other programs may
+//! have written invalid values.
 
 use {
     crate::{keys, store::Item},
@@ -52,8 +52,8 @@
     Ok(record)
 }
 
-/// The highest run number that is accepted from outside. Run numbers must stay below 2^53, up to which all JSON
-/// readers keep integers exact, and a new owner skips some.
+/// The highest run number that is accepted from outside. Run numbers must stay below 2^53, up to
+/// which all JSON readers keep integers exact, and a new owner skips some.
 pub const MAX_RUN: u64 = 1 << 52;
 
 fn invalid(text: &str) -> Failure {
--- a/components/node/src/job_cache.rs
+++ b/components/node/src/job_cache.rs
@@ -1,18 +1,18 @@
-//! A bounded map from jobs to values with eviction in order of insertion. It records which specification texts a
-//! relay has.
+//! A bounded map from jobs to values with eviction in order of insertion. It records which
+//! specification texts a relay has.
 //!
-//! All tasks of a job have the same specification text, 1 to 4 KB. The owner sends it to a relay once, before the
-//! first order that needs it: with the text in each order, an owner of 144 workers sent 560 KB per second to its
-//! relays, and about 35 KB without. The owner and the relay insert the same jobs in the same order, so both
-//! evict the same cache.
+//! All tasks of a job have the same specification text, 1 to 4 KB. The owner sends it to a relay
+//! once, before the first order that needs it: with the text in each order, an owner of 144 workers
+//! sent 560 KB per second to its relays, and about 35 KB without. The owner and the relay insert
+//! the same jobs in the same order, so both evict the same cache.
 
 use {
     job::Id,
     std::collections::{HashMap, VecDeque},
 };
 
-/// The number of jobs in a cache. A text has at most 4 KB, and a fleet of 900 workers starts 29 jobs per second,
-/// which run for about 10 s.
+/// The number of jobs in a cache. A text has at most 4 KB, and a fleet of 900 workers starts 29
+/// jobs per second, which run for about 10 s.
 pub const CAPACITY: usize = 512;
 
 /// The most recently inserted jobs with a value for each.
--- a/components/node/src/order_queue.rs
+++ b/components/node/src/order_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of orders to one worker, which are sent one at a time and in order.
 //!
-//! A queued stop takes effect at once on a start of the same run that was not sent yet: the start is revoked, since a
-//! cancelled or evicted run would start only to be stopped. The same holds for a start that is withdrawn because its
-//! data hall was closed.
+//! A queued stop takes effect at once on a start of the same run that was not sent yet: the start
+//! is revoked, since a cancelled or evicted run would start only to be stopped. The same holds for
+//! a start that is withdrawn because its data hall was closed.
 
 use {
     crate::settings::START_WAIT,
@@ -162,8 +162,8 @@
         }
     }
 
-    /// A start must not be sent late: one that had waited 1.3 s behind two unanswered orders was sent 1.2 s
-    /// after its task had ended elsewhere. A stop is sent at any time.
+    /// A start must not be sent late: one that had waited 1.3 s behind two unanswered orders was
+    /// sent 1.2 s after its task had ended elsewhere. A stop is sent at any time.
     #[test_case(start(), 0, START_WAIT, false; "start in time")]
     #[test_case(start(), 0, START_WAIT + 1, true; "start too late")]
     #[test_case(start(), 400, START_WAIT - 400, false; "start in time after an exchange")]
@@ -177,7 +177,8 @@
         );
     }
 
-    /// A start from before a suspension of the machine is stale, although the monotonic clock has not advanced.
+    /// A start from before a suspension of the machine is stale, although the monotonic clock has
+    /// not advanced.
     #[test]
     fn is_stale_after_suspension() {
         let queued = QueuedOrder::new(start(), 0, 0, time::now());
--- a/components/node/src/owner_watch.rs
+++ b/components/node/src/owner_watch.rs
@@ -1,4 +1,5 @@
-//! The task of every box that watches which box owns the cell, and claims the cell when it has no owner.
+//! The task of every box that watches which box owns the cell, and claims the cell when it has no
+//! owner.
 
 use {
     crate::{
@@ -15,7 +16,8 @@
     std::{sync::Arc, thread, time::Duration},
 };
 
-/// Watches the owner's key until the box stops, and claims the cell when the key is absent or invalid.
+/// Watches the owner's key until the box stops, and claims the cell when the key is absent or
+/// invalid.
 pub fn run(node: &Node) {
     let store = &node.outside.store;
     while !node.shared.is_stopping() {
@@ -58,7 +60,8 @@
     }
 }
 
-/// How long the owner's key need not be read, because a recent heartbeat of the owner is still valid.
+/// How long the owner's key need not be read, because a recent heartbeat of the owner is still
+/// valid.
 fn idle_time(node: &Node) -> Option<Duration> {
     if node.shared.has_cell() {
         return None;
@@ -67,8 +70,8 @@
     Some(left)
 }
 
-/// Reads the owner's key once, for a box whose owner does not answer or has dismissed it as a relay. The watch may
-/// have stalled, and a new owner needs its relays at once.
+/// Reads the owner's key once, for a box whose owner does not answer or has dismissed it as a
+/// relay. The watch may have stalled, and a new owner needs its relays at once.
 pub fn refresh(node: &Node) {
     match node.outside.store.get(&keys::owner(CELL)) {
         Ok(Some(item)) => record(node, &item),
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -1,8 +1,9 @@
 //! The relay task: this box polls workers and sends them orders on behalf of the owner of the cell.
 //!
-//! Polls and orders take most of an owner's processor time, and placement little. With many workers the owner
-//! delegates the communication to strong boxes and keeps the decisions, so that placement still considers the
-//! whole fleet. In each exchange the relay delivers results from workers and receives new commands.
+//! Polls and orders take most of an owner's processor time, and placement little. With many workers
+//! the owner delegates the communication to strong boxes and keeps the decisions, so that placement
+//! still considers the whole fleet. In each exchange the relay delivers results from workers and
+//! receives new commands.
 
 use {
     crate::{
@@ -57,7 +58,8 @@
 #[derive(Default)]
 struct Results {
     queue: Vec<Heard>,
-    /// The last list of runs that was queued for each assigned worker, to which its next report is the difference.
+    /// The last list of runs that was queued for each assigned worker, to which its next report is
+    /// the difference.
     baselines: HashMap<Arc<str>, Vec<Run>>,
 }
 
@@ -131,9 +133,9 @@
 }
 
 impl OwnerRefresh {
-    /// Reads the owner's key, unless the last read was a short time ago. All boxes of a fleet notice the loss of an owner
-    /// at once. If each of them read the key at every attempt, the load on the store would delay the box that claims
-    /// the cell. The time between reads is randomised.
+    /// Reads the owner's key, unless the last read was a short time ago. All boxes of a fleet
+    /// notice the loss of an owner at once. If each of them read the key at every attempt, the load
+    /// on the store would delay the box that claims the cell. The time between reads is randomised.
     fn request(&mut self, node: &Node, is_relay: bool) {
         let now = time::now();
         if now < self.not_before {
@@ -155,8 +157,8 @@
     node.client.post_encoded(&url, &body, RELAY_TIME)
 }
 
-/// Carries out a duty, in a new session if the owner has started one. Returns the session; `None` if the owner does
-/// not need this box.
+/// Carries out a duty, in a new session if the owner has started one. Returns the session; `None`
+/// if the owner does not need this box.
 fn accept_duty(
     node: &Node,
     owner: &Owner,
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Carries out the commands of a duty, unless it is a repetition. The exchange with the owner began at `asked`.
+    /// Carries out the commands of a duty, unless it is a repetition. The exchange with the owner
+    /// began at `asked`.
     fn carry_out(&mut self, node: &Node, duty: Duty, asked: u64) {
         self.pause = Duration::from_millis(duty.pause);
         if duty.batch <= self.last_duty {
@@ -255,8 +258,9 @@
         }
     }
 
-    /// Queues an order of this age, in milliseconds, to the task of its worker. Without such a task the order is answered
-    /// as not sent, since the owner counts it as in flight until it is answered.
+    /// Queues an order of this age, in milliseconds, to the task of its worker. Without such a task
+    /// the order is answered as not sent, since the owner counts it as in flight until it is
+    /// answered.
     fn order(&self, id: &Arc<str>, number: u64, order: Order, age: u64) {
         let queued = QueuedOrder::new(order, number, age, time::now());
         let queues = self.workers.get(id);
@@ -356,7 +360,8 @@
 mod tests {
     use {super::*, cell::Key, job::Address};
 
-    /// An order without an answer would count as in flight forever, and the owner would consider the relay busy.
+    /// An order without an answer would count as in flight forever, and the owner would consider
+    /// the relay busy.
     #[test]
     fn order_without_worker_task_is_refused() {
         let session = Session::new(&Duty::default());
--- a/components/node/src/relays/idle_offers.rs
+++ b/components/node/src/relays/idle_offers.rs
@@ -19,9 +19,9 @@
 }
 
 impl IdleOffers {
-    /// The time until the next offer of a box, in milliseconds. It grows with the number of boxes, so that offers take a
-    /// bounded share of the owner's processor time. It is the shortest allowed unless `all_assigned`, that is while
-    /// workers wait for a relay.
+    /// The time until the next offer of a box, in milliseconds. It grows with the number of boxes,
+    /// so that offers take a bounded share of the owner's processor time. It is the shortest
+    /// allowed unless `all_assigned`, that is while workers wait for a relay.
     pub fn pause(&mut self, name: &str, all_assigned: bool, now: u64) -> u64 {
         if now >= self.since + COUNT_WINDOW {
             self.counted = self.names.len();
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -1,4 +1,5 @@
-//! The owner's registry of relays: which box talks to which worker, and the commands and orders in flight.
+//! The owner's registry of relays: which box talks to which worker, and the commands and orders in
+//! flight.
 
 mod idle_offers;
 mod relay;
@@ -26,20 +27,21 @@
 
 /// A box with at least this share of a core, in thousandths, is preferred as a relay.
 const STRONG_SHARE: u32 = 300;
-/// A relay without an offer for this long, in milliseconds, is removed. Exchanges are 25 ms apart, and leases of
-/// workers of 4.5 s leave enough time for another relay to take over.
+/// A relay without an offer for this long, in milliseconds, is removed. Exchanges are 25 ms apart,
+/// and leases of workers of 4.5 s leave enough time for another relay to take over.
 const RELAY_TIMEOUT: u64 = 1_200;
-/// Checks for expired relays are 100 ms apart. After a gap longer than this, in milliseconds, the owner itself was
-/// delayed.
+/// Checks for expired relays are 100 ms apart. After a gap longer than this, in milliseconds, the
+/// owner itself was delayed.
 const MAX_CHECK_GAP: u64 = 400;
-/// After this time, in milliseconds, a worker may be assigned to a weak box of another hall: boxes of its own hall make
-/// offers every 0.4 s.
+/// After this time, in milliseconds, a worker may be assigned to a weak box of another hall: boxes
+/// of its own hall make offers every 0.4 s.
 const REMOTE_HALL_DELAY: u64 = 900;
-/// After this time, in milliseconds, the owner itself talks to a worker that no relay has capacity for: boxes make
-/// offers every 0.4 s.
+/// After this time, in milliseconds, the owner itself talks to a worker that no relay has capacity
+/// for: boxes make offers every 0.4 s.
 const UNASSIGNED_TIMEOUT: u64 = 1_500;
 
-/// Overhead of an exchange on the owner's link, in bytes each way: headers of HTTP and of the messages.
+/// Overhead of an exchange on the owner's link, in bytes each way: headers of HTTP and of the
+/// messages.
 const EXCHANGE_BYTES: u64 = 250;
 /// The overhead may take one part in this many of the owner's link.
 const EXCHANGE_FRACTION: u64 = 8;
@@ -51,7 +53,8 @@
     None,
     /// The cell is large.
     Large,
-    /// The cell is large, and the owner talks to some workers itself because the relays lack capacity.
+    /// The cell is large, and the owner talks to some workers itself because the relays lack
+    /// capacity.
     Short,
 }
 
@@ -75,14 +78,15 @@
     idle_offers: IdleOffers,
 }
 
-/// The highest link capacity that is accepted from an offer, in bytes per millisecond: 100 Gbit/s. It keeps
-/// calculations with invalid offers from overflowing.
+/// The highest link capacity that is accepted from an offer, in bytes per millisecond: 100 Gbit/s.
+/// It keeps calculations with invalid offers from overflowing.
 const MAX_LINK: u64 = 12_500_000;
 
 impl Relays {
-    /// Assigns a worker, which has waited since the time `since`, to a relay and returns the relay's name. Relays of
-    /// the worker's data hall are preferred, since each start, poll and report would cross halls otherwise; among
-    /// these, the least loaded. `None` if all are full; then the worker waits until one has capacity.
+    /// Assigns a worker, which has waited since the time `since`, to a relay and returns the
+    /// relay's name. Relays of the worker's data hall are preferred, since each start, poll and
+    /// report would cross halls otherwise; among these, the least loaded. `None` if all are full;
+    /// then the worker waits until one has capacity.
     pub fn assign(&mut self, entry: Entry, since: u64) -> Option<Arc<str>> {
         let candidates = self.by_name.iter_mut();
         let candidates = candidates.filter(|(_, relay)| relay.has_capacity());
@@ -147,7 +151,8 @@
         }
     }
 
-    /// Removes and returns the order that a relay has answered, with its worker; `None` if it was answered before.
+    /// Removes and returns the order that a relay has answered, with its worker; `None` if it was
+    /// answered before.
     pub fn complete_order(&mut self, name: &str, number: u64) -> Option<(Arc<str>, Order)> {
         let (id, order) = self.orders.remove(&number)?;
         if let Some(relay) = self.by_name.get_mut(name) {
@@ -156,8 +161,9 @@
         Some((id, order))
     }
 
-    /// The number of further starts that the owner, with this link, may decide. Work beyond the capacity of the
-    /// links stays in the scheduler's queue, since on the wire more urgent work could not overtake it.
+    /// The number of further starts that the owner, with this link, may decide. Work beyond the
+    /// capacity of the links stays in the scheduler's queue, since on the wire more urgent work
+    /// could not overtake it.
     pub fn start_budget(&self, link: u64) -> usize {
         let unacked: usize = self.by_name.values().map(|relay| relay.unacked_bytes).sum();
         let room = ((link * AHEAD) as usize).saturating_sub(unacked);
@@ -170,8 +176,8 @@
         by_owner.min(by_relays)
     }
 
-    /// Refills the budget for specification texts, for an owner with this link. It is unlimited while the store, from
-    /// which relays would read the texts otherwise, fails.
+    /// Refills the budget for specification texts, for an owner with this link. It is unlimited
+    /// while the store, from which relays would read the texts otherwise, fails.
     pub fn refill_text_budget(&mut self, link: u64, is_failing: bool, now: u64) {
         self.text_budget.refill(link, now);
         self.text_budget.is_unlimited = is_failing;
@@ -184,8 +190,8 @@
             .collect()
     }
 
-    /// Restores the full report of a worker from the difference that a relay sent. All differences of a relay have to
-    /// be passed in, in order.
+    /// Restores the full report of a worker from the difference that a relay sent. All differences
+    /// of a relay have to be passed in, in order.
     pub fn decode_report(
         &mut self,
         name: &str,
@@ -200,7 +206,8 @@
         Ok(delta.apply(list))
     }
 
-    /// Discards the previous report of a worker that the relay has released: the next one is complete.
+    /// Discards the previous report of a worker that the relay has released: the next one is
+    /// complete.
     pub fn reset_baseline(&mut self, name: &str, id: &Arc<str>) {
         if let Some(relay) = self.by_name.get_mut(name) {
             relay.baselines.remove(id);
@@ -220,7 +227,8 @@
         self.orders.retain(|_, (worker, _)| worker != id);
     }
 
-    /// Records the offer of a relay. True if it belongs to the current session and was not processed before.
+    /// Records the offer of a relay. True if it belongs to the current session and was not
+    /// processed before.
     pub fn accept_offer(&mut self, offer: &Offer, now: u64) -> bool {
         let Some(relay) = self.by_name.get_mut(&offer.name) else {
             return false;
@@ -238,9 +246,10 @@
         is_new
     }
 
-    /// Adds a box as a relay if it is needed: a strong box whenever the cell is large; a weak box while a worker of
-    /// its hall has no relay, or a worker of any hall has had none for long, or the owner talks to some itself.
-    /// Returns the workers of its former session, which have to be assigned again; `None` if nothing has changed.
+    /// Adds a box as a relay if it is needed: a strong box whenever the cell is large; a weak box
+    /// while a worker of its hall has no relay, or a worker of any hall has had none for long, or
+    /// the owner talks to some itself. Returns the workers of its former session, which have to be
+    /// assigned again; `None` if nothing has changed.
     pub fn join(&mut self, offer: &Offer, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
         let former = match self.by_name.get(&offer.name) {
             Some(relay) if relay.session == offer.session => return None,
@@ -286,8 +295,8 @@
         waiting.any(|(entry, since)| entry.hall == offer.hall || now >= since + REMOTE_HALL_DELAY)
     }
 
-    /// The time that relays wait between two exchanges with an owner of this link, in milliseconds. It bounds the
-    /// share of the link that the overhead of all exchanges takes.
+    /// The time that relays wait between two exchanges with an owner of this link, in milliseconds.
+    /// It bounds the share of the link that the overhead of all exchanges takes.
     pub fn exchange_interval(&self, link: u64) -> u64 {
         let least = RELAY_BUSY.as_millis() as u64;
         let count = self.by_name.len() as u64;
@@ -295,7 +304,8 @@
         interval.clamp(least, RELAY_SLOW)
     }
 
-    /// The next message to a box, from an owner with this link. A relay receives unacknowledged commands again.
+    /// The next message to a box, from an owner with this link. A relay receives unacknowledged
+    /// commands again.
     pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> Duty {
         let interval = self.exchange_interval(link);
         let Some(relay) = self.by_name.get_mut(name) else {
@@ -323,8 +333,8 @@
 
     /// Removes the relays that have been unreachable for too long, and returns their workers.
     ///
-    /// After a delay of the owner itself no relay is removed, since the owner has not yet read the offers that arrived
-    /// in the meantime.
+    /// After a delay of the owner itself no relay is removed, since the owner has not yet read the
+    /// offers that arrived in the meantime.
     pub fn expire_silent(&mut self, now: u64) -> Vec<Arc<str>> {
         let is_late = now > self.last_check + MAX_CHECK_GAP;
         self.last_check = now;
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -14,14 +14,15 @@
     },
 };
 
-/// Bytes of a start in a message to a relay, without the text: 35 to 70, depending on checkpoint and ticket.
+/// Bytes of a start in a message to a relay, without the text: 35 to 70, depending on checkpoint
+/// and ticket.
 pub(super) const START_BYTES: usize = 60;
 /// Bytes of a worker in a message to a relay.
 pub(super) const WORKER_BYTES: usize = 120;
 /// Bytes of a typical specification text; the maximum is 4,000.
 pub(super) const TEXT_BYTES: usize = 1_200;
-/// Bytes of a start in a request to its worker, without the text: HTTP headers, and the names and punctuation of
-/// the body.
+/// Bytes of a start in a request to its worker, without the text: HTTP headers, and the names and
+/// punctuation of the body.
 pub(super) const REQUEST_BYTES: usize = 330;
 
 /// One relay.
@@ -82,7 +83,8 @@
         self.next.push(command);
     }
 
-    /// Queues a start. Consecutive starts of one job that were decided at the same time share one command.
+    /// Queues a start. Consecutive starts of one job that were decided at the same time share one
+    /// command.
     pub fn start(&mut self, worker: &Arc<str>, number: u64, now: u64, start: &Start) {
         let begin = Begin::new(worker.clone(), number, start);
         let job = &start.key.job;
@@ -97,8 +99,8 @@
         self.push(Command::Starts(job.clone(), now, vec![begin]));
     }
 
-    /// Queues the specification text for a start, unless it was sent before. Beyond the budget the text is left out,
-    /// and the relay reads it from the store.
+    /// Queues the specification text for a start, unless it was sent before. Beyond the budget the
+    /// text is left out, and the relay reads it from the store.
     pub fn send_text(&mut self, start: &Start, budget: &mut TextBudget) {
         let job = &start.key.job;
         if self.texts.get(job).is_some() {
@@ -120,7 +122,8 @@
     }
 }
 
-/// Bytes of a command in a message to a relay. Only texts, starts and workers count, which are most of the traffic.
+/// Bytes of a command in a message to a relay. Only texts, starts and workers count, which are most
+/// of the traffic.
 pub(super) fn command_bytes(command: &Command) -> usize {
     match command {
         Command::Text(_, text) => text.as_ref().map_or(0, |text| text.len()),
--- a/components/node/src/relays/text_budget.rs
+++ b/components/node/src/relays/text_budget.rs
@@ -5,9 +5,10 @@
 /// Texts may take one part in this many of the owner's link.
 const LINK_FRACTION: u64 = 4;
 
-/// A token bucket for the texts that the owner sends to relays. With many relays and large texts they would be most
-/// of the owner's traffic (480 of 610 KB per second, for 17 jobs per second of 2.4 KB and 12 relays), while relays can
-/// read them from the store, which has a fast link. While the store fails, the owner sends all texts.
+/// A token bucket for the texts that the owner sends to relays. With many relays and large texts
+/// they would be most of the owner's traffic (480 of 610 KB per second, for 17 jobs per second of
+/// 2.4 KB and 12 relays), while relays can read them from the store, which has a fast link. While
+/// the store fails, the owner sends all texts.
 #[derive(Default)]
 pub(super) struct TextBudget {
     /// Bytes that may be sent.
--- a/components/node/src/report_delta.rs
+++ b/components/node/src/report_delta.rs
@@ -1,9 +1,10 @@
 //! Delta encoding of worker reports between a relay and the owner.
 //!
-//! A worker lists all its runs in each report, twice a second and whenever a run ends, and most of the list is
-//! unchanged. A run that continues is encoded as its index in the previous list and its load figure (processor use or
-//! tail latency), which takes 5 bytes instead of 55. With full lists, an owner of 144 workers received 190 KB of reports per second from its
-//! relays, while a link of 2 Mbit/s carries 250 KB per second.
+//! A worker lists all its runs in each report, twice a second and whenever a run ends, and most of
+//! the list is unchanged. A run that continues is encoded as its index in the previous list and its
+//! load figure (processor use or tail latency), which takes 5 bytes instead of 55. With full lists,
+//! an owner of 144 workers received 190 KB of reports per second from its relays, while a link of 2
+//! Mbit/s carries 250 KB per second.
 
 use {
     cell::{End, Report, Run},
@@ -24,8 +25,8 @@
 }
 
 impl ReportDelta {
-    /// Encodes a report as the difference to the previous list, and replaces that list by the new one: first the
-    /// unchanged runs, then the others.
+    /// Encodes a report as the difference to the previous list, and replaces that list by the new
+    /// one: first the unchanged runs, then the others.
     pub fn diff(report: Report, previous: &mut Vec<Run>) -> Self {
         let mut kept = Vec::new();
         let mut fresh = Vec::new();
--- a/components/node/src/retry_after.rs
+++ b/components/node/src/retry_after.rs
@@ -1,8 +1,9 @@
 //! The retry delay that is sent to refused callers (the `Retry-After` header).
 //!
-//! Callers time out a few seconds after their first attempt, so an early retry is best for them while the
-//! boxes have capacity for all retries. Only when a box refused more callers within a second than it can
-//! handle in one are the retries spread over the following seconds, with less urgent queues later.
+//! Callers time out a few seconds after their first attempt, so an early retry is best for them
+//! while the boxes have capacity for all retries. Only when a box refused more callers within a
+//! second than it can handle in one are the retries spread over the following seconds, with less
+//! urgent queues later.
 
 use {kernel::sync::lock, std::sync::Mutex};
 
@@ -10,8 +11,8 @@
 pub const MIN_RETRY_AFTER: u64 = 1;
 /// The longest delay, in seconds: on known deployments callers time out after 3 s in total.
 const MAX_RETRY_AFTER: u64 = 3;
-/// Retries that a box can handle per second. It writes groups of ten jobs in about 10 ms each, and shares
-/// 400 writes per second with up to nine other boxes.
+/// Retries that a box can handle per second. It writes groups of ten jobs in about 10 ms each, and
+/// shares 400 writes per second with up to nine other boxes.
 const RETRIES_PER_SECOND: u64 = 200;
 
 /// Computes retry delays from the rate of refusals.
@@ -22,8 +23,8 @@
 }
 
 impl RetryAfter {
-    /// Counts a refusal at the time `now`, in milliseconds. Returns the retry delay in seconds for a caller
-    /// whose queue has this priority; 0 is the most urgent.
+    /// Counts a refusal at the time `now`, in milliseconds. Returns the retry delay in seconds for
+    /// a caller whose queue has this priority; 0 is the most urgent.
     pub fn record_refusal(&self, now: u64, priority: u32) -> u64 {
         let second = now / 1_000;
         let mut refused = lock(&self.refused);
--- a/components/node/src/spec_text.rs
+++ b/components/node/src/spec_text.rs
@@ -1,9 +1,9 @@
 //! Storage of the specification texts of jobs, and a cache of texts read from the store.
 //!
-//! On slow links a job is stored as two values: the part that placement needs, which the owner receives for every
-//! job and a new owner reads for all jobs; and the specification text, which only senders of start orders need.
-//! With the texts included, an owner of 235 workers received 85 KB of jobs per second, and a new owner read 1 MB
-//! in 5 s, while its lease expired after 2 s.
+//! On slow links a job is stored as two values: the part that placement needs, which the owner
+//! receives for every job and a new owner reads for all jobs; and the specification text, which
+//! only senders of start orders need. With the texts included, an owner of 235 workers received 85
+//! KB of jobs per second, and a new owner read 1 MB in 5 s, while its lease expired after 2 s.
 
 use {
     crate::{
@@ -27,7 +27,8 @@
 }
 
 impl SpecCache {
-    /// The specification text of a job. Concurrent calls for the same job share one read of the store.
+    /// The specification text of a job. Concurrent calls for the same job share one read of the
+    /// store.
     ///
     /// # Errors
     ///
@@ -52,8 +53,8 @@
     }
 }
 
-/// Reads a specification text, which is stored under its own key or within the submission. Every relay reads it
-/// separately. Since it never changes, the cheaper stale reads are tried first.
+/// Reads a specification text, which is stored under its own key or within the submission. Every
+/// relay reads it separately. Since it never changes, the cheaper stale reads are tried first.
 fn read(store: &dyn Store, job: &Id) -> Result<Arc<str>, Failure> {
     if let Some(item) = store.get_stale(&keys::text(job))? {
         return wire::decode(&item.value);
@@ -74,8 +75,8 @@
     Ok(submission.spec.text)
 }
 
-/// The submission as it is sent to the owner by a box with these settings. On a slow link the specification text
-/// is empty and has to be read from the store on demand.
+/// The submission as it is sent to the owner by a box with these settings. On a slow link the
+/// specification text is empty and has to be read from the store on demand.
 pub fn for_owner(settings: &Settings, submission: &Submission) -> Submission {
     let mut sent = submission.clone();
     if settings.is_narrow() {
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Twenty relays read the same text. With consistent reads only, this would cost 200 tenths of a call.
+    /// Twenty relays read the same text. With consistent reads only, this would cost 200 tenths of
+    /// a call.
     #[test_case(false, 20; "stale reads have it")]
     #[test_case(true, 240; "stale reads miss it")]
     fn text_read_cost(lags: bool, cost: u32) {
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -1,8 +1,8 @@
 //! Overload of a cell whose relays have slow links, on a simulated clock.
 //!
-//! The cell and the registry of relays are the real ones; links and workers are simulated. Each link carries a fixed
-//! number of bytes per millisecond, one transfer after the other, and a start that waited for longer than
-//! [`START_WAIT`] is not sent.
+//! The cell and the registry of relays are the real ones; links and workers are simulated. Each
+//! link carries a fixed number of bytes per millisecond, one transfer after the other, and a start
+//! that waited for longer than [`START_WAIT`] is not sent.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -22,7 +22,8 @@
 const LINK: u64 = 250;
 const RELAYS: usize = 2;
 const WORKERS: usize = 24;
-/// Tasks of a job, and the run time of each in milliseconds: short, so that only the links limit the rate.
+/// Tasks of a job, and the run time of each in milliseconds: short, so that only the links limit
+/// the rate.
 const TASKS: u32 = 4;
 const RUN_TIME: u64 = 50;
 /// Bytes of a specification text, and of the rest of a request that sends a start.
@@ -289,7 +290,8 @@
         }
     }
 
-    /// Submits jobs at this rate, in starts per second, and returns the number of tasks completed per second.
+    /// Submits jobs at this rate, in starts per second, and returns the number of tasks completed
+    /// per second.
     fn run(&mut self, rate: u64) -> u64 {
         let until = self.now + DURATION;
         let (mut jobs, begun) = (0, self.now);
@@ -310,9 +312,10 @@
     }
 }
 
-/// Work beyond the capacity of the links waits in the queue, and few starts are too late. At four times the capacity
-/// and without a limit on the starts that are decided, 45,324 were too late and 2,114 done in these 10 s; limited by
-/// the owner's link only, 2,496 and 2,773; limited by the links of the relays as well, 0 and 3,278.
+/// Work beyond the capacity of the links waits in the queue, and few starts are too late. At four
+/// times the capacity and without a limit on the starts that are decided, 45,324 were too late and
+/// 2,114 done in these 10 s; limited by the owner's link only, 2,496 and 2,773; limited by the
+/// links of the relays as well, 0 and 3,278.
 #[test]
 fn run_at_four_times_the_capacity() {
     let mut done = Vec::new();
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -1,4 +1,5 @@
-//! The owner's registry of relays: assignment of workers, repeated messages, and limits by capacity and link.
+//! The owner's registry of relays: assignment of workers, repeated messages, and limits by capacity
+//! and link.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -192,7 +193,8 @@
     );
 }
 
-/// An owner that a burst of load delayed by seconds must not remove its relays: it has not read their offers yet.
+/// An owner that a burst of load delayed by seconds must not remove its relays: it has not read
+/// their offers yet.
 #[test]
 fn expire_silent_after_delay_of_owner() {
     let (mut relays, offer) = joined();
@@ -206,8 +208,8 @@
     assert_eq!(relays.expire_silent(3_800), ["w1".into()]);
 }
 
-/// Attempts to assign a waiting worker must not restart its waiting time; otherwise it never becomes overdue, and
-/// neither a relay nor the owner talks to it.
+/// Attempts to assign a waiting worker must not restart its waiting time; otherwise it never
+/// becomes overdue, and neither a relay nor the owner talks to it.
 #[test]
 fn take_overdue_after_attempts() {
     let mut relays = Relays::default();
@@ -310,7 +312,8 @@
     ));
 }
 
-/// Relays of the data hall of the worker come first: each start, poll and report would cross halls twice otherwise.
+/// Relays of the data hall of the worker come first: each start, poll and report would cross halls
+/// twice otherwise.
 #[test]
 fn assign_prefers_own_hall() {
     let mut relays = Relays::default();
@@ -337,8 +340,8 @@
     assert_eq!(assigned.count(), 20);
 }
 
-/// Weak boxes join for workers of their own hall first: each further relay costs the owner exchanges and a text per
-/// job.
+/// Weak boxes join for workers of their own hall first: each further relay costs the owner
+/// exchanges and a text per job.
 #[test]
 fn join_of_weak_box_for_its_hall() {
     let mut relays = Relays::default();
@@ -352,8 +355,8 @@
     assert!(other.join(&remote, Need::Large, 1_000).is_some());
 }
 
-/// A weak box joins while the owner talks to workers itself. Otherwise, as happened with 18 weak boxes, the owner keeps
-/// the workers that were added while all relays were full.
+/// A weak box joins while the owner talks to workers itself. Otherwise, as happened with 18 weak
+/// boxes, the owner keeps the workers that were added while all relays were full.
 #[test]
 fn join_of_weak_box_for_workers_of_owner() {
     let mut relays = Relays::default();
@@ -456,7 +459,8 @@
     }
 }
 
-/// Differences between reports are restored to full reports, and the first one after a release is complete.
+/// Differences between reports are restored to full reports, and the first one after a release is
+/// complete.
 #[test]
 fn decode_report_restores_reports() {
     let (mut relays, _) = joined();
@@ -475,8 +479,9 @@
     assert!(relays.decode_report("b1", &id, refused).is_err());
 }
 
-/// Specification texts take a bounded share of the owner's link, and relays read the others from the store. Without
-/// the bound, with 235 workers on 2 Mbit/s, the texts exceeded the link and short checks were seconds late.
+/// Specification texts take a bounded share of the owner's link, and relays read the others from
+/// the store. Without the bound, with 235 workers on 2 Mbit/s, the texts exceeded the link and
+/// short checks were seconds late.
 #[test_case(false, 15; "the store answers")]
 #[test_case(true, 50; "the store fails")]
 fn texts_limited_by_budget(is_failing: bool, sent: usize) {
