--- a/programs/box/src/main.rs
+++ b/programs/box/src/main.rs
@@ -27,7 +27,7 @@
         age: KEPT_FOR,
     };
     let client = Client::with_limits(None, limits);
-    let outside = platform::outside(&client, setup.store, setup.advisor, setup.machines);
+    let outside = platform::adapters(&client, setup.store, setup.advisor, setup.machines);
     let running = daemon::started(node::core::start(setup.node.clone(), outside, client));
     daemon::started(traffic::tell());
     let ports = daemon::started(ports::open(&setup, &running.node));
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -91,7 +91,7 @@
             Some(request)
         }),
         handler: Arc::new(move |request| {
-            let reply = callers::answer(&node, &request);
+            let reply = callers::handle(&node, &request);
             request.respond(reply);
             busy.fetch_sub(1, Ordering::AcqRel);
         }),
