--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -5,9 +5,9 @@
         callers::Reply,
         core::Node,
         fetch, keys,
-        message::Ask,
+        message::PeerRequest,
         peer,
-        store::{Applied, Change, MAX_ENTRIES},
+        store::{ApplyResult, Change, MAX_ENTRIES},
         time,
     },
     job::{Id, Submission},
@@ -47,13 +47,13 @@
     if !may_pass {
         return reply;
     }
-    peer::pass_on(node, &Ask::Submit(Box::new(submission)), reply)
+    peer::forward(node, &PeerRequest::Submit(Box::new(submission)), reply)
 }
 
 /// Hands a job to the accepting task. A box that is cut off from the store sends nothing and says
 /// so at once, instead of letting callers wait for a silent store.
 fn submit_here(node: &Node, submission: &Submission) -> Reply {
-    if node.shared.is_cut_off() || node.shared.is_probe_long() {
+    if node.shared.is_store_unreachable() || node.shared.is_probe_slow() {
         return refusal(
             node,
             submission,
@@ -108,8 +108,8 @@
 /// Once the store has failed this box, no write leaves until a read has come back: a write without an
 /// answer leaves the caller unsure, while without one the refusal is a true "not run".
 fn accept(node: &Node, mut group: Vec<Knock>) {
-    if node.shared.is_failing()
-        && let Err(failure) = node.shared.probe(&*node.outside.store)
+    if node.shared.is_store_failing()
+        && let Err(failure) = node.shared.probe(&*node.external.store)
     {
         refuse(node, &group, &format!("nothing was sent: {failure}"));
         return;
@@ -118,14 +118,14 @@
         if group.is_empty() {
             return;
         }
-        match node.outside.store.apply(&change_of(node, &group)) {
-            Ok(Applied::Done(revision)) => {
+        match node.external.store.apply(&change_of(node, &group)) {
+            Ok(ApplyResult::Done(revision)) => {
                 for knock in &group {
                     confirm(node, knock, revision);
                 }
                 return;
             }
-            Ok(Applied::Conflict(items)) => {
+            Ok(ApplyResult::Conflict(items)) => {
                 let taken: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
                 group.retain(|knock| {
                     let id = &knock.submission.id;
@@ -137,7 +137,7 @@
                     !stands
                 });
             }
-            Ok(Applied::NoLease) => break,
+            Ok(ApplyResult::NoLease) => break,
             Err(failure) if failure.verdict == Verdict::NotRun => {
                 refuse(node, &group, &failure.to_string());
                 return;
@@ -171,7 +171,7 @@
     answer(knock, Reply::Accepted);
     let submission = fetch::heard(&node.settings, &knock.submission);
     node.remote
-        .tell(move |core, cx| core.accepted(cx, submission));
+        .tell(move |core, cx| core.handle_accepted(cx, submission));
 }
 
 fn refuse(node: &Node, group: &[Knock], cause: &str) {
@@ -184,9 +184,9 @@
 fn settle(node: &Node, group: &[Knock]) {
     for knock in group {
         let id = &knock.submission.id;
-        let stands = match node.shared.is_cut_off() {
+        let stands = match node.shared.is_store_unreachable() {
             true => None,
-            false => node.outside.store.get(&keys::job(id)).ok().flatten(),
+            false => node.external.store.get(&keys::job(id)).ok().flatten(),
         };
         log::warn!(target: "accept", job = id.as_str(), stands = stands.is_some(); "The write of a job has no answer.");
         match stands {
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -6,7 +6,7 @@
         comeback::SOONEST,
         core::Node,
         kept, keys,
-        message::{Ask, Told},
+        message::{PeerRequest, PeerResponse},
         peer,
     },
     job::{Id, Queue, Spec, State, Submission},
@@ -83,7 +83,9 @@
         if let Ok(Some(state)) = self.remote.ask(move |core, _| core.state(&own)) {
             return Reply::State(state);
         }
-        if let Some(Told::State(Some(state))) = peer::ask_owner(self, &Ask::State(id.clone())) {
+        if let Some(PeerResponse::State(Some(state))) =
+            peer::call_owner(self, &PeerRequest::State(id.clone()))
+        {
             return Reply::State(state);
         }
         self.kept_state(id).unwrap_or_else(|failure| {
@@ -94,7 +96,7 @@
 
     /// The state as the store has it, for when there is no owner or it does not know the job yet.
     fn kept_state(&self, id: &Id) -> Result<Reply, Failure> {
-        let store = &self.outside.store;
+        let store = &self.external.store;
         let record = store.get(&keys::state(id))?;
         if let Some(item) = &record {
             let record = kept::record(item)?;
@@ -119,11 +121,11 @@
     }
 
     fn waiting(&self, queue: &Arc<Queue>) -> Reply {
-        if let Ok(Some(waiting)) = peer::waiting(self, queue.name.clone()) {
+        if let Ok(Some(waiting)) = peer::queue_length(self, queue.name.clone()) {
             return Reply::Waiting(waiting);
         }
-        match peer::ask_owner(self, &Ask::Waiting(queue.name.clone())) {
-            Some(Told::Waiting(Some(waiting))) => Reply::Waiting(waiting),
+        match peer::call_owner(self, &PeerRequest::Waiting(queue.name.clone())) {
+            Some(PeerResponse::Waiting(Some(waiting))) => Reply::Waiting(waiting),
             _ => Reply::Busy(SOONEST),
         }
     }
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -8,10 +8,10 @@
         follow,
         group::put,
         keys,
-        message::{Ask, Told},
+        message::{PeerRequest, PeerResponse},
         peer,
-        settings::{TELL_FOR, TELL_GAP},
-        store::{Applied, Change},
+        settings::{NOTIFY_INTERVAL, NOTIFY_TIMEOUT_MS},
+        store::{ApplyResult, Change},
         time,
     },
     job::Id,
@@ -36,16 +36,16 @@
 pub fn cancel(node: &Node, id: &Id, may_pass: bool) -> Reply {
     let reply = cancel_here(node, id);
     match reply {
-        Reply::Busy(_) if may_pass => peer::pass_on(node, &Ask::Cancel(id.clone()), reply),
+        Reply::Busy(_) if may_pass => peer::forward(node, &PeerRequest::Cancel(id.clone()), reply),
         _ => reply,
     }
 }
 
 fn cancel_here(node: &Node, id: &Id) -> Reply {
-    if node.shared.is_cut_off() {
+    if node.shared.is_store_unreachable() {
         return Reply::Busy(SOONEST);
     }
-    let store = &node.outside.store;
+    let store = &node.external.store;
     let job = match store.get(&keys::job(id)) {
         Ok(Some(item)) => item,
         Ok(None) => return cancel_ended(node, id),
@@ -57,13 +57,13 @@
         remove: Vec::new(),
     };
     match store.apply(&change) {
-        Ok(Applied::Done(_)) => {
+        Ok(ApplyResult::Done(_)) => {
             log::info!(target: "cancel", job = id.as_str(); "A job is cancelled.");
             tell_owner(node, id);
             Reply::Cancelled
         }
-        Ok(Applied::Conflict(_)) => cancel_ended(node, id),
-        Ok(Applied::NoLease) => Reply::Unsure,
+        Ok(ApplyResult::Conflict(_)) => cancel_ended(node, id),
+        Ok(ApplyResult::NoLease) => Reply::Unsure,
         Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(SOONEST),
         Err(_) => Reply::Unsure,
     }
@@ -71,7 +71,7 @@
 
 /// A job that has ended has nothing left to cancel; one that never was cannot be.
 fn cancel_ended(node: &Node, id: &Id) -> Reply {
-    match node.outside.store.get(&keys::state(id)) {
+    match node.external.store.get(&keys::state(id)) {
         Ok(Some(_)) => Reply::Cancelled,
         Ok(None) => Reply::Gone,
         Err(_) => Reply::Busy(SOONEST),
@@ -105,8 +105,8 @@
     if is_taken_in(node, id) {
         return Heard::Known;
     }
-    match peer::ask_owner(node, &Ask::Cancelled(id.clone())) {
-        Some(Told::Reply(Reply::Cancelled)) => Heard::Known,
+    match peer::call_owner(node, &PeerRequest::Cancelled(id.clone())) {
+        Some(PeerResponse::Reply(Reply::Cancelled)) => Heard::Known,
         Some(_) => Heard::Unknown,
         None => Heard::Nothing,
     }
@@ -116,7 +116,7 @@
 /// not know the job yet.
 fn is_taken_in(node: &Node, id: &Id) -> bool {
     let id = id.clone();
-    node.remote.ask(move |core, cx| core.cancelled(cx, &id)) == Ok(true)
+    node.remote.ask(move |core, cx| core.handle_cancel(cx, &id)) == Ok(true)
 }
 
 /// Answers a box that tells of a cancellation: it is told again until the job is known here.
@@ -146,7 +146,7 @@
         }
         follow::look(node);
         untold.round(time::now(), |id| tell(node, id));
-        thread::sleep(TELL_GAP);
+        thread::sleep(NOTIFY_INTERVAL);
     }
 }
 
@@ -170,7 +170,7 @@
             let Some((id, since)) = self.waiting.pop_front() else {
                 return;
             };
-            if now > since + TELL_FOR {
+            if now > since + NOTIFY_TIMEOUT_MS {
                 log::warn!(target: "cancel", job = id.as_str(); "The owner has not confirmed a cancellation in time; its watch has to bring it.");
                 continue;
             }
@@ -246,10 +246,10 @@
     fn round_gives_up() {
         let mut untold = untold(1);
         assert_eq!(
-            round(&mut untold, 1_000 + TELL_FOR, Heard::Nothing).len(),
+            round(&mut untold, 1_000 + NOTIFY_TIMEOUT_MS, Heard::Nothing).len(),
             1
         );
-        assert!(round(&mut untold, 1_001 + TELL_FOR, Heard::Nothing).is_empty());
+        assert!(round(&mut untold, 1_001 + NOTIFY_TIMEOUT_MS, Heard::Nothing).is_empty());
         assert!(untold.waiting.is_empty());
     }
 
@@ -258,7 +258,7 @@
     fn add_twice() {
         let mut untold = untold(1);
         untold.add(id(1), 5_000);
-        let told = round(&mut untold, 5_000 + TELL_FOR, Heard::Unknown);
+        let told = round(&mut untold, 5_000 + NOTIFY_TIMEOUT_MS, Heard::Unknown);
         assert_eq!(told, [id(1)]);
     }
 }
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -3,14 +3,15 @@
 use {
     crate::{
         core::Node,
-        group::{CELL, own, put},
+        external::HallClosure,
+        group::{CELL, owner_record, put},
         kept, keys,
-        message::{Ask, Head, Member, Told},
-        outside::Closure,
-        owning, peer,
-        settings::{LEASE, OWNER_PAUSE, RENEW, WEAK, WEAK_WAIT},
-        store::{Applied, Change, Item, range_all},
-        tenure::Tenure,
+        message::{Head, PeerRequest, PeerResponse, WorkerRecord},
+        owner_tasks,
+        ownership::Ownership,
+        peer,
+        settings::{LOW_SHARE, LOW_SHARE_DELAY, OWNER_LEASE, OWNER_RETRY_PAUSE, RENEW_INTERVAL},
+        store::{ApplyResult, Change, Item, range_all},
         time,
     },
     cell::{Cell, Entry},
@@ -37,10 +38,10 @@
 
 /// What the owner's key says to a box that may claim the cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum KeyState {
     /// It is absent, or cannot be read: its last owner may live.
-    Nothing,
-    /// This box wrote it in an earlier life or tenure.
+    Unknown,
+    /// This box wrote it in an earlier life or ownership.
     Own,
 }
 
@@ -49,32 +50,32 @@
 /// # Errors
 ///
 /// The store gave no usable answer.
-pub fn attempt(node: &Node, revision: u64, known: Known) -> Result<(), Failure> {
+pub fn attempt(node: &Node, revision: u64, known: KeyState) -> Result<(), Failure> {
     thread::sleep(Duration::from_millis(fastrand::u64(0..JITTER)));
-    if node.settings.share < WEAK {
-        thread::sleep(WEAK_WAIT);
+    if node.settings.share < LOW_SHARE {
+        thread::sleep(LOW_SHARE_DELAY);
     }
     if node.shared.is_stopping() {
         return Ok(());
     }
     // Another box may have come first meanwhile.
-    let present = node.outside.store.get(&keys::owner(CELL))?;
+    let present = node.external.store.get(&keys::owner(CELL))?;
     if present.map_or(0, |item| item.revision) != revision {
         return Ok(());
     }
-    if known != Known::Own && owner_lives(node) {
-        thread::sleep(OWNER_PAUSE);
+    if known != KeyState::Own && owner_lives(node) {
+        thread::sleep(OWNER_RETRY_PAUSE);
         return Ok(());
     }
-    let store = &node.outside.store;
+    let store = &node.external.store;
     let lease = store.grant(loading_lease(node))?;
     let head = store.get(&keys::head(CELL))?;
     let change = claim_of(node, revision, head.map_or(0, |item| item.revision), lease);
     let begun = time::now();
     let fence = match store.apply(&change)? {
-        Applied::Done(fence) => fence,
-        Applied::Conflict(_) => return Ok(()),
-        Applied::NoLease => return Err(lease_over()),
+        ApplyResult::Done(fence) => fence,
+        ApplyResult::Conflict(_) => return Ok(()),
+        ApplyResult::NoLease => return Err(lease_over()),
     };
     log::info!(target: "owner", fence; "The cell is claimed.");
     metrics::counter!("magpie_claims_total").increment(1);
@@ -87,26 +88,29 @@
     } = load_leased(node, lease, &renewed)?;
     let summary = cell.summary(time::now());
     log::info!(target: "owner", fence, jobs = summary.jobs, workers = summary.workers, took = time::now() - begun; "The cell is read.");
-    let mut tenure = Tenure::new(fence, lease, cell, renewed.into_inner());
-    tenure.take_closures(closures, read);
-    if node.settings.is_narrow() {
+    let mut ownership = Ownership::new(fence, lease, cell, renewed.into_inner());
+    ownership.take_closures(closures, read);
+    if node.settings.has_narrow_link() {
         // From now on others are to notice soon when this box is gone.
-        tenure.lease = store.grant(LEASE)?;
-        tenure.announce = true;
+        ownership.lease = store.grant(OWNER_LEASE)?;
+        ownership.republish = true;
     }
-    node.remote.tell(move |core, cx| core.install(cx, tenure));
-    owning::keep_learned(node, fence, learned);
-    node.shared.owner.store(Some(own(&node.settings).into()));
+    node.remote
+        .tell(move |core, cx| core.begin_ownership(cx, ownership));
+    owner_tasks::start_interference(node, fence, learned);
+    node.shared
+        .owner
+        .store(Some(owner_record(&node.settings).into()));
     Ok(())
 }
 
 /// The lease under which the cell is read. On a narrow link the answer to a renewal waits behind what is read: seen with
 /// 500 jobs on 2 Mbit/s, where owners followed each other every 5 s, each reading everything.
 fn loading_lease(node: &Node) -> Duration {
-    if node.settings.is_narrow() {
+    if node.settings.has_narrow_link() {
         LOADING
     } else {
-        LEASE
+        OWNER_LEASE
     }
 }
 
@@ -118,7 +122,7 @@
     Change {
         expect: vec![(keys::owner(CELL), owner), (keys::head(CELL), head)],
         put: vec![
-            put(keys::owner(CELL), &own(&node.settings), lease),
+            put(keys::owner(CELL), &owner_record(&node.settings), lease),
             put(keys::head(CELL), &mark, 0),
         ],
         remove: Vec::new(),
@@ -141,15 +145,15 @@
         if probe > 0 {
             thread::sleep(PROBE_PAUSE);
         }
-        let ask = Ask::Probe {
+        let ask = PeerRequest::Probe {
             release: probe + 1 == PROBES,
         };
-        match peer::ask(node, &owner.address, &ask) {
-            Ok(Told::Owning {
+        match peer::call(node, &owner.address, &ask) {
+            Ok(PeerResponse::Owning {
                 owning: true,
                 cut_off: false,
             }) => return true,
-            Ok(Told::Owning { owning: false, .. }) => return false,
+            Ok(PeerResponse::Owning { owning: false, .. }) => return false,
             Ok(_) => {}
             Err(failure) => {
                 log::info!(target: "owner", owner = &*owner.name, error:% = failure; "The former owner does not answer.");
@@ -178,12 +182,12 @@
 /// Keeps a lease alive until the signal says stop.
 fn keep(node: &Node, lease: u64, until: &Signal, renewed: &AtomicU64) {
     loop {
-        until.wait(RENEW);
+        until.wait(RENEW_INTERVAL);
         if until.is_stopped() {
             return;
         }
         let asked = time::now();
-        match node.outside.store.renew(lease) {
+        match node.external.store.renew(lease) {
             Ok(true) => renewed.store(asked, Ordering::Release),
             Ok(false) => {
                 log::warn!(target: "owner", lease; "The lease was over before the cell was read.");
@@ -214,18 +218,18 @@
     /// The revision of what was learned.
     learned: u64,
     /// The data halls that are shut.
-    closures: Vec<Closure>,
+    closures: Vec<HallClosure>,
     /// When the read of these was begun.
     read: u64,
 }
 
 /// Reads jobs, records and workers into a cell; and last which data halls are shut, as reading the rest may take seconds.
 fn load(node: &Node) -> Result<Loaded, Failure> {
-    let store = &*node.outside.store;
+    let store = &*node.external.store;
     let (intake, _) = range_all(store, keys::INTAKE)?;
     let (states, _) = range_all(store, keys::STATE)?;
     let fleet = store.get_large(&keys::fleet(CELL))?;
-    let mut listing = node.outside.workers.list()?;
+    let mut listing = node.external.workers.list()?;
     // One of a pool that nobody names is no worker; those that may hold tasks are in the record of the fleet besides. Asked
     // all the same, it would hold the takeover up until all leases are over (4.9 s).
     if let Some(config) = &*node.shared.config.load() {
@@ -269,7 +273,7 @@
         cell.cancel(&id, now, wall);
     }
     let mut learned = 0;
-    if let Some(item) = store.get_large(&keys::learned(CELL))? {
+    if let Some(item) = store.get_large(&keys::interference(CELL))? {
         learned = item.revision;
         match wire::decode(&item.value) {
             Ok(learned) => cell.recall(learned),
@@ -280,12 +284,12 @@
     }
     cell.list(listing, now);
     if let Some(item) = fleet {
-        let members = wire::decode::<Vec<Member>>(&item.value);
+        let members = wire::decode::<Vec<WorkerRecord>>(&item.value);
         let members = read_or_tell(&item, members).unwrap_or_default();
         cell.inherit(members.into_iter().map(Entry::from).collect());
     }
     let read = time::now();
-    let closures = node.outside.closures.read()?;
+    let closures = node.external.closures.read()?;
     Ok(Loaded {
         cell,
         learned,
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -10,8 +10,8 @@
 use {
     crate::{
         core::Node,
-        outside::{Found, Read, Waited},
-        settings::{CONFIG_WAIT, PROBE_GAP, STORE_PAUSE},
+        external::{ConfigRead, ConfigSnapshot, ConfigWait},
+        settings::{CONFIG_WATCH_TIME, PROBE_INTERVAL, STORE_RETRY_PAUSE},
         time,
     },
     kernel::{Failure, clock::Mark, verdict::Cause},
@@ -61,53 +61,53 @@
     /// so that a box which is cut off from it knows.
     fn rest(&mut self, now: u64) -> Option<Duration> {
         let shared = &self.node.shared;
-        if shared.has_cell() || shared.is_config_doubtful() {
+        if shared.is_owner() || shared.is_config_unverified() {
             return None;
         }
-        let (newest, left) = shared.monitor.fresh(now)?;
+        let (newest, left) = shared.monitor.valid(now)?;
         if newest != self.plan.known() {
             self.plan.outdated(now);
             return None;
         }
         self.sight.proven(0);
         self.sight.measure();
-        let is_due = shared.is_failing() || shared.is_quiet(PROBE_GAP);
-        if is_due && let Err(failure) = shared.probe(&*self.node.outside.store) {
+        let is_due = shared.is_store_failing() || shared.is_store_silent(PROBE_INTERVAL);
+        if is_due && let Err(failure) = shared.probe(&*self.node.external.store) {
             log::debug!(target: "config", error:% = failure; "The store does not answer a probe.");
             return None;
         }
-        Some(left.min(PROBE_GAP))
+        Some(left.min(PROBE_INTERVAL))
     }
 
     /// Waits after a failure. The task that follows the ownership probes a store that fails, but while a heartbeat lets it
     /// rest.
     fn pause(&self) {
         let shared = &self.node.shared;
-        match shared.monitor.fresh(time::now()) {
-            Some(_) => shared.probe_until_answer(&*self.node.outside.store),
-            None => shared.await_answer(),
+        match shared.monitor.valid(time::now()) {
+            Some(_) => shared.probe_until_recovered(&*self.node.external.store),
+            None => shared.await_recovery(),
         }
     }
 
     /// Reads the value, unless it is still that of a known revision.
     fn read(&mut self, known: u64, begun: u64) -> Result<(), Failure> {
         let mark = Mark::now();
-        let told = self.node.shared.monitor.fresh(begun);
+        let told = self.node.shared.monitor.valid(begun);
         let read = match told {
             Some((newest, _)) if newest > known => {
-                self.node.outside.configs.read_told(known, newest)
+                self.node.external.configs.read_newest(known, newest)
             }
-            _ => self.node.outside.configs.read(known),
+            _ => self.node.external.configs.read(known),
         };
         self.plan.read(begun, time::now());
         match read? {
-            Read::Found(found) => self.take(found, begun, mark),
-            Read::Same(at) => {
-                self.node.shared.prove_config(mark);
+            ConfigRead::Found(found) => self.take(found, begun, mark),
+            ConfigRead::Unchanged(at) => {
+                self.node.shared.mark_config_current(mark);
                 self.plan.proven(at);
                 self.sight.proven(time::now() - begun);
             }
-            Read::Absent => thread::sleep(STORE_PAUSE),
+            ConfigRead::Absent => thread::sleep(STORE_RETRY_PAUSE),
         }
         Ok(())
     }
@@ -115,17 +115,17 @@
     /// Waits for a change.
     fn watch(&mut self, after: u64, begun: u64) -> Result<(), Failure> {
         let mark = Mark::now();
-        match self.node.outside.configs.wait(after, CONFIG_WAIT)? {
-            Waited::Found(found) => self.take(found, begun, mark),
+        match self.node.external.configs.wait(after, CONFIG_WATCH_TIME)? {
+            ConfigWait::Found(found) => self.take(found, begun, mark),
             // The next watch goes on from the same revision: what this one missed comes with it.
-            Waited::Nothing => {}
-            Waited::Forgotten => self.plan.forgotten(),
+            ConfigWait::Unchanged => {}
+            ConfigWait::Compacted => self.plan.forgotten(),
         }
         Ok(())
     }
 
     /// Takes in what a read or a watch has found.
-    fn take(&mut self, found: Found, begun: u64, mark: Mark) {
+    fn take(&mut self, found: ConfigSnapshot, begun: u64, mark: Mark) {
         let now = time::now();
         self.plan.found(&found, now);
         adopt(self.node, found, now - begun, mark);
@@ -140,10 +140,10 @@
 ///
 /// It could not be read, or the store has not answered this box for so long that it is not asked.
 pub fn prove(node: &Node) -> Result<(), Failure> {
-    if !node.shared.is_config_doubtful() {
+    if !node.shared.is_config_unverified() {
         return Ok(());
     }
-    if node.shared.is_cut_off() {
+    if node.shared.is_store_unreachable() {
         return Err(Failure::not_run(
             Cause::Busy,
             "the store does not answer this box",
@@ -151,26 +151,26 @@
     }
     let (mark, begun) = (Mark::now(), time::now());
     let known = node.shared.config_revision.load(Ordering::Acquire);
-    match node.outside.configs.read(known)? {
-        Read::Found(found) => adopt(node, found, time::now() - begun, mark),
-        Read::Same(_) => node.shared.prove_config(mark),
-        Read::Absent => {}
+    match node.external.configs.read(known)? {
+        ConfigRead::Found(found) => adopt(node, found, time::now() - begun, mark),
+        ConfigRead::Unchanged(_) => node.shared.mark_config_current(mark),
+        ConfigRead::Absent => {}
     }
     Ok(())
 }
 
 /// The highest version wins for the life of the process. `mark` is from before it was found.
-fn adopt(node: &Node, found: Found, took: u64, mark: Mark) {
+fn adopt(node: &Node, found: ConfigSnapshot, took: u64, mark: Mark) {
     node.shared
         .config_revision
         .fetch_max(found.revision, Ordering::AcqRel);
     install(node, found, took);
-    node.shared.prove_config(mark);
+    node.shared.mark_config_current(mark);
 }
 
-fn install(node: &Node, found: Found, took: u64) {
+fn install(node: &Node, found: ConfigSnapshot, took: u64) {
     let present = node.shared.config.load();
-    let Found { config, bytes, .. } = found;
+    let ConfigSnapshot { config, bytes, .. } = found;
     if let Some(present) = &*present
         && present.version >= config.version
     {
--- a/components/node/src/config/plan.rs
+++ b/components/node/src/config/plan.rs
@@ -1,8 +1,8 @@
 //! When the configuration is watched, and when it is read.
 
 use crate::{
-    outside::Found,
-    settings::{CONFIG_GAP, CONFIG_LARGE, CONFIG_REST, CONFIG_SHARE},
+    external::ConfigSnapshot,
+    settings::{CONFIG_PAUSE_FACTOR, CONFIG_READ_INTERVAL, LARGE_CONFIG, MAX_CONFIG_INTERVAL},
 };
 
 /// What to do next.
@@ -38,9 +38,9 @@
     /// A read that was begun then has ended now, whatever came of it. The next one waits, so that reads
     /// take a bounded share of the time and of the link.
     pub fn read(&mut self, begun: u64, now: u64) {
-        let shortest = CONFIG_GAP.as_millis() as u64;
-        let longest = CONFIG_REST.as_millis() as u64;
-        let rest = (now - begun).saturating_mul(CONFIG_SHARE);
+        let shortest = CONFIG_READ_INTERVAL.as_millis() as u64;
+        let longest = MAX_CONFIG_INTERVAL.as_millis() as u64;
+        let rest = (now - begun).saturating_mul(CONFIG_PAUSE_FACTOR);
         self.due = now + rest.clamp(shortest, longest);
     }
 
@@ -51,11 +51,11 @@
 
     /// A value has come. While a large one was on its way others may have followed, of which a watch would
     /// bring each, and a read only the newest.
-    pub fn found(&mut self, found: &Found, now: u64) {
+    pub fn found(&mut self, found: &ConfigSnapshot, now: u64) {
         let is_newer = found.revision > self.known;
         self.known = found.revision;
-        self.at = found.at;
-        if is_newer && found.bytes >= CONFIG_LARGE {
+        self.at = found.store_revision;
+        if is_newer && found.bytes >= LARGE_CONFIG {
             self.due = now;
         }
     }
@@ -85,11 +85,11 @@
         test_case::test_case,
     };
 
-    const GAP: u64 = CONFIG_GAP.as_millis() as u64;
-    const REST: u64 = CONFIG_REST.as_millis() as u64;
-    const SMALL: usize = CONFIG_LARGE - 1;
+    const GAP: u64 = CONFIG_READ_INTERVAL.as_millis() as u64;
+    const REST: u64 = MAX_CONFIG_INTERVAL.as_millis() as u64;
+    const SMALL: usize = LARGE_CONFIG - 1;
 
-    fn found(revision: u64, at: u64, bytes: usize) -> Found {
+    fn found(revision: u64, at: u64, bytes: usize) -> ConfigSnapshot {
         let config = Config {
             version: 1,
             queues: Vec::new(),
@@ -101,10 +101,10 @@
                 idle: Duration::ZERO,
             },
         };
-        Found {
+        ConfigSnapshot {
             config,
             revision,
-            at,
+            store_revision: at,
             bytes,
         }
     }
@@ -134,10 +134,10 @@
     /// After a large value the newest is read, until nothing newer comes.
     #[test]
     fn step_after_large_value() {
-        let mut plan = plan(CONFIG_LARGE);
+        let mut plan = plan(LARGE_CONFIG);
         assert_eq!(plan.step(1_000), Step::Read(5));
         plan.read(1_000, 1_400);
-        plan.found(&found(8, 8, CONFIG_LARGE), 1_400);
+        plan.found(&found(8, 8, LARGE_CONFIG), 1_400);
         assert_eq!(plan.step(1_400), Step::Read(8));
         plan.read(1_400, 1_800);
         plan.proven(9);
@@ -147,9 +147,9 @@
     /// A change that comes twice is not new the second time.
     #[test]
     fn step_after_same_value() {
-        let mut plan = plan(CONFIG_LARGE);
+        let mut plan = plan(LARGE_CONFIG);
         plan.read(1_000, 1_010);
-        plan.found(&found(5, 7, CONFIG_LARGE), 1_010);
+        plan.found(&found(5, 7, LARGE_CONFIG), 1_010);
         assert_eq!(plan.step(1_010), Step::Watch(7));
     }
 
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -5,15 +5,18 @@
         accept, cancel,
         comeback::Comeback,
         config,
+        external::External,
         fetch::Fetched,
         follow,
         heartbeat::Monitor,
         message::Owner,
-        outside::Outside,
+        ownership::Ownership,
         peer, relay,
-        settings::{ANSWER_MOST, CUT_OFF, PROBE_LONG, STORE_PAUSE, STORE_REST, Settings},
-        store::{Applied, Change, Item, Page, Store, Watched},
-        tenure::Tenure,
+        settings::{
+            MAX_PROBE_PAUSE, RECOVERY_WAIT_MS, SLOW_PROBE_MS, STORE_RETRY_PAUSE, STORE_UNREACHABLE,
+            Settings,
+        },
+        store::{ApplyResult, Change, Item, Page, Store, WatchResult},
         time,
     },
     arc_swap::ArcSwapOption,
@@ -59,7 +62,7 @@
 
 impl Shared {
     /// Notes that the configuration in force was the newest at this time.
-    pub(crate) fn prove_config(&self, at: Mark) {
+    pub(crate) fn mark_config_current(&self, at: Mark) {
         *lock(&self.proof) = Some(at);
     }
 
@@ -69,29 +72,29 @@
     }
 
     /// True when this box was suspended since the configuration was last proven to be the newest.
-    pub fn is_config_doubtful(&self) -> bool {
+    pub fn is_config_unverified(&self) -> bool {
         lock(&self.proof).is_some_and(Mark::has_slept)
     }
 
     /// True when calls of the store fail and it has not answered for some time. Without a failure
     /// there may just be a watch that waits.
-    pub fn is_cut_off(&self) -> bool {
-        if !self.is_failing() {
+    pub fn is_store_unreachable(&self) -> bool {
+        if !self.is_store_failing() {
             return false;
         }
         let stored = self.stored.load(Ordering::Acquire);
-        time::now().saturating_sub(stored) > CUT_OFF.as_millis() as u64
+        time::now().saturating_sub(stored) > STORE_UNREACHABLE.as_millis() as u64
     }
 
     /// True when the last call of the store failed, in whichever way.
-    pub fn is_failing(&self) -> bool {
+    pub fn is_store_failing(&self) -> bool {
         self.failing.load(Ordering::Acquire)
     }
 
     /// True when a probe of the store takes so long that nothing good is to be expected of it.
-    pub fn is_probe_long(&self) -> bool {
+    pub fn is_probe_slow(&self) -> bool {
         let since = self.probing.load(Ordering::Acquire);
-        since != 0 && time::now().saturating_sub(since) > PROBE_LONG
+        since != 0 && time::now().saturating_sub(since) > SLOW_PROBE_MS
     }
 
     /// Sees whether the store answers.
@@ -108,12 +111,12 @@
     }
 
     /// True while this box owns the cell.
-    pub fn has_cell(&self) -> bool {
+    pub fn is_owner(&self) -> bool {
         self.owning.load(Ordering::Acquire) != 0
     }
 
     /// Notes under which fence this box owns the cell, 0 when it does no more.
-    pub(crate) fn own(&self, fence: u64) {
+    pub(crate) fn set_owning(&self, fence: u64) {
         self.owning.store(fence, Ordering::Release);
     }
 
@@ -123,30 +126,30 @@
     }
 
     /// True when the store has not answered for this long.
-    pub(crate) fn is_quiet(&self, time: Duration) -> bool {
+    pub(crate) fn is_store_silent(&self, time: Duration) -> bool {
         let stored = self.stored.load(Ordering::Acquire);
         time::now().saturating_sub(stored) >= time.as_millis() as u64
     }
 
     /// Waits until the store, which has failed, answers again, and probes it meanwhile.
-    pub(crate) fn probe_until_answer(&self, store: &dyn Store) {
-        let mut pause = STORE_PAUSE;
+    pub(crate) fn probe_until_recovered(&self, store: &dyn Store) {
+        let mut pause = STORE_RETRY_PAUSE;
         loop {
             thread::sleep(pause);
-            if !self.is_failing() || self.is_stopping() || self.probe(store).is_ok() {
+            if !self.is_store_failing() || self.is_stopping() || self.probe(store).is_ok() {
                 return;
             }
-            pause = (pause * 2).min(STORE_REST);
+            pause = (pause * 2).min(MAX_PROBE_PAUSE);
         }
     }
 
     /// Waits while the store fails, until it answers another task or some time has passed.
-    pub(crate) fn await_answer(&self) {
+    pub(crate) fn await_recovery(&self) {
         let begun = time::now();
         loop {
-            thread::sleep(STORE_PAUSE);
-            let is_over = time::now() > begun + ANSWER_MOST;
-            if is_over || !self.is_failing() || self.is_stopping() {
+            thread::sleep(STORE_RETRY_PAUSE);
+            let is_over = time::now() > begun + RECOVERY_WAIT_MS;
+            if is_over || !self.is_store_failing() || self.is_stopping() {
                 return;
             }
         }
@@ -201,11 +204,11 @@
         self.note("range", self.inner.range(prefix, after))
     }
 
-    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Failure> {
+    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchResult, Failure> {
         self.note("watch", self.inner.watch(prefix, after, wait))
     }
 
-    fn apply(&self, change: &Change) -> Result<Applied, Failure> {
+    fn apply(&self, change: &Change) -> Result<ApplyResult, Failure> {
         self.note("apply", self.inner.apply(change))
     }
 
@@ -225,7 +228,7 @@
 /// The actor.
 pub struct Core {
     pub(crate) node: Node,
-    pub(crate) tenure: Option<Tenure>,
+    pub(crate) ownership: Option<Ownership>,
 }
 
 /// What the tasks of a box share.
@@ -234,7 +237,7 @@
     /// Settings of the box.
     pub settings: Arc<Settings>,
     /// The outside.
-    pub outside: Outside,
+    pub external: External,
     /// What is read without asking the actor.
     pub shared: Arc<Shared>,
     /// Calls to other boxes.
@@ -259,13 +262,13 @@
 /// # Errors
 ///
 /// The system has no room for threads.
-pub fn start(settings: Settings, outside: Outside, client: Client) -> io::Result<Running> {
+pub fn start(settings: Settings, outside: External, client: Client) -> io::Result<Running> {
     let shared = Arc::new(Shared::default());
     let noted = Noted {
         inner: outside.store,
         shared: shared.clone(),
     };
-    let outside = Outside {
+    let outside = External {
         store: Arc::new(noted),
         ..outside
     };
@@ -276,7 +279,7 @@
     let host = Host::start("core", move |_, remote| {
         let node = Node {
             settings,
-            outside,
+            external: outside,
             shared,
             client,
             remote,
@@ -286,7 +289,10 @@
         };
         // The receiver waits for just this one.
         let _ = sender.send(node.clone());
-        Core { node, tenure: None }
+        Core {
+            node,
+            ownership: None,
+        }
     })?;
     let node = receiver.recv().map_err(io::Error::other)?;
     let own = node.clone();
@@ -306,15 +312,15 @@
     /// True when callers should be sent here.
     pub fn is_ready(&self) -> bool {
         let has_config = self.shared.config.load().is_some();
-        let is_sure = has_config && !self.shared.is_config_doubtful();
-        is_sure && !self.shared.is_stopping() && !self.shared.is_cut_off()
+        let is_sure = has_config && !self.shared.is_config_unverified();
+        is_sure && !self.shared.is_stopping() && !self.shared.is_store_unreachable()
     }
 
     /// Takes part in nothing new and hands the cell over, within this time.
-    pub fn retire(&self, time: Duration) {
+    pub fn shut_down(&self, time: Duration) {
         self.shared.stopping.store(true, Ordering::Release);
         let released = self.remote.ask_within(time, |core, cx, answerer| {
-            core.release(cx, answerer);
+            core.hand_over(cx, answerer);
         });
         match released {
             Ok(true) => log::info!(target: "owner", "The cell is handed over."),
@@ -326,20 +332,20 @@
     }
 
     /// Answers a relay without waiting; gives other requests back.
-    pub fn answer_relay(&self, request: kernel::Request) -> Option<kernel::Request> {
+    pub fn handle_relay(&self, request: kernel::Request) -> Option<kernel::Request> {
         if request.path != relay::PATH {
             return Some(request);
         }
-        peer::answer_relay(self, request);
+        peer::handle_relay(self, request);
         None
     }
 
     /// Answers another box; gives requests back that are not for boxes.
-    pub fn answer_box(&self, request: kernel::Request) -> Option<kernel::Request> {
+    pub fn handle_peer(&self, request: kernel::Request) -> Option<kernel::Request> {
         if request.path != peer::PATH {
             return Some(request);
         }
-        peer::answer(self, request);
+        peer::handle(self, request);
         None
     }
 }
--- a/components/node/src/outside.rs
+++ b/components/node/src/external.rs
@@ -14,7 +14,7 @@
 
 /// Why a poll of a worker brought no report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unheard {
+pub enum PollError {
     /// The worker refused.
     Refused(Reason),
     /// Another life of the worker has answered, which began then, in milliseconds since 1970. It was told nothing that binds
@@ -25,7 +25,7 @@
 }
 
 /// What comes later, for a task.
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// Workers, as they are listed and spoken to.
 pub trait Workers: Send + Sync {
@@ -37,66 +37,71 @@
     fn list(&self) -> Result<Listing, Failure>;
 
     /// Sends an order under a fence to this life of a worker: one of the same name that began later does not get it.
-    fn order<'a>(&'a self, worker: &'a Entry, fence: u64, order: &'a Order) -> Later<'a, Outcome>;
+    fn order<'a>(
+        &'a self,
+        worker: &'a Entry,
+        fence: u64,
+        order: &'a Order,
+    ) -> BoxFuture<'a, Outcome>;
 
     /// Renews the leases of all that runs on this life of a worker, acknowledges ends, and reads its report. Where nobody
     /// knows yet whether this life is there, just the report is read.
     ///
     /// # Errors
     ///
-    /// See [`Unheard`].
+    /// See [`PollError`].
     fn poll<'a>(
         &'a self,
         worker: &'a Entry,
         fence: u64,
         poll: Poll,
-    ) -> Later<'a, Result<Report, Unheard>>;
+    ) -> BoxFuture<'a, Result<Report, PollError>>;
 }
 
 /// A configuration as it was found.
 #[derive(Debug, Clone)]
-pub struct Found {
+pub struct ConfigSnapshot {
     /// The configuration.
     pub config: Config,
     /// The store's revision of its last change.
     pub revision: u64,
     /// The revision of the store at which it was the newest; a wait goes on from here.
-    pub at: u64,
+    pub store_revision: u64,
     /// The bytes of its value.
     pub bytes: usize,
 }
 
 /// What a read of the configuration tells.
 #[derive(Debug, Clone)]
-pub enum Read {
+pub enum ConfigRead {
     /// There is none yet.
     Absent,
     /// It is still that of the known revision; the revision of the store at which this is so.
-    Same(u64),
+    Unchanged(u64),
     /// Another one.
-    Found(Found),
+    Found(ConfigSnapshot),
 }
 
 /// What a wait for a change of the configuration tells.
 #[derive(Debug, Clone)]
-pub enum Waited {
+pub enum ConfigWait {
     /// None came.
-    Nothing,
+    Unchanged,
     /// What came since cannot be told: it has to be read.
-    Forgotten,
+    Compacted,
     /// The newest of those that came.
-    Found(Found),
+    Found(ConfigSnapshot),
 }
 
 /// The operators' configuration.
-pub trait Configs: Send + Sync {
+pub trait ConfigSource: Send + Sync {
     /// Reads it. `known` is the revision of the one that the caller has, which need not be decoded again; 0
     /// for none.
     ///
     /// # Errors
     ///
     /// It could not be read or is not valid.
-    fn read(&self, known: u64) -> Result<Read, Failure>;
+    fn read(&self, known: u64) -> Result<ConfigRead, Failure>;
 
     /// Reads it where the owner has just told which revision is the `newest`. An answer that may be old is as good where it has
     /// that one.
@@ -104,14 +109,14 @@
     /// # Errors
     ///
     /// As for `read`.
-    fn read_told(&self, known: u64, newest: u64) -> Result<Read, Failure>;
+    fn read_newest(&self, known: u64, newest: u64) -> Result<ConfigRead, Failure>;
 
     /// Waits for a change after a revision of the store.
     ///
     /// # Errors
     ///
     /// As for `read`.
-    fn wait(&self, after: u64, time: Duration) -> Result<Waited, Failure>;
+    fn wait(&self, after: u64, time: Duration) -> Result<ConfigWait, Failure>;
 }
 
 /// The service that tells which workers may run a step.
@@ -149,12 +154,12 @@
     /// # Errors
     ///
     /// It may not have been written.
-    fn tell(&self, standing: &Standing) -> Result<(), Failure>;
+    fn report_progress(&self, standing: &Standing) -> Result<(), Failure>;
 }
 
 /// A data hall in which the operators want nothing started.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Closure {
+pub struct HallClosure {
     /// The data hall.
     pub hall: Arc<str>,
     /// Who asked for it, where that is told.
@@ -162,28 +167,28 @@
 }
 
 /// The data halls that the operators have shut.
-pub trait Closures: Send + Sync {
+pub trait HallClosures: Send + Sync {
     /// Reads them. An entry that cannot be read shuts nothing and is no reason to fail.
     ///
     /// # Errors
     ///
     /// They could not be read.
-    fn read(&self) -> Result<Vec<Closure>, Failure>;
+    fn read(&self) -> Result<Vec<HallClosure>, Failure>;
 }
 
 /// All that a box reaches outside of itself.
 #[derive(Clone)]
-pub struct Outside {
+pub struct External {
     /// The store.
     pub store: Arc<dyn Store>,
     /// The workers.
     pub workers: Arc<dyn Workers>,
     /// The configuration.
-    pub configs: Arc<dyn Configs>,
+    pub configs: Arc<dyn ConfigSource>,
     /// The service that advises on workers.
     pub advisor: Arc<dyn Advisor>,
     /// The machines.
     pub machines: Arc<dyn Machines>,
     /// The data halls that are shut.
-    pub closures: Arc<dyn Closures>,
+    pub closures: Arc<dyn HallClosures>,
 }
--- a/components/node/src/fetch.rs
+++ b/components/node/src/fetch.rs
@@ -78,7 +78,7 @@
 /// read where it is needed.
 pub fn heard(settings: &Settings, submission: &Submission) -> Submission {
     let mut heard = submission.clone();
-    if settings.is_narrow() {
+    if settings.has_narrow_link() {
         heard.spec.text = "".into();
     }
     heard
@@ -86,7 +86,7 @@
 
 /// What keeps a submission: one value, or two on a narrow link.
 pub fn puts(settings: &Settings, submission: &Submission) -> Vec<Put> {
-    let value = |message: Vec<u8>| match settings.is_narrow() {
+    let value = |message: Vec<u8>| match settings.has_narrow_link() {
         true => wire::pack(message),
         false => message,
     };
@@ -116,7 +116,7 @@
 mod tests {
     use {
         super::*,
-        crate::store::{Applied, Change, Item, Page, Watched},
+        crate::store::{ApplyResult, Change, Item, Page, WatchResult},
         std::{
             sync::atomic::{AtomicU32, Ordering},
             time::Duration,
@@ -144,7 +144,7 @@
                 key: key.to_owned(),
                 value: wire::encode(&"text").unwrap(),
                 revision: 5,
-                at: 5,
+                store_revision: 5,
             })
         }
     }
@@ -168,11 +168,11 @@
             unused()
         }
 
-        fn watch(&self, _: &str, _: u64, _: Duration) -> Result<Watched, Failure> {
+        fn watch(&self, _: &str, _: u64, _: Duration) -> Result<WatchResult, Failure> {
             unused()
         }
 
-        fn apply(&self, _: &Change) -> Result<Applied, Failure> {
+        fn apply(&self, _: &Change) -> Result<ApplyResult, Failure> {
             unused()
         }
 
--- a/components/node/src/follow.rs
+++ b/components/node/src/follow.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        claim::{self, Known},
+        claim::{self, KeyState},
         core::Node,
         group::CELL,
         keys,
         message::Owner,
-        settings::{OWNER_PAUSE, OWNER_WAIT, STORE_PAUSE},
+        settings::{OWNER_RETRY_PAUSE, OWNER_WATCH_TIME, STORE_RETRY_PAUSE},
         store::Item,
         time,
     },
@@ -17,7 +17,7 @@
 
 /// Follows who owns the cell, and claims it when nobody does.
 pub fn ownership(node: &Node) {
-    let store = &node.outside.store;
+    let store = &node.external.store;
     while !node.shared.is_stopping() {
         if let Some(rest) = rest(node) {
             node.shared.monitor.owner.wait(rest);
@@ -27,50 +27,50 @@
         let item = match store.get(&key) {
             Ok(item) => item,
             Err(_) => {
-                node.shared.probe_until_answer(store.as_ref());
+                node.shared.probe_until_recovered(store.as_ref());
                 continue;
             }
         };
         let owning = node
             .remote
-            .ask(|core, _| core.tenure.as_ref().map(|tenure| tenure.fence));
+            .ask(|core, _| core.ownership.as_ref().map(|ownership| ownership.fence));
         let Ok(owning) = owning else {
             return;
         };
         match (item, owning) {
             (Some(item), None) if is_own(node, &item) => {
-                attempt(node, item.revision, Known::Own);
+                attempt(node, item.revision, KeyState::Own);
             }
             (Some(item), None) if !is_readable(&item) => {
-                attempt(node, item.revision, Known::Nothing);
+                attempt(node, item.revision, KeyState::Unknown);
             }
             (Some(item), Some(fence)) if !is_readable(&item) => {
                 announce(node, fence);
-                thread::sleep(OWNER_PAUSE);
+                thread::sleep(OWNER_RETRY_PAUSE);
             }
             (Some(item), _) => see(node, &item),
             (None, Some(fence)) => {
                 announce(node, fence);
-                thread::sleep(OWNER_PAUSE);
+                thread::sleep(OWNER_RETRY_PAUSE);
             }
-            (None, None) => attempt(node, 0, Known::Nothing),
+            (None, None) => attempt(node, 0, KeyState::Unknown),
         }
     }
 }
 
 /// How long the owner's key need not be read, as its owner has just answered.
 fn rest(node: &Node) -> Option<Duration> {
-    if node.shared.has_cell() {
+    if node.shared.is_owner() {
         return None;
     }
-    let (_, left) = node.shared.monitor.fresh(time::now())?;
+    let (_, left) = node.shared.monitor.valid(time::now())?;
     Some(left)
 }
 
 /// Reads who the owner is, for a box whose owner does not answer or wants nothing any more: the watch
 /// may have gone silent, and a new owner needs its relays at once.
 pub fn look(node: &Node) {
-    match node.outside.store.get(&keys::owner(CELL)) {
+    match node.external.store.get(&keys::owner(CELL)) {
         Ok(Some(item)) => note(node, &item),
         Ok(None) => {}
         Err(failure) => {
@@ -82,9 +82,12 @@
 /// Notes the owner and waits until its key changes.
 fn see(node: &Node, item: &Item) {
     note(node, item);
-    let watched = node.outside.store.watch(&item.key, item.at, OWNER_WAIT);
+    let watched = node
+        .external
+        .store
+        .watch(&item.key, item.store_revision, OWNER_WATCH_TIME);
     if watched.is_err() {
-        node.shared.probe_until_answer(&*node.outside.store);
+        node.shared.probe_until_recovered(&*node.external.store);
     }
 }
 
@@ -115,7 +118,7 @@
     owner.is_ok()
 }
 
-/// True for a key that this box wrote in an earlier life or tenure.
+/// True for a key that this box wrote in an earlier life or ownership.
 fn is_own(node: &Node, item: &Item) -> bool {
     let owner: Result<Owner, Failure> = wire::decode(&item.value);
     owner.is_ok_and(|owner| owner.name == node.settings.name)
@@ -124,19 +127,19 @@
 fn announce(node: &Node, fence: u64) {
     log::info!(target: "owner", fence; "The owner's key is missing and is written again.");
     node.remote.tell(move |core, cx| {
-        if let Some(tenure) = core.tenure_of(fence) {
-            tenure.announce = true;
+        if let Some(ownership) = core.ownership_of(fence) {
+            ownership.republish = true;
             core.wake_writer(cx);
         }
     });
 }
 
-fn attempt(node: &Node, revision: u64, known: Known) {
+fn attempt(node: &Node, revision: u64, known: KeyState) {
     match claim::attempt(node, revision, known) {
         Ok(()) => {}
         Err(failure) => {
             log::warn!(target: "owner", error:% = failure; "The cell could not be claimed.");
-            thread::sleep(STORE_PAUSE);
+            thread::sleep(STORE_RETRY_PAUSE);
         }
     }
 }
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         keys,
-        message::{Head, Member, Owner},
+        message::{Head, Owner, WorkerRecord},
+        ownership::Ownership,
         settings::{GROUP_ENTRIES, GROUP_RECORDS, Settings},
         store::{Change, Item, Put},
-        tenure::Tenure,
     },
     job::Id,
     serde::Serialize,
@@ -33,29 +33,29 @@
 }
 
 impl Group {
-    /// Takes the next group of a tenure. Records of jobs that ended before a time, in milliseconds
+    /// Takes the next group of a ownership. Records of jobs that ended before a time, in milliseconds
     /// since 1970, are removed with it where it has room.
-    pub fn build(settings: &Settings, tenure: &mut Tenure, before: u64) -> Self {
-        let covers = tenure.cell.take_change(GROUP_ENTRIES);
+    pub fn build(settings: &Settings, ownership: &mut Ownership, before: u64) -> Self {
+        let covers = ownership.cell.take_change(GROUP_ENTRIES);
         // What is not written by then stays listed by its workers, and the next owner takes it from
         // there: under load there is always something more to write.
-        let is_last = tenure.leaving.is_some();
-        let mut change = guarded(tenure);
+        let is_last = ownership.handover.is_some();
+        let mut change = guarded(ownership);
         put_records(&mut change, &covers);
         if is_last {
             change.remove.push(keys::owner(CELL));
         }
-        let announces = tenure.announce && tenure.lease != 0 && !is_last;
+        let announces = ownership.republish && ownership.lease != 0 && !is_last;
         if announces {
-            tenure.announce = false;
-            let owner = own(settings);
+            ownership.republish = false;
+            let owner = owner_record(settings);
             change
                 .put
-                .push(put(keys::owner(CELL), &owner, tenure.lease));
+                .push(put(keys::owner(CELL), &owner, ownership.lease));
         }
         let mut forgets = Vec::new();
         if covers.records.len() <= GROUP_RECORDS / 2 {
-            forgets = tenure.cell.outdated(before, FORGET_AT_ONCE);
+            forgets = ownership.cell.outdated(before, FORGET_AT_ONCE);
         }
         for id in &forgets {
             change.remove.push(keys::state(id));
@@ -80,13 +80,13 @@
 }
 
 /// A change that writes the head anew, on the condition that nobody else has written it.
-fn guarded(tenure: &Tenure) -> Change {
+fn guarded(ownership: &Ownership) -> Change {
     let head = Head {
-        fence: tenure.fence,
+        fence: ownership.fence,
         claim: 0,
     };
     Change {
-        expect: vec![(keys::head(CELL), tenure.head)],
+        expect: vec![(keys::head(CELL), ownership.head)],
         put: vec![put(keys::head(CELL), &head, 0)],
         ..Change::default()
     }
@@ -104,13 +104,13 @@
         }
     }
     if let Some(fleet) = &covers.fleet {
-        let members: Vec<Member> = fleet.iter().cloned().map(Member::from).collect();
+        let members: Vec<WorkerRecord> = fleet.iter().cloned().map(WorkerRecord::from).collect();
         change.put.push(put_compact(keys::fleet(CELL), &members));
     }
 }
 
 /// The record of this box as an owner.
-pub fn own(settings: &Settings) -> Owner {
+pub fn owner_record(settings: &Settings) -> Owner {
     Owner {
         name: settings.name.clone(),
         address: settings.address.clone(),
@@ -212,10 +212,10 @@
     /// owner waited in vain until there was nothing to write.
     #[test]
     fn build_last_with_records() {
-        let mut tenure = Tenure::new(1, 2, dirty_cell(), 0);
+        let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
         let (leaving, _released) = Answerer::pair();
-        tenure.leaving = Some(leaving);
-        let group = Group::build(&settings(), &mut tenure, 0);
+        ownership.handover = Some(leaving);
+        let group = Group::build(&settings(), &mut ownership, 0);
         assert!(group.is_last && !group.covers.records.is_empty());
         assert!(group.change.remove.contains(&keys::owner(CELL)));
     }
@@ -229,9 +229,9 @@
             cell.admit(submission(id.clone()), 1);
             cell.cancel(&id, 1, 1);
         }
-        let mut tenure = Tenure::new(1, 2, cell, 0);
-        tenure.announce = true;
-        let change = Group::build(&settings(), &mut tenure, 10).change;
+        let mut ownership = Ownership::new(1, 2, cell, 0);
+        ownership.republish = true;
+        let change = Group::build(&settings(), &mut ownership, 10).change;
         let entries = change.expect.len() + change.put.len() + change.remove.len();
         assert!(
             entries <= MAX_ENTRIES && entries > MAX_ENTRIES / 2,
@@ -243,11 +243,11 @@
     /// or was not written: the cell had forgotten them by then.
     #[test]
     fn build_forgets_with_the_write() {
-        let mut tenure = Tenure::new(1, 2, dirty_cell(), 0);
-        let first = Group::build(&settings(), &mut tenure, 0);
-        tenure.cell.written(&first.covers);
+        let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
+        let first = Group::build(&settings(), &mut ownership, 0);
+        ownership.cell.written(&first.covers);
         assert!(first.forgets.is_empty());
-        let second = Group::build(&settings(), &mut tenure, 10);
+        let second = Group::build(&settings(), &mut ownership, 10);
         assert_eq!(second.forgets.len(), 2);
         assert!(
             second
@@ -255,11 +255,11 @@
                 .remove
                 .contains(&keys::state(&second.forgets[0]))
         );
-        let again = Group::build(&settings(), &mut tenure, 10);
+        let again = Group::build(&settings(), &mut ownership, 10);
         assert_eq!(again.forgets.len(), 2);
-        tenure.cell.forget(&again.forgets);
+        ownership.cell.forget(&again.forgets);
         assert!(
-            Group::build(&settings(), &mut tenure, 10)
+            Group::build(&settings(), &mut ownership, 10)
                 .forgets
                 .is_empty()
         );
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -5,7 +5,7 @@
 //! the keys itself.
 
 use {
-    crate::settings::{CONFIG_GAP, HEARTBEAT_LEASE, HEARTBEAT_SLACK},
+    crate::settings::{CONFIG_READ_INTERVAL, HEARTBEAT_SLACK, MAX_LEASE_AGE},
     kernel::{sync::lock, task::Signal},
     serde::{Deserialize, Serialize},
     std::{sync::Mutex, time::Duration},
@@ -25,8 +25,8 @@
 impl Heartbeat {
     /// True when it stands for a read of both keys.
     fn is_fresh(&self) -> bool {
-        let config_most = 2 * CONFIG_GAP.as_millis() as u64;
-        let lease_most = HEARTBEAT_LEASE.as_millis() as u64;
+        let config_most = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
+        let lease_most = MAX_LEASE_AGE.as_millis() as u64;
         self.config_age < config_most && self.lease_age < lease_most
     }
 }
@@ -52,9 +52,9 @@
 impl Monitor {
     /// Notes a heartbeat that was asked for at `asked`, of an owner that expects the next exchange after `pause`.
     /// Without one, or with one that is not fresh, the box is on its own.
-    pub fn hear(&self, heartbeat: Option<Heartbeat>, asked: u64, pause: Duration) {
+    pub fn record(&self, heartbeat: Option<Heartbeat>, asked: u64, pause: Duration) {
         let Some(heartbeat) = heartbeat.filter(Heartbeat::is_fresh) else {
-            self.miss();
+            self.clear();
             return;
         };
         let until = asked + (pause + HEARTBEAT_SLACK).as_millis() as u64;
@@ -66,7 +66,7 @@
     }
 
     /// The owner has not answered.
-    pub fn miss(&self) {
+    pub fn clear(&self) {
         let former = std::mem::take(&mut *lock(&self.heard));
         if former.until != 0 {
             self.config.ring();
@@ -76,7 +76,7 @@
 
     /// The store's revision of the newest configuration and for how long no read is needed; `None` where the box is on its
     /// own.
-    pub fn fresh(&self, now: u64) -> Option<(u64, Duration)> {
+    pub fn valid(&self, now: u64) -> Option<(u64, Duration)> {
         let Heard { config, until } = *lock(&self.heard);
         let left = until.checked_sub(now).filter(|left| *left > 0)?;
         Some((config, Duration::from_millis(left)))
@@ -88,8 +88,8 @@
     use {super::*, test_case::test_case};
 
     const PAUSE: Duration = Duration::from_millis(400);
-    const CONFIG_MOST: u64 = 2 * CONFIG_GAP.as_millis() as u64;
-    const LEASE_MOST: u64 = HEARTBEAT_LEASE.as_millis() as u64;
+    const CONFIG_MOST: u64 = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
+    const LEASE_MOST: u64 = MAX_LEASE_AGE.as_millis() as u64;
 
     fn beat(config_age: u64, lease_age: u64) -> Heartbeat {
         Heartbeat {
@@ -105,32 +105,32 @@
     #[test_case(None, false; "no owner")]
     fn fresh_after_heartbeat(heartbeat: Option<Heartbeat>, is_fresh: bool) {
         let monitor = Monitor::default();
-        monitor.hear(heartbeat, 1_000, PAUSE);
-        assert_eq!(monitor.fresh(1_100).is_some(), is_fresh);
+        monitor.record(heartbeat, 1_000, PAUSE);
+        assert_eq!(monitor.valid(1_100).is_some(), is_fresh);
     }
 
     #[test]
     fn fresh_ends() {
         let monitor = Monitor::default();
         let most = (PAUSE + HEARTBEAT_SLACK).as_millis() as u64;
-        monitor.hear(Some(beat(0, 0)), 1_000, PAUSE);
+        monitor.record(Some(beat(0, 0)), 1_000, PAUSE);
         assert_eq!(
-            monitor.fresh(999 + most),
+            monitor.valid(999 + most),
             Some((7, Duration::from_millis(1)))
         );
-        assert_eq!(monitor.fresh(1_000 + most), None);
+        assert_eq!(monitor.valid(1_000 + most), None);
     }
 
     /// Both tasks go on by themselves at once when the owner does not answer, and are left alone while it did not before.
     #[test]
     fn miss_wakes_once() {
         let monitor = Monitor::default();
-        monitor.miss();
+        monitor.clear();
         assert!(!monitor.owner.wait(Duration::ZERO));
-        monitor.hear(Some(beat(0, 0)), 1_000, PAUSE);
+        monitor.record(Some(beat(0, 0)), 1_000, PAUSE);
         assert!(monitor.config.wait(Duration::ZERO));
-        monitor.miss();
+        monitor.clear();
         assert!(monitor.owner.wait(Duration::ZERO) && monitor.config.wait(Duration::ZERO));
-        assert_eq!(monitor.fresh(1_001), None);
+        assert_eq!(monitor.valid(1_001), None);
     }
 }
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -49,7 +49,7 @@
 }
 
 /// What a cell's owners learned of which tasks disturb which.
-pub fn learned(cell: u32) -> String {
+pub fn interference(cell: u32) -> String {
     format!("magpie/learned/{cell}")
 }
 
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod comeback;
 pub mod config;
 pub mod core;
+pub mod external;
 pub mod fetch;
 pub mod follow;
 pub mod group;
@@ -20,24 +21,23 @@
 pub mod keys;
 pub mod message;
 pub mod news;
-pub mod outside;
-pub mod owning;
+pub mod owner_tasks;
+pub mod ownership;
 pub mod peer;
 pub mod queued;
 pub mod relay;
 pub mod relays;
 pub mod settings;
 pub mod store;
-pub mod tenure;
 pub mod texts;
 pub mod time;
 pub mod worker;
 
 pub use callers::{Call, Reply};
 pub use core::{Core, Node};
-pub use outside::{
-    Advisor, Closure, Closures, Configs, Found, Later, Machines, Outside, Read, Unheard, Waited,
-    Workers,
+pub use external::{
+    Advisor, BoxFuture, ConfigRead, ConfigSnapshot, ConfigSource, ConfigWait, External,
+    HallClosure, HallClosures, Machines, PollError, Workers,
 };
 pub use settings::Settings;
 pub use store::Store;
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -1,7 +1,7 @@
 //! Values kept in the store, and messages between boxes.
 
 use {
-    crate::{callers::Reply, heartbeat::Heartbeat, news::News, outside::Unheard},
+    crate::{callers::Reply, external::PollError, heartbeat::Heartbeat, news::News},
     cell::{Entry, Key, Order, Outcome, Poll, Start},
     job::{Address, Id, State, Submission, spec::Size},
     serde::{Deserialize, Serialize},
@@ -28,7 +28,7 @@
 
 /// A worker that may hold tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
+pub struct WorkerRecord {
     id: Arc<str>,
     name: Arc<str>,
     born: Option<u64>,
@@ -40,9 +40,9 @@
     labels: Vec<Arc<str>>,
 }
 
-impl From<Entry> for Member {
+impl From<Entry> for WorkerRecord {
     fn from(entry: Entry) -> Self {
-        Member {
+        WorkerRecord {
             id: entry.id,
             name: entry.name,
             born: entry.born,
@@ -56,8 +56,8 @@
     }
 }
 
-impl From<Member> for Entry {
-    fn from(member: Member) -> Self {
+impl From<WorkerRecord> for Entry {
+    fn from(member: WorkerRecord) -> Self {
         Entry {
             id: member.id,
             name: member.name,
@@ -76,7 +76,7 @@
 
 /// What one box asks another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// The state of a job.
     State(Id),
     /// The jobs of a queue that wait.
@@ -102,7 +102,7 @@
 
 /// A data hall that is shut, as the owner knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shut {
+pub struct ClosedHall {
     /// The data hall.
     pub hall: Arc<str>,
     /// Who asked for it, where that is told.
@@ -111,29 +111,29 @@
     pub since: u64,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`PeerRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Told {
-    /// See [`Ask::State`]; `None` where it is not known.
+pub enum PeerResponse {
+    /// See [`PeerRequest::State`]; `None` where it is not known.
     State(Option<State>),
-    /// See [`Ask::Waiting`]; `None` from a box that does not own the cell.
+    /// See [`PeerRequest::Waiting`]; `None` from a box that does not own the cell.
     Waiting(Option<usize>),
-    /// See [`Ask::Submit`], [`Ask::Cancel`] and [`Ask::Cancelled`].
+    /// See [`PeerRequest::Submit`], [`PeerRequest::Cancel`] and [`PeerRequest::Cancelled`].
     Reply(Reply),
-    /// See [`Ask::Probe`].
+    /// See [`PeerRequest::Probe`].
     Owning {
         /// It owns the cell.
         owning: bool,
         /// It is cut off from the store.
         cut_off: bool,
     },
-    /// See [`Ask::Halls`]; `None` where no owner answers.
-    Halls(Option<Vec<Shut>>),
+    /// See [`PeerRequest::Halls`]; `None` where no owner answers.
+    Halls(Option<Vec<ClosedHall>>),
 }
 
 /// What a relay brings to the owner. It is sent again unchanged until it is answered.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Offer {
+pub struct RelayRequest {
     /// The name of the box.
     pub name: Arc<str>,
     /// Its data hall.
@@ -149,14 +149,14 @@
     /// The last duty that was taken on.
     pub ack: u64,
     /// What workers said.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<WorkerEvent>,
 }
 
 /// One thing that a worker said to a relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Heard {
+pub enum WorkerEvent {
     /// The outcome of a poll that was allowed at this time of the owner's clock.
-    Report(Arc<str>, u64, Result<News, Unheard>),
+    Report(Arc<str>, u64, Result<News, PollError>),
     /// The relay looks after this worker no longer: the next report of it stands by itself.
     Left(Arc<str>),
     /// The outcome of the order of this number.
@@ -165,7 +165,7 @@
 
 /// What the owner asks of a relay. It is sent again unchanged until it is acknowledged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Duty {
+pub struct RelayResponse {
     /// The session; 0 when there is nothing to do for this box.
     pub session: u64,
     /// The fence of the owner.
@@ -186,7 +186,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Command {
     /// Look after a worker.
-    Tend(Member),
+    Tend(WorkerRecord),
     /// Look after it no longer.
     Leave(Arc<str>),
     /// Poll a worker; the time is the owner's and goes back with the report.
@@ -197,12 +197,12 @@
     /// Send a worker the order of this number, which was decided at this time of the owner's clock.
     Order(Arc<str>, u64, u64, Order),
     /// Start tasks of a job, decided at this time of the owner's clock.
-    Starts(Id, u64, Vec<Begin>),
+    Starts(Id, u64, Vec<CompactStart>),
 }
 
 /// A start as a relay is told of it, without what all starts of its job have in common: half the bytes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Begin {
+pub struct CompactStart {
     /// The worker.
     pub worker: Arc<str>,
     /// The number of the order.
@@ -221,10 +221,10 @@
     pub ticket: Option<Arc<str>>,
 }
 
-impl Begin {
+impl CompactStart {
     /// A start on its way to a worker, under a number.
     pub fn new(worker: Arc<str>, number: u64, start: &Start) -> Self {
-        Begin {
+        CompactStart {
             worker,
             number,
             place: start.key.place,
--- a/components/node/src/owning.rs
+++ b/components/node/src/owner_tasks.rs
@@ -6,10 +6,11 @@
         group::{CELL, put_compact},
         kept, keys,
         settings::{
-            HALLS_GAP, INTAKE_WAIT, LEARNED_GAP, LEARNED_SHARE, LEASE, LIST_GAP, LIST_SHARE, RENEW,
-            STORE_PAUSE, WAVE_GAP,
+            HALLS_INTERVAL, INTAKE_WATCH_TIME, INTERFERENCE_INTERVAL, INTERFERENCE_PAUSE_FACTOR,
+            LIST_INTERVAL, LIST_PAUSE_FACTOR, OWNER_LEASE, RENEW_INTERVAL, STORE_RETRY_PAUSE,
+            WAVE_INTERVAL,
         },
-        store::{Applied, Change, Event, Watched, range_all},
+        store::{ApplyResult, Change, Event, WatchResult, range_all},
         time,
     },
     cell::{Cell, Question, Standing},
@@ -23,8 +24,8 @@
     },
 };
 
-/// Starts the tasks of a tenure. They end with it.
-pub fn begin(node: &Node, fence: u64) {
+/// Starts the tasks of a ownership. They end with it.
+pub fn start_all(node: &Node, fence: u64) {
     start("renew", node, move |node| renew(&node, fence));
     start("intake", node, move |node| intake(&node, fence));
     start("write", node, move |node| write(&node, fence));
@@ -35,7 +36,7 @@
 
 /// Carries the operators' waves of upkeep out.
 fn upkeep(node: &Node, fence: u64) {
-    let machines = &node.outside.machines;
+    let machines = &node.external.machines;
     let mut told: HashMap<u64, Standing> = HashMap::new();
     let mut had_waves = false;
     while !is_over(node, fence) {
@@ -43,18 +44,18 @@
             Ok(waves) => waves,
             Err(failure) => {
                 log::info!(target: "owner", error:% = failure; "Which waves of upkeep there are was not read.");
-                thread::sleep(WAVE_GAP);
+                thread::sleep(WAVE_INTERVAL);
                 continue;
             }
         };
         let has_waves = !waves.is_empty();
         // Once more after the last of them: workers that were emptied for it get work again.
         if !has_waves && !had_waves {
-            thread::sleep(WAVE_GAP);
+            thread::sleep(WAVE_INTERVAL);
             continue;
         }
         let Ok(listed) = machines.list() else {
-            thread::sleep(LIST_GAP);
+            thread::sleep(LIST_INTERVAL);
             continue;
         };
         let asked = node.remote.ask(move |core, cx| {
@@ -77,7 +78,7 @@
             if told.get(&standing.wave) == Some(&standing) {
                 continue;
             }
-            match machines.tell(&standing) {
+            match machines.report_progress(&standing) {
                 Ok(()) => {
                     told.insert(standing.wave, standing);
                 }
@@ -86,7 +87,7 @@
                 }
             }
         }
-        thread::sleep(LIST_GAP);
+        thread::sleep(LIST_INTERVAL);
     }
 }
 
@@ -94,23 +95,23 @@
 fn halls(node: &Node, fence: u64) {
     while !is_over(node, fence) {
         let begun = time::now();
-        match node.outside.closures.read() {
+        match node.external.closures.read() {
             Ok(closures) => {
                 node.remote
                     .tell(move |core, cx| core.shut(cx, fence, closures, begun));
-                thread::sleep(HALLS_GAP);
+                thread::sleep(HALLS_INTERVAL);
             }
             Err(failure) => {
                 log::info!(target: "owner", error:% = failure; "Which data halls are shut was not read.");
-                thread::sleep(HALLS_GAP / 2);
+                thread::sleep(HALLS_INTERVAL / 2);
             }
         }
     }
 }
 
 /// Starts the task that asks for advice, one question at a time: the service handles each box's
-/// calls in turn. It ends with the tenure. Returns the way for questions.
-pub fn ask_advice(node: &Node, fence: u64) -> Sender<Question> {
+/// calls in turn. It ends with the ownership. Returns the way for questions.
+pub fn start_advice(node: &Node, fence: u64) -> Sender<Question> {
     let (sender, questions) = mpsc::channel();
     start("advice", node, move |node| advise(&node, fence, &questions));
     sender
@@ -118,7 +119,7 @@
 
 fn advise(node: &Node, fence: u64, questions: &Receiver<Question>) {
     for question in questions {
-        let answer = node.outside.advisor.advise(&question);
+        let answer = node.external.advisor.advise(&question);
         if let Err(failure) = &answer {
             log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "There is no advice.");
         }
@@ -137,17 +138,17 @@
 fn is_over(node: &Node, fence: u64) -> bool {
     let owning = node
         .remote
-        .ask(move |core, _| core.tenure_of(fence).is_some());
+        .ask(move |core, _| core.ownership_of(fence).is_some());
     owning != Ok(true)
 }
 
 /// Keeps the lease of the owner's key alive, and takes a new one when it is over.
 fn renew(node: &Node, fence: u64) {
     loop {
-        thread::sleep(RENEW);
+        thread::sleep(RENEW_INTERVAL);
         let lease = node
             .remote
-            .ask(move |core, _| core.tenure_of(fence).map(|tenure| tenure.lease));
+            .ask(move |core, _| core.ownership_of(fence).map(|ownership| ownership.lease));
         let Ok(Some(lease)) = lease else {
             return;
         };
@@ -155,26 +156,26 @@
         let renewed = if lease == 0 {
             Ok(false)
         } else {
-            node.outside.store.renew(lease)
+            node.external.store.renew(lease)
         };
         if renewed == Ok(true) {
             node.remote.tell(move |core, _| {
-                if let Some(tenure) = core.tenure_of(fence) {
-                    tenure.prove(asked);
+                if let Some(ownership) = core.ownership_of(fence) {
+                    ownership.prove(asked);
                 }
             });
         }
         if renewed != Ok(false) {
             continue;
         }
-        let Ok(lease) = node.outside.store.grant(LEASE) else {
+        let Ok(lease) = node.external.store.grant(OWNER_LEASE) else {
             continue;
         };
         log::info!(target: "owner", fence, lease; "The owner has a new lease.");
         node.remote.tell(move |core, cx| {
-            if let Some(tenure) = core.tenure_of(fence) {
-                tenure.lease = lease;
-                tenure.doubt();
+            if let Some(ownership) = core.ownership_of(fence) {
+                ownership.lease = lease;
+                ownership.doubt();
                 core.wake_writer(cx);
             }
         });
@@ -185,28 +186,31 @@
 fn intake(node: &Node, fence: u64) {
     let mut after = fence;
     loop {
-        let watched = node.outside.store.watch(keys::INTAKE, after, INTAKE_WAIT);
+        let watched = node
+            .external
+            .store
+            .watch(keys::INTAKE, after, INTAKE_WATCH_TIME);
         if is_over(node, fence) {
             return;
         }
         let events = match watched {
-            Ok(Watched::Events(events, at)) => {
+            Ok(WatchResult::Events(events, at)) => {
                 after = at;
                 events
             }
-            Ok(Watched::Forgotten) => match range_all(&*node.outside.store, keys::INTAKE) {
+            Ok(WatchResult::Compacted) => match range_all(&*node.external.store, keys::INTAKE) {
                 Ok((items, at)) => {
                     log::info!(target: "owner", items = items.len(), at; "The history of the intake is gone; it is read anew.");
                     after = at;
                     items.into_iter().map(Event::Put).collect()
                 }
                 Err(_) => {
-                    thread::sleep(STORE_PAUSE);
+                    thread::sleep(STORE_RETRY_PAUSE);
                     continue;
                 }
             },
             Err(_) => {
-                thread::sleep(STORE_PAUSE);
+                thread::sleep(STORE_RETRY_PAUSE);
                 continue;
             }
         };
@@ -219,7 +223,7 @@
 }
 
 /// Reads what callers sent once more, now that no former owner can start anything.
-pub fn read_again(node: &Node, fence: u64) {
+pub fn reread_intake(node: &Node, fence: u64) {
     start("read again", node, move |node| {
         while !is_over(&node, fence) {
             match read_unknown(&node, fence) {
@@ -230,7 +234,7 @@
                 }
                 Err(failure) => {
                     log::info!(target: "owner", error:% = failure; "The jobs could not be read once more.");
-                    thread::sleep(STORE_PAUSE);
+                    thread::sleep(STORE_RETRY_PAUSE);
                 }
             }
         }
@@ -238,20 +242,20 @@
 }
 
 /// Starts the task that writes down what was learned of disturbance, whose key has this revision.
-pub fn keep_learned(node: &Node, fence: u64, revision: u64) {
+pub fn start_interference(node: &Node, fence: u64, revision: u64) {
     start("learned", node, move |node| learned(&node, fence, revision));
 }
 
 /// Writes what was learned, apart from all that callers wait for. Whoever owned the cell before may write once more
 /// until this box does; its condition fails after that.
 fn learned(node: &Node, fence: u64, mut revision: u64) {
-    let key = keys::learned(CELL);
-    let mut rest = LEARNED_GAP;
+    let key = keys::interference(CELL);
+    let mut rest = INTERFERENCE_INTERVAL;
     loop {
         thread::sleep(rest);
         let asked = node
             .remote
-            .ask(move |core, _| Some(core.tenure_of(fence)?.cell.take_learned()));
+            .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_learned()));
         let Ok(Some(learned)) = asked else {
             return;
         };
@@ -264,23 +268,23 @@
             ..Change::default()
         };
         let begun = Instant::now();
-        match node.outside.store.apply(&change) {
-            Ok(Applied::Done(now)) => revision = now,
-            Ok(Applied::Conflict(items)) => {
+        match node.external.store.apply(&change) {
+            Ok(ApplyResult::Done(now)) => revision = now,
+            Ok(ApplyResult::Conflict(items)) => {
                 revision = items.first().map_or(0, |item| item.revision)
             }
-            Ok(Applied::NoLease) => {}
+            Ok(ApplyResult::NoLease) => {}
             Err(failure) => {
                 log::info!(target: "owner", error:% = failure; "What was learned was not written.");
             }
         }
-        rest = LEARNED_GAP.max(begun.elapsed() * LEARNED_SHARE);
+        rest = INTERFERENCE_INTERVAL.max(begun.elapsed() * INTERFERENCE_PAUSE_FACTOR);
     }
 }
 
 /// Cancellations, and the jobs that the cell does not know.
 fn read_unknown(node: &Node, fence: u64) -> Result<Vec<Event>, Failure> {
-    let (items, _) = range_all(&*node.outside.store, keys::INTAKE)?;
+    let (items, _) = range_all(&*node.external.store, keys::INTAKE)?;
     let ids: Vec<Id> = items
         .iter()
         .filter_map(|item| keys::id(&item.key, keys::JOB))
@@ -298,7 +302,7 @@
 
 /// Takes submissions and cancellations into the cell; submissions first, since a listing has the
 /// cancellations before them.
-pub fn take_in(cell: &mut Cell, events: Vec<Event>) {
+pub fn apply_intake(cell: &mut Cell, events: Vec<Event>) {
     let mut cancelled = Vec::new();
     for event in events {
         let Event::Put(item) = event else {
@@ -334,12 +338,12 @@
             return;
         };
         let begun = time::now();
-        let result = node.outside.store.apply(&group.change);
+        let result = node.external.store.apply(&group.change);
         let took = Duration::from_millis(time::now() - begun);
         metrics::histogram!("magpie_group_seconds").record(took);
         if let Err(failure) = &result {
             log::warn!(target: "owner", records = group.covers.records.len(), error:% = failure; "A group was not written.");
-            thread::sleep(STORE_PAUSE);
+            thread::sleep(STORE_RETRY_PAUSE);
         }
         node.remote
             .tell(move |core, cx| core.wrote(cx, fence, group, result));
@@ -351,9 +355,11 @@
 fn list(node: &Node, fence: u64) {
     let mut took = Duration::ZERO;
     loop {
-        thread::sleep((took * LIST_SHARE).clamp(LIST_GAP, node.settings.list_most()));
+        thread::sleep(
+            (took * LIST_PAUSE_FACTOR).clamp(LIST_INTERVAL, node.settings.max_list_interval()),
+        );
         let begun = Instant::now();
-        let listing = node.outside.workers.list();
+        let listing = node.external.workers.list();
         took = begun.elapsed();
         if is_over(node, fence) {
             return;
--- a/components/node/src/tenure/write.rs
+++ b/components/node/src/ownership/commit.rs
@@ -4,8 +4,8 @@
     crate::{
         core::Core,
         group::Group,
-        settings::{GROUP_GAP, GROUP_RECORDS},
-        store::Applied,
+        settings::{GROUP_INTERVAL, GROUP_RECORDS},
+        store::ApplyResult,
         time,
     },
     kernel::{
@@ -25,50 +25,51 @@
         fence: u64,
         answerer: Answerer<Option<Group>>,
     ) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             answerer.send(None);
             return;
         };
-        tenure.writer = Some(answerer);
+        ownership.writer = Some(answerer);
         self.wake_writer(cx);
     }
 
     /// Gives the writer a group if it waits for one and there is something to write.
     pub(crate) fn wake_writer(&mut self, cx: &mut Cx<'_, Self>) {
         let settings = self.node.settings.clone();
-        let Some(tenure) = &mut self.tenure else {
+        let Some(ownership) = &mut self.ownership else {
             return;
         };
-        let has_work = tenure.cell.is_dirty() || tenure.announce || tenure.leaving.is_some();
-        if tenure.writer.is_none() || !has_work {
+        let has_work =
+            ownership.cell.is_dirty() || ownership.republish || ownership.handover.is_some();
+        if ownership.writer.is_none() || !has_work {
             return;
         }
-        let since = time::now().saturating_sub(tenure.written);
+        let since = time::now().saturating_sub(ownership.written);
         // A full group need not wait for more.
-        let is_full = tenure.cell.backlog() >= GROUP_RECORDS;
+        let is_full = ownership.cell.backlog() >= GROUP_RECORDS;
         let gap = if is_full {
             0
         } else {
-            GROUP_GAP.as_millis() as u64
+            GROUP_INTERVAL.as_millis() as u64
         };
         if since >= gap {
             let retention = settings.retention.as_millis() as u64;
             let before = wall::millis().saturating_sub(retention);
-            let group = Group::build(&settings, tenure, before);
-            tenure.written = time::now();
-            if let Some(writer) = tenure.writer.take() {
+            let group = Group::build(&settings, ownership, before);
+            ownership.written = time::now();
+            if let Some(writer) = ownership.writer.take() {
                 writer.send(Some(group));
             }
             return;
         }
-        if tenure.group_due {
+        if ownership.group_due {
             return;
         }
-        tenure.group_due = true;
-        let fence = tenure.fence;
+        ownership.group_due = true;
+        let fence = ownership.fence;
         after!(Duration::from_millis(gap - since), [cx], |this, cx| {
-            if let Some(tenure) = this.tenure_of(fence) {
-                tenure.group_due = false;
+            if let Some(ownership) = this.ownership_of(fence) {
+                ownership.group_due = false;
                 this.wake_writer(cx);
             }
         });
@@ -80,45 +81,45 @@
         cx: &mut Cx<'_, Self>,
         fence: u64,
         group: Group,
-        result: Result<Applied, Failure>,
+        result: Result<ApplyResult, Failure>,
     ) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         match result {
-            Ok(Applied::Done(revision)) => {
-                tenure.head = revision;
-                tenure.confirmed();
+            Ok(ApplyResult::Done(revision)) => {
+                ownership.head = revision;
+                ownership.confirmed();
                 if group.is_last {
-                    self.depose("it is handed over");
+                    self.end_ownership("it is handed over");
                     return;
                 }
-                tenure.cell.forget(&group.forgets);
-                let kept = tenure.cell.written(&group.covers);
+                ownership.cell.forget(&group.forgets);
+                let kept = ownership.cell.written(&group.covers);
                 for id in kept {
                     self.let_poll(fence, &id);
                 }
             }
-            Ok(Applied::Conflict(items)) => {
+            Ok(ApplyResult::Conflict(items)) => {
                 let Some(head) = group.own_head(&items, fence) else {
-                    self.depose("another owner has written");
+                    self.end_ownership("another owner has written");
                     return;
                 };
                 log::info!(target: "owner", head; "A group without an answer turns out to be written.");
-                tenure.head = head;
-                tenure.confirmed();
-                tenure.announce |= group.announces;
-                tenure.cell.unwritten(group.covers);
+                ownership.head = head;
+                ownership.confirmed();
+                ownership.republish |= group.announces;
+                ownership.cell.unwritten(group.covers);
             }
-            Ok(Applied::NoLease) => {
-                tenure.lease = 0;
-                tenure.announce = true;
-                tenure.cell.unwritten(group.covers);
+            Ok(ApplyResult::NoLease) => {
+                ownership.lease = 0;
+                ownership.republish = true;
+                ownership.cell.unwritten(group.covers);
             }
             Err(_) => {
-                tenure.unconfirmed();
-                tenure.announce |= group.announces;
-                tenure.cell.unwritten(group.covers);
+                ownership.unconfirmed();
+                ownership.republish |= group.announces;
+                ownership.cell.unwritten(group.covers);
             }
         }
         self.wake_writer(cx);
--- a/components/node/src/tenure/doubt.rs
+++ b/components/node/src/ownership/confirmation.rs
@@ -10,9 +10,9 @@
 //! which are. Where the store answers nobody, no more can have been shut, and it goes by what it knew.
 
 use {
-    super::Tenure,
+    super::Ownership,
     crate::{
-        settings::{LEASE, RENEW},
+        settings::{OWNER_LEASE, RENEW_INTERVAL},
         time,
     },
     cell::Reach,
@@ -21,7 +21,7 @@
 
 /// A doubt.
 #[derive(Debug)]
-pub(super) struct Doubt {
+pub(super) struct Unconfirmed {
     since: u64,
     /// A write that was begun since then had no answer.
     is_unwritten: bool,
@@ -29,7 +29,7 @@
     answered: HashSet<Arc<str>>,
 }
 
-impl Tenure {
+impl Ownership {
     /// When the cell was surely this owner's.
     pub(crate) fn proven(&self) -> u64 {
         self.proven
@@ -37,7 +37,7 @@
 
     /// Doubts when this box stood still for as long as its lease may be over.
     pub(super) fn doubt_if_late(&mut self) {
-        let late = (LEASE - RENEW).as_millis() as u64;
+        let late = (OWNER_LEASE - RENEW_INTERVAL).as_millis() as u64;
         let since = time::now().saturating_sub(self.ticked);
         if since > late && self.doubt.is_none() {
             log::warn!(target: "owner", fence = self.fence, late = since; "This box stood still; another may own the cell.");
@@ -55,7 +55,7 @@
     /// silent 1.5 s after a cut; those without serving tasks, whose polls are held for 2 s, only 3 s after it.
     pub(super) fn doubt_if_alone(&mut self) {
         let now = time::now();
-        let is_proven = now < self.proven + LEASE.as_millis() as u64;
+        let is_proven = now < self.proven + OWNER_LEASE.as_millis() as u64;
         if is_proven || self.doubt.is_some() {
             return;
         }
@@ -73,12 +73,12 @@
 
     /// Another box may own the cell.
     pub(crate) fn doubt(&mut self) {
-        self.doubt = Some(Doubt {
+        self.doubt = Some(Unconfirmed {
             since: time::now(),
             is_unwritten: false,
             answered: HashSet::new(),
         });
-        self.announce = true;
+        self.republish = true;
         self.cell.keep_leases(true);
     }
 
--- a/components/node/src/tenure/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -1,8 +1,8 @@
 //! The data halls that the operators have shut, as the owner knows them.
 
 use {
-    super::Tenure,
-    crate::{core::Core, message::Shut, outside::Closure},
+    super::Ownership,
+    crate::{core::Core, external::HallClosure, message::ClosedHall},
     kernel::{stakker::Cx, wall},
     std::{collections::HashSet, sync::Arc},
 };
@@ -10,7 +10,7 @@
 /// What the owner knows of them. Times are in milliseconds on the clock of this box.
 #[derive(Debug, Default)]
 pub(super) struct Halls {
-    shut: Vec<Shut>,
+    shut: Vec<ClosedHall>,
     /// When the last read was begun that was answered.
     read: u64,
     /// A read has to be begun at this time or later before anything is placed.
@@ -29,9 +29,9 @@
     }
 }
 
-impl Tenure {
+impl Ownership {
     /// Takes in what a read has found that was begun at this time.
-    pub(crate) fn take_closures(&mut self, closures: Vec<Closure>, begun: u64) {
+    pub(crate) fn take_closures(&mut self, closures: Vec<HallClosure>, begun: u64) {
         self.halls.read = begun;
         let names: HashSet<Arc<str>> = closures.iter().map(|own| own.hall.clone()).collect();
         let former = std::mem::take(&mut self.halls.shut);
@@ -41,10 +41,10 @@
                 measure(&shut.hall, false);
             }
         }
-        for Closure { hall, by } in closures {
+        for HallClosure { hall, by } in closures {
             if let Some(known) = former.iter().find(|shut| shut.hall == hall) {
                 let since = known.since;
-                self.halls.shut.push(Shut { hall, by, since });
+                self.halls.shut.push(ClosedHall { hall, by, since });
                 continue;
             }
             let is_empty = !self.cell.entries().any(|entry| entry.hall == hall);
@@ -54,12 +54,12 @@
             }
             measure(&hall, true);
             let since = wall::millis();
-            self.halls.shut.push(Shut { hall, by, since });
+            self.halls.shut.push(ClosedHall { hall, by, since });
         }
         self.cell.shut(names);
     }
 
-    /// Shows no hall as shut any more by this box, whose tenure is over.
+    /// Shows no hall as shut any more by this box, whose ownership is over.
     pub(super) fn forget_halls(&self) {
         for shut in &self.halls.shut {
             measure(&shut.hall, false);
@@ -73,19 +73,19 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        closures: Vec<Closure>,
+        closures: Vec<HallClosure>,
         begun: u64,
     ) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        tenure.take_closures(closures, begun);
-        self.settle(cx);
+        ownership.take_closures(closures, begun);
+        self.schedule_pass(cx);
     }
 
     /// The data halls that are shut; `None` where this box does not own the cell for sure.
-    pub(crate) fn halls(&mut self) -> Option<Vec<Shut>> {
-        Some(self.sure()?.halls.shut.clone())
+    pub(crate) fn halls(&mut self) -> Option<Vec<ClosedHall>> {
+        Some(self.confirmed_ownership()?.halls.shut.clone())
     }
 }
 
--- a/components/node/src/tenure/take.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -1,7 +1,7 @@
 //! What comes to the cell from callers, listings, advice and waves.
 
 use {
-    crate::{core::Core, owning, store::Event, time},
+    crate::{core::Core, owner_tasks, store::Event, time},
     cell::{Advice, Entry, Listing, Machine, Question, Standing, Upkeep, Wave},
     job::{Id, State, Submission},
     kernel::{stakker::Cx, wall},
@@ -12,75 +12,76 @@
     /// Takes in a listing of the workers. One of a pool that no configuration names is no worker to begin with.
     pub(crate) fn listed(&mut self, cx: &mut Cx<'_, Self>, fence: u64, mut listing: Listing) {
         let config = self.node.shared.config.load();
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         if let Some(config) = &*config {
-            let is_other =
-                |entry: &mut Entry| !config.has_pool(&entry.pool) && !tenure.cell.knows(&entry.id);
+            let is_other = |entry: &mut Entry| {
+                !config.has_pool(&entry.pool) && !ownership.cell.knows(&entry.id)
+            };
             // A worker that is known by its name is not gone by that.
             let others = listing.entries.extract_if(.., is_other);
             let others: Vec<Arc<str>> = others.map(|entry| entry.name).collect();
             listing.unreadable.extend(others);
         }
-        for entry in tenure.cell.list(listing, time::now()) {
+        for entry in ownership.cell.list(listing, time::now()) {
             self.tend(fence, entry);
         }
-        self.settle(cx);
+        self.schedule_pass(cx);
     }
 
     /// Takes in what has come from callers.
     pub(crate) fn intake(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        owning::take_in(&mut tenure.cell, events);
-        self.settle(cx);
+        owner_tasks::apply_intake(&mut ownership.cell, events);
+        self.schedule_pass(cx);
     }
 
     /// Those of the jobs that the cell does not know.
     pub(crate) fn unknown(&mut self, fence: u64, ids: Vec<Id>) -> HashSet<Id> {
-        self.tenure_of(fence)
-            .map_or(HashSet::new(), |tenure| tenure.cell.unknown(ids))
+        self.ownership_of(fence)
+            .map_or(HashSet::new(), |ownership| ownership.cell.unknown(ids))
     }
 
     /// Takes in what was read once more after a takeover.
     pub(crate) fn intake_again(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        owning::take_in(&mut tenure.cell, events);
-        for id in tenure.cell.intake_read() {
+        owner_tasks::apply_intake(&mut ownership.cell, events);
+        for id in ownership.cell.intake_read() {
             self.let_poll(fence, &id);
         }
-        self.settle(cx);
+        self.schedule_pass(cx);
     }
 
     /// Takes in a job that another box, or this one, has just accepted.
-    pub(crate) fn accepted(&mut self, cx: &mut Cx<'_, Self>, submission: Submission) {
-        let Some(tenure) = &mut self.tenure else {
+    pub(crate) fn handle_accepted(&mut self, cx: &mut Cx<'_, Self>, submission: Submission) {
+        let Some(ownership) = &mut self.ownership else {
             return;
         };
-        if tenure.cell.admit(submission, wall::millis()) {
-            self.settle(cx);
+        if ownership.cell.admit(submission, wall::millis()) {
+            self.schedule_pass(cx);
         }
     }
 
     /// Takes in a cancellation that is written down. False when this box does not own the cell for
     /// sure, or does not know the job yet.
-    pub(crate) fn cancelled(&mut self, cx: &mut Cx<'_, Self>, id: &Id) -> bool {
-        let Some(tenure) = self.present() else {
+    pub(crate) fn handle_cancel(&mut self, cx: &mut Cx<'_, Self>, id: &Id) -> bool {
+        let Some(ownership) = self.current_ownership() else {
             return false;
         };
-        let is_sure = !tenure.is_doubtful();
-        let is_known = tenure.cell.cancel(id, time::now(), wall::millis()) && is_sure;
-        self.settle(cx);
+        let is_sure = !ownership.is_doubtful();
+        let is_known = ownership.cell.cancel(id, time::now(), wall::millis()) && is_sure;
+        self.schedule_pass(cx);
         is_known
     }
 
     /// The state of a job; `None` where it is not known.
     pub(crate) fn state(&mut self, id: &Id) -> Option<State> {
-        self.sure()?.cell.state(id)
+        self.confirmed_ownership()?.cell.state(id)
     }
 
     /// Takes in advice, or that there is none.
@@ -91,11 +92,11 @@
         question: &Question,
         advice: Option<Advice>,
     ) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        tenure.cell.advised(question, advice, time::now());
-        self.settle(cx);
+        ownership.cell.advised(question, advice, time::now());
+        self.schedule_pass(cx);
     }
 
     /// Takes in waves and machines; returns the upkeep to order.
@@ -106,24 +107,24 @@
         waves: &[Wave],
         machines: &[Machine],
     ) -> Vec<Upkeep> {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return Vec::new();
         };
-        let orders = tenure.cell.upkeep(waves, machines, time::now());
-        self.settle(cx);
+        let orders = ownership.cell.upkeep(waves, machines, time::now());
+        self.schedule_pass(cx);
         orders
     }
 
     /// How far the waves are.
     pub(crate) fn standings(&mut self, fence: u64, waves: &[Wave]) -> Vec<Standing> {
-        self.tenure_of(fence)
-            .map_or(Vec::new(), |tenure| tenure.cell.standings(waves))
+        self.ownership_of(fence)
+            .map_or(Vec::new(), |ownership| ownership.cell.standings(waves))
     }
 
     /// Takes in that an upkeep was surely not begun.
     pub(crate) fn upkeep_refused(&mut self, fence: u64, order: &Upkeep) {
-        if let Some(tenure) = self.tenure_of(fence) {
-            tenure.cell.upkeep_refused(order);
+        if let Some(ownership) = self.ownership_of(fence) {
+            ownership.cell.upkeep_refused(order);
         }
     }
 }
--- a/components/node/src/tenure/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -1,22 +1,22 @@
 //! While this box owns the cell: its beginning, its ticks and its end. What workers say, what comes
 //! to the cell, passes of placement and written groups are in files of their own.
 
-mod doubt;
+mod commit;
+mod confirmation;
 mod halls;
-mod pass;
-mod take;
-mod talk;
-mod write;
+mod inputs;
+mod placement;
+mod worker_links;
 
 use {
-    self::{doubt::Doubt, halls::Halls},
+    self::{confirmation::Unconfirmed, halls::Halls},
     crate::{
         core::Core,
         group::Group,
-        owning,
+        owner_tasks,
         queued::Entrance,
         relays::{Need, Relays},
-        settings::TICK,
+        settings::TICK_INTERVAL,
         time,
     },
     cell::{Cell, Entry, Poll, Question},
@@ -44,7 +44,7 @@
 }
 
 /// A cell that this box owns.
-pub struct Tenure {
+pub struct Ownership {
     /// The fence at the workers: the revision of the write that claimed the cell.
     pub fence: u64,
     /// The cell.
@@ -54,9 +54,9 @@
     /// The lease that the owner's key lives under.
     pub lease: u64,
     /// The owner's key is to be written again.
-    pub announce: bool,
+    pub republish: bool,
     /// The cell is to be given up once all is written.
-    pub leaving: Option<Answerer<bool>>,
+    pub handover: Option<Answerer<bool>>,
     /// Who talks to each worker.
     links: HashMap<Arc<str>, Link>,
     /// The boxes that talk to workers for this one.
@@ -74,7 +74,7 @@
     /// When the store last showed this box as the owner: by a lease that was alive, or a write.
     proven: u64,
     /// Another box may own the cell.
-    doubt: Option<Doubt>,
+    doubt: Option<Unconfirmed>,
     /// The data halls that are shut.
     halls: Halls,
     /// When the last group went to the writer.
@@ -89,16 +89,16 @@
     group_due: bool,
 }
 
-impl Tenure {
-    /// A tenure that begins with this cell, whose lease was alive at this time on the clock of this box.
+impl Ownership {
+    /// A ownership that begins with this cell, whose lease was alive at this time on the clock of this box.
     pub fn new(fence: u64, lease: u64, cell: Cell, claimed: u64) -> Self {
-        Tenure {
+        Ownership {
             fence,
             cell,
             head: fence,
             lease,
-            announce: false,
-            leaving: None,
+            republish: false,
+            handover: None,
             links: HashMap::new(),
             relays: Relays::default(),
             waiting: HashSet::new(),
@@ -125,11 +125,11 @@
     Poll,
     /// When its ends are written.
     Later,
-    /// Its life or the tenure is over.
+    /// Its life or the ownership is over.
     Never,
 }
 
-impl Tenure {
+impl Ownership {
     /// Nobody talks to a worker any more.
     fn unlink(&mut self, id: &Arc<str>) {
         if let Some(Link::Relay(name)) = self.links.remove(id) {
@@ -176,34 +176,36 @@
 }
 
 impl Core {
-    /// The tenure of this fence, if it still is the one.
-    pub(crate) fn tenure_of(&mut self, fence: u64) -> Option<&mut Tenure> {
-        self.present().filter(|tenure| tenure.fence == fence)
+    /// The ownership of this fence, if it still is the one.
+    pub(crate) fn ownership_of(&mut self, fence: u64) -> Option<&mut Ownership> {
+        self.current_ownership()
+            .filter(|ownership| ownership.fence == fence)
     }
 
-    /// The tenure, which may be in doubt.
-    pub(crate) fn present(&mut self) -> Option<&mut Tenure> {
-        let tenure = self.tenure.as_mut()?;
-        tenure.doubt_if_late();
-        Some(tenure)
+    /// The ownership, which may be in doubt.
+    pub(crate) fn current_ownership(&mut self) -> Option<&mut Ownership> {
+        let ownership = self.ownership.as_mut()?;
+        ownership.doubt_if_late();
+        Some(ownership)
     }
 
-    /// The tenure, unless it is in doubt.
-    pub(crate) fn sure(&mut self) -> Option<&mut Tenure> {
-        self.present().filter(|tenure| !tenure.is_doubtful())
+    /// The ownership, unless it is in doubt.
+    pub(crate) fn confirmed_ownership(&mut self) -> Option<&mut Ownership> {
+        self.current_ownership()
+            .filter(|ownership| !ownership.is_doubtful())
     }
 
-    /// Begins a tenure.
-    pub(crate) fn install(&mut self, cx: &mut Cx<'_, Self>, mut tenure: Tenure) {
-        let fence = tenure.fence;
-        let entries: Vec<Entry> = tenure.cell.entries().cloned().collect();
-        tenure.cell.recover(time::now());
+    /// Begins a ownership.
+    pub(crate) fn begin_ownership(&mut self, cx: &mut Cx<'_, Self>, mut ownership: Ownership) {
+        let fence = ownership.fence;
+        let entries: Vec<Entry> = ownership.cell.entries().cloned().collect();
+        ownership.cell.recover(time::now());
         // Reading the cell may have taken longer than its lease was kept alive.
-        tenure.doubt_if_late();
-        tenure.ticked = time::now();
-        self.tenure = Some(tenure);
-        self.node.shared.own(fence);
-        owning::begin(&self.node, fence);
+        ownership.doubt_if_late();
+        ownership.ticked = time::now();
+        self.ownership = Some(ownership);
+        self.node.shared.set_owning(fence);
+        owner_tasks::start_all(&self.node, fence);
         for entry in entries {
             self.tend(fence, entry);
         }
@@ -213,10 +215,10 @@
 
     /// Tells now and then what the cell looks like.
     fn sum_up(&mut self, cx: &mut Cx<'_, Self>, fence: u64) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        let sum = tenure.cell.summary(time::now());
+        let sum = ownership.cell.summary(time::now());
         log::info!(target: "cell", fence, jobs = sum.jobs, placed = sum.placed, workers = sum.workers, open = sum.open, unserving = sum.unserving, mixed = sum.mixed, paced = sum.paced, serving = sum.serving, firm = sum.firm, free = sum.free, largest = sum.largest, unused = sum.unused, waiting = sum.waiting, filling = sum.filling, trials = sum.trials, trial_age = sum.trial_age; "The cell now.");
         metrics::gauge!("magpie_cell_jobs").set(sum.jobs as f64);
         metrics::gauge!("magpie_cell_tasks_placed").set(sum.placed as f64);
@@ -225,62 +227,62 @@
         metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting as f64 / 1e3);
         metrics::gauge!("magpie_cell_cores_filling_waiting").set(sum.filling as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(sum.trials as f64);
-        let overdue = tenure.cell.tell_waits(wall::millis(), time::now());
+        let overdue = ownership.cell.tell_waits(wall::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(overdue as f64);
-        metrics::gauge!("magpie_cell_places_lost").set(tenure.cell.lost_places() as f64);
+        metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.lost_places() as f64);
         after!(SUM_UP, [cx], |this, cx| this.sum_up(cx, fence));
     }
 
-    /// Ends the tenure: another owner has taken over, or this box gives it up.
-    pub(crate) fn depose(&mut self, cause: &str) {
-        let Some(mut tenure) = self.tenure.take() else {
+    /// Ends the ownership: another owner has taken over, or this box gives it up.
+    pub(crate) fn end_ownership(&mut self, cause: &str) {
+        let Some(mut ownership) = self.ownership.take() else {
             return;
         };
-        self.node.shared.own(0);
-        tenure.cell.tell_done(time::now());
-        tenure.forget_halls();
-        log::warn!(target: "owner", fence = tenure.fence, cause; "The cell is no longer owned here.");
+        self.node.shared.set_owning(0);
+        ownership.cell.tell_done(time::now());
+        ownership.forget_halls();
+        log::warn!(target: "owner", fence = ownership.fence, cause; "The cell is no longer owned here.");
         metrics::counter!("magpie_tenures_lost_total").increment(1);
-        if let Some(answerer) = tenure.leaving {
+        if let Some(answerer) = ownership.handover {
             answerer.send(true);
         }
     }
 
     /// Gives the cell up once all is written; answers true then, or false without a cell.
-    pub(crate) fn release(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<bool>) {
-        let Some(tenure) = &mut self.tenure else {
+    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<bool>) {
+        let Some(ownership) = &mut self.ownership else {
             answerer.send(false);
             return;
         };
-        tenure.leaving = Some(answerer);
+        ownership.handover = Some(answerer);
         self.wake_writer(cx);
     }
 
     fn tick(&mut self, cx: &mut Cx<'_, Self>, fence: u64) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        tenure.ticked = time::now();
-        tenure.doubt_if_alone();
-        tenure.cell.tell_done(time::now());
-        tenure.cell.open_due(wall::millis());
-        tenure.cell.rerank(wall::millis(), time::now());
-        tenure.cell.expire_tickets(time::now());
-        tenure.cell.relocate(time::now());
-        tenure.cell.lapse(time::now());
-        tenure.unlink_gone();
-        let is_intake_due = tenure.cell.is_intake_due();
-        let orphans = tenure.relays.lose_silent(time::now());
-        let neglected = tenure.relays.take_neglected(time::now());
+        ownership.ticked = time::now();
+        ownership.doubt_if_alone();
+        ownership.cell.tell_done(time::now());
+        ownership.cell.open_due(wall::millis());
+        ownership.cell.rerank(wall::millis(), time::now());
+        ownership.cell.expire_tickets(time::now());
+        ownership.cell.relocate(time::now());
+        ownership.cell.lapse(time::now());
+        ownership.unlink_gone();
+        let is_intake_due = ownership.cell.is_intake_due();
+        let orphans = ownership.relays.lose_silent(time::now());
+        let neglected = ownership.relays.take_neglected(time::now());
         if is_intake_due {
-            owning::read_again(&self.node, fence);
+            owner_tasks::reread_intake(&self.node, fence);
         }
         self.retend(fence, orphans);
         for entry in neglected {
             log::warn!(target: "owner", worker = &*entry.id; "No relay has room for a worker; the owner talks to it.");
             self.tend_here(fence, entry);
         }
-        self.settle(cx);
-        after!(TICK, [cx], |this, cx| this.tick(cx, fence));
+        self.schedule_pass(cx);
+        after!(TICK_INTERVAL, [cx], |this, cx| this.tick(cx, fence));
     }
 }
--- a/components/node/src/tenure/pass.rs
+++ b/components/node/src/ownership/placement.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Link,
-    crate::{core::Core, owning, queued::Queued, settings::PASS_GAP, time},
+    crate::{core::Core, owner_tasks, queued::Queued, settings::PASS_INTERVAL, time},
     kernel::stakker::{Cx, after},
     std::time::Duration,
 };
@@ -12,24 +12,24 @@
 
 impl Core {
     /// Places, sends orders and wakes the writer, now or shortly.
-    pub(crate) fn settle(&mut self, cx: &mut Cx<'_, Self>) {
-        let Some(tenure) = &mut self.tenure else {
+    pub(crate) fn schedule_pass(&mut self, cx: &mut Cx<'_, Self>) {
+        let Some(ownership) = &mut self.ownership else {
             return;
         };
-        let since = time::now().saturating_sub(tenure.passed);
+        let since = time::now().saturating_sub(ownership.passed);
         // A long pass is followed by a longer pause, so that passes leave time for reports.
-        let gap = (PASS_GAP.as_millis() as u64).max(PASS_REST * tenure.pass_took);
+        let gap = (PASS_INTERVAL.as_millis() as u64).max(PASS_REST * ownership.pass_took);
         if since >= gap {
             self.pass(cx);
             return;
         }
-        if tenure.pass_due {
+        if ownership.pass_due {
             return;
         }
-        tenure.pass_due = true;
-        let fence = tenure.fence;
+        ownership.pass_due = true;
+        let fence = ownership.fence;
         after!(Duration::from_millis(gap - since), [cx], |this, cx| {
-            if this.tenure_of(fence).is_some() {
+            if this.ownership_of(fence).is_some() {
                 this.pass(cx);
             }
         });
@@ -38,32 +38,34 @@
     /// Places, unless the cell is to be given up, and sends what was decided.
     pub(super) fn pass(&mut self, cx: &mut Cx<'_, Self>) {
         let link = self.node.settings.link;
-        let is_failing = self.node.shared.is_failing();
+        let is_store_failing = self.node.shared.is_store_failing();
         let config = self.node.shared.config.load();
-        let Some(tenure) = self.present() else {
+        let Some(ownership) = self.current_ownership() else {
             return;
         };
-        tenure.pass_due = false;
+        ownership.pass_due = false;
         let begun = time::now();
-        if tenure.leaving.is_none() && !tenure.is_doubtful() && tenure.halls.are_known() {
+        if ownership.handover.is_none() && !ownership.is_doubtful() && ownership.halls.are_known() {
             if let Some(config) = &*config {
-                tenure.cell.set_unguarded(config.unguarded());
+                ownership.cell.set_unguarded(config.unguarded());
             }
-            let most = tenure.relays.starts(link);
-            tenure.cell.hold_back(tenure.relays.busy());
-            tenure.cell.place_some(begun, most);
+            let most = ownership.relays.starts(link);
+            ownership.cell.hold_back(ownership.relays.busy());
+            ownership.cell.place_some(begun, most);
         }
-        tenure.passed = time::now();
-        tenure.pass_took = tenure.passed - begun;
-        tenure.relays.allow_texts(link, is_failing, time::now());
-        for (id, order) in tenure.cell.take_orders() {
-            match tenure.links.get(&id) {
+        ownership.passed = time::now();
+        ownership.pass_took = ownership.passed - begun;
+        ownership
+            .relays
+            .allow_texts(link, is_store_failing, time::now());
+        for (id, order) in ownership.cell.take_orders() {
+            match ownership.links.get(&id) {
                 // A task that has ended belongs to a worker that is gone.
                 Some(Link::Here(link)) => {
                     link.send(Queued::new(order, 0, 0, time::now()));
                 }
                 Some(Link::Relay(name)) => {
-                    tenure.relays.order(name, &id, time::now(), order);
+                    ownership.relays.order(name, &id, time::now(), order);
                 }
                 // Nobody talks to it now; what was ordered is found missing in its next report.
                 None => {}
@@ -76,15 +78,15 @@
     /// Hands the cell's questions to the task that asks for advice.
     pub(super) fn ask_advice(&mut self) {
         let node = self.node.clone();
-        let Some(tenure) = &mut self.tenure else {
+        let Some(ownership) = &mut self.ownership else {
             return;
         };
-        let fence = tenure.fence;
-        for question in tenure.cell.take_questions() {
-            let way = tenure
+        let fence = ownership.fence;
+        for question in ownership.cell.take_questions() {
+            let way = ownership
                 .advice
-                .get_or_insert_with(|| owning::ask_advice(&node, fence));
-            // The task lives as long as the tenure.
+                .get_or_insert_with(|| owner_tasks::start_advice(&node, fence));
+            // The task lives as long as the ownership.
             let _ = way.send(question);
         }
     }
--- a/components/node/src/tenure/talk.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -4,9 +4,9 @@
     super::{Link, Next},
     crate::{
         core::Core,
+        external::PollError,
         heartbeat::Heartbeat,
-        message::{Duty, Heard, Offer},
-        outside::Unheard,
+        message::{RelayRequest, RelayResponse, WorkerEvent},
         time,
     },
     cell::{Entry, Order, Outcome, Poll, Reason, Report},
@@ -32,38 +32,42 @@
 
     /// The same for a worker that has waited for somebody since a time.
     fn tend_since(&mut self, fence: u64, entry: Entry, since: u64) {
-        let most = self.node.settings.alone();
-        let Some(tenure) = self.tenure_of(fence) else {
+        let most = self.node.settings.direct_workers();
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if tenure.cell.size() <= most {
+        if ownership.cell.size() <= most {
             self.tend_here(fence, entry);
             return;
         }
         let id = entry.id.clone();
-        if let Some(name) = tenure.relays.assign(entry, since) {
-            tenure.links.insert(id.clone(), Link::Relay(name));
-            tenure.allow_poll(&id);
+        if let Some(name) = ownership.relays.assign(entry, since) {
+            ownership.links.insert(id.clone(), Link::Relay(name));
+            ownership.allow_poll(&id);
         }
     }
 
     /// Starts the tasks of a worker on this box.
     pub(super) fn tend_here(&mut self, fence: u64, entry: Entry) {
         let node = self.node.clone();
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         let id = entry.id.clone();
-        if let Some(sender) = crate::worker::tend(&node, fence, entry) {
-            tenure.links.insert(id, Link::Here(sender));
+        if let Some(sender) = crate::worker::start_tasks(&node, fence, entry) {
+            ownership.links.insert(id, Link::Here(sender));
         }
     }
 
     /// Takes what a relay brings, and gives it what to do next. An owner in doubt does so too: starts that were decided
     /// before it stood still are too old for the relay to send, and polls let no lease go on.
-    pub(crate) fn take_offer(&mut self, cx: &mut Cx<'_, Self>, offer: Offer) -> Duty {
+    pub(crate) fn take_offer(
+        &mut self,
+        cx: &mut Cx<'_, Self>,
+        offer: RelayRequest,
+    ) -> RelayResponse {
         let duty = self.duty(cx, offer);
-        Duty {
+        RelayResponse {
             heartbeat: self.heartbeat(),
             ..duty
         }
@@ -71,7 +75,7 @@
 
     /// What this owner knows of the store.
     fn heartbeat(&mut self) -> Option<Heartbeat> {
-        let proven = self.present()?.proven();
+        let proven = self.current_ownership()?.proven();
         let shared = &self.node.shared;
         Some(Heartbeat {
             config: shared.config_revision.load(Ordering::Acquire),
@@ -80,56 +84,58 @@
         })
     }
 
-    fn duty(&mut self, cx: &mut Cx<'_, Self>, offer: Offer) -> Duty {
+    fn duty(&mut self, cx: &mut Cx<'_, Self>, offer: RelayRequest) -> RelayResponse {
         let now = time::now();
-        let (alone, link) = (self.node.settings.alone(), self.node.settings.link);
-        let Some(tenure) = self.present() else {
-            return Duty::default();
+        let (alone, link) = (self.node.settings.direct_workers(), self.node.settings.link);
+        let Some(ownership) = self.current_ownership() else {
+            return RelayResponse::default();
         };
-        let fence = tenure.fence;
-        let need = tenure.need(alone);
-        if let Some(former) = tenure.relays.join(&offer, need, now) {
+        let fence = ownership.fence;
+        let need = ownership.need(alone);
+        if let Some(former) = ownership.relays.join(&offer, need, now) {
             self.retend(fence, former);
         }
         if self
-            .tenure
+            .ownership
             .as_mut()
-            .is_some_and(|tenure| tenure.relays.take(&offer, now))
+            .is_some_and(|ownership| ownership.relays.take(&offer, now))
         {
             for heard in offer.heard {
                 self.hear(cx, fence, &offer.name, heard);
             }
         }
-        self.settle(cx);
-        self.tenure.as_mut().map_or(Duty::default(), |tenure| {
-            tenure.relays.duty(&offer.name, fence, link, time::now())
-        })
+        self.schedule_pass(cx);
+        self.ownership
+            .as_mut()
+            .map_or(RelayResponse::default(), |ownership| {
+                ownership.relays.duty(&offer.name, fence, link, time::now())
+            })
     }
 
     /// Takes in one thing that a relay heard from a worker.
-    fn hear(&mut self, cx: &mut Cx<'_, Self>, fence: u64, relay: &str, heard: Heard) {
+    fn hear(&mut self, cx: &mut Cx<'_, Self>, fence: u64, relay: &str, heard: WorkerEvent) {
         match heard {
-            Heard::Left(id) => {
-                if let Some(tenure) = self.tenure_of(fence) {
-                    tenure.relays.left(relay, &id);
+            WorkerEvent::Left(id) => {
+                if let Some(ownership) = self.ownership_of(fence) {
+                    ownership.relays.left(relay, &id);
                 }
             }
-            Heard::Report(id, sent, told) => {
-                let Some(tenure) = self.tenure_of(fence) else {
+            WorkerEvent::Report(id, sent, told) => {
+                let Some(ownership) = self.ownership_of(fence) else {
                     return;
                 };
-                let result = tenure.relays.read(relay, &id, told);
+                let result = ownership.relays.read(relay, &id, told);
                 if self.reported(cx, fence, &id, sent, result) == Next::Poll
-                    && let Some(tenure) = self.tenure_of(fence)
+                    && let Some(ownership) = self.ownership_of(fence)
                 {
-                    tenure.allow_poll(&id);
+                    ownership.allow_poll(&id);
                 }
             }
-            Heard::Answer(number, outcome) => {
-                let Some(tenure) = self.tenure_of(fence) else {
+            WorkerEvent::Answer(number, outcome) => {
+                let Some(ownership) = self.ownership_of(fence) else {
                     return;
                 };
-                if let Some((id, order)) = tenure.relays.answered(relay, number) {
+                if let Some((id, order)) = ownership.relays.answered(relay, number) {
                     self.answered(cx, fence, &id, &order, outcome);
                 }
             }
@@ -138,21 +144,21 @@
 
     /// Gives workers away anew whose relay is gone, and those that nobody had room for.
     pub(super) fn retend(&mut self, fence: u64, workers: Vec<Arc<str>>) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         let now = time::now();
-        let mut entries = tenure.relays.take_unattended();
+        let mut entries = ownership.relays.take_unattended();
         for id in workers {
-            tenure.links.remove(&id);
-            if let Some(entry) = tenure.cell.entry(&id) {
+            ownership.links.remove(&id);
+            if let Some(entry) = ownership.cell.entry(&id) {
                 entries.push((entry.clone(), now));
             }
         }
         for (entry, since) in entries {
             let is_known = self
-                .tenure_of(fence)
-                .is_some_and(|tenure| tenure.cell.knows(&entry.id));
+                .ownership_of(fence)
+                .is_some_and(|ownership| ownership.cell.knows(&entry.id));
             if is_known {
                 self.tend_since(fence, entry, since);
             }
@@ -162,18 +168,18 @@
     /// In a large cell, lets a relay with room talk to a worker from now on that this box had to talk
     /// to itself. False when it goes on.
     fn pass_on(&mut self, fence: u64, id: &Arc<str>) -> bool {
-        let most = self.node.settings.alone();
-        let Some(tenure) = self.tenure_of(fence) else {
+        let most = self.node.settings.direct_workers();
+        let Some(ownership) = self.ownership_of(fence) else {
             return false;
         };
-        if tenure.cell.size() <= most || !tenure.relays.has_room() {
+        if ownership.cell.size() <= most || !ownership.relays.has_room() {
             return false;
         }
-        let Some(entry) = tenure.cell.entry(id).cloned() else {
+        let Some(entry) = ownership.cell.entry(id).cloned() else {
             return false;
         };
         // The task for orders ends once it has sent those that it has.
-        tenure.links.remove(id);
+        ownership.links.remove(id);
         self.tend(fence, entry);
         true
     }
@@ -186,7 +192,7 @@
         fence: u64,
         id: &Arc<str>,
         sent: u64,
-        result: Result<Report, Unheard>,
+        result: Result<Report, PollError>,
         answerer: Answerer<Option<Poll>>,
     ) {
         let next = self.reported(cx, fence, id, sent, result);
@@ -194,15 +200,15 @@
             answerer.send(None);
             return;
         }
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             answerer.send(None);
             return;
         };
         match next {
-            Next::Poll => answerer.send(tenure.cell.poll(id, time::now())),
+            Next::Poll => answerer.send(ownership.cell.poll(id, time::now())),
             Next::Never => answerer.send(None),
             Next::Later => {
-                tenure.pollers.insert(id.clone(), answerer);
+                ownership.pollers.insert(id.clone(), answerer);
             }
         }
     }
@@ -214,39 +220,39 @@
         fence: u64,
         id: &Arc<str>,
         sent: u64,
-        result: Result<Report, Unheard>,
+        result: Result<Report, PollError>,
     ) -> Next {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return Next::Never;
         };
         let now = time::now();
         let mut later = None;
         match result {
             Ok(report) => {
-                tenure.answered_by(id, sent);
-                tenure.cell.report(id, report, sent, now, wall::millis());
+                ownership.answered_by(id, sent);
+                ownership.cell.report(id, report, sent, now, wall::millis());
             }
-            Err(Unheard::Refused(Reason::Fence)) => {
-                if !tenure.cell.is_past(id) {
-                    self.depose("a worker has seen a higher fence");
+            Err(PollError::Refused(Reason::Fence)) => {
+                if !ownership.cell.is_past(id) {
+                    self.end_ownership("a worker has seen a higher fence");
                     return Next::Never;
                 }
-                tenure.cell.unheard(id, now);
+                ownership.cell.unheard(id, now);
             }
-            Err(Unheard::OtherLife(born)) => {
-                later = tenure.cell.follow(id, born, sent, now);
+            Err(PollError::OtherLife(born)) => {
+                later = ownership.cell.follow(id, born, sent, now);
             }
-            Err(Unheard::Refused(Reason::OtherLife)) => {
-                tenure.cell.end_life(id, "another life answers", now);
+            Err(PollError::Refused(Reason::OtherLife)) => {
+                ownership.cell.end_life(id, "another life answers", now);
             }
-            Err(_) => tenure.cell.unheard(id, now),
+            Err(_) => ownership.cell.unheard(id, now),
         }
-        tenure.unlink_gone();
-        let next = if !tenure.cell.is_polled(id) {
-            tenure.unlink(id);
+        ownership.unlink_gone();
+        let next = if !ownership.cell.is_polled(id) {
+            ownership.unlink(id);
             Next::Never
-        } else if tenure.cell.is_unwritten(id) {
-            tenure.waiting.insert(id.clone());
+        } else if ownership.cell.is_unwritten(id) {
+            ownership.waiting.insert(id.clone());
             let id = id.clone();
             after!(UNWRITTEN_PAUSE, [cx], |this, _| this.let_poll(fence, &id));
             Next::Later
@@ -256,22 +262,22 @@
         if let Some(entry) = later {
             self.tend(fence, entry);
         }
-        self.settle(cx);
+        self.schedule_pass(cx);
         next
     }
 
     /// The first poll of a worker.
     pub(crate) fn first_poll(&mut self, fence: u64, id: &str) -> Option<Poll> {
-        self.tenure_of(fence)?.cell.poll(id, time::now())
+        self.ownership_of(fence)?.cell.poll(id, time::now())
     }
 
     /// Lets a worker be polled whose ends are written, or have waited long enough.
     pub(super) fn let_poll(&mut self, fence: u64, id: &Arc<str>) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if tenure.waiting.remove(id) {
-            tenure.allow_poll(id);
+        if ownership.waiting.remove(id) {
+            ownership.allow_poll(id);
         }
     }
 
@@ -284,14 +290,14 @@
         order: &Order,
         outcome: Outcome,
     ) {
-        let Some(tenure) = self.tenure_of(fence) else {
+        let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if tenure.cell.answered(id, order, outcome, time::now()) {
-            self.depose("a worker has seen a higher fence");
+        if ownership.cell.answered(id, order, outcome, time::now()) {
+            self.end_ownership("a worker has seen a higher fence");
             return;
         }
-        tenure.unlink_gone();
-        self.settle(cx);
+        ownership.unlink_gone();
+        self.schedule_pass(cx);
     }
 }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -7,8 +7,8 @@
         cancel,
         core::Node,
         kept,
-        message::{Ask, Offer, Shut, Told},
-        settings::{PEER_TIMEOUT, PEER_TWICE},
+        message::{ClosedHall, PeerRequest, PeerResponse, RelayRequest},
+        settings::{PEER_RETRY, PEER_TIMEOUT},
     },
     kernel::{Failure, Request, client::Time, server},
     std::sync::Arc,
@@ -22,23 +22,23 @@
 /// # Errors
 ///
 /// It gave no usable answer.
-pub fn ask(node: &Node, address: &str, ask: &Ask) -> Result<Told, Failure> {
+pub fn call(node: &Node, address: &str, ask: &PeerRequest) -> Result<PeerResponse, Failure> {
     let url = format!("http://{address}{PATH}");
     let time = match ask {
         // Its refusal has to be true, and that of a second try says nothing of the first.
-        Ask::Submit(_) | Ask::Cancel(_) => Time::from(PEER_TIMEOUT),
-        _ => PEER_TWICE,
+        PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Time::from(PEER_TIMEOUT),
+        _ => PEER_RETRY,
     };
     node.client.post(&url, ask, time)
 }
 
 /// Asks the owner of the cell, when it is another box.
-pub fn ask_owner(node: &Node, question: &Ask) -> Option<Told> {
+pub fn call_owner(node: &Node, question: &PeerRequest) -> Option<PeerResponse> {
     let owner = node.shared.owner.load_full()?;
     if owner.name == node.settings.name {
         return None;
     }
-    match ask(node, &owner.address, question) {
+    match call(node, &owner.address, question) {
         Ok(told) => Some(told),
         Err(failure) => {
             log::info!(target: "peer", owner = &*owner.name, error:% = failure; "The owner does not answer.");
@@ -48,15 +48,15 @@
 }
 
 /// Lets the owner do what this box cannot. Without an owner that answers, nothing was sent.
-pub(crate) fn pass_on(node: &Node, question: &Ask, reply: Reply) -> Reply {
+pub(crate) fn forward(node: &Node, question: &PeerRequest, reply: Reply) -> Reply {
     let Some(owner) = node.shared.owner.load_full() else {
         return reply;
     };
     if owner.name == node.settings.name {
         return reply;
     }
-    match ask(node, &owner.address, question) {
-        Ok(Told::Reply(passed)) => passed,
+    match call(node, &owner.address, question) {
+        Ok(PeerResponse::Reply(passed)) => passed,
         Ok(_) => Reply::Unsure,
         Err(failure) if failure.is_not_run() => reply,
         Err(_) => Reply::Unsure,
@@ -64,21 +64,23 @@
 }
 
 /// Answers another box.
-pub fn answer(node: &Node, request: Request) {
-    let result = request.message().and_then(|ask: Ask| told(node, ask));
+pub fn handle(node: &Node, request: Request) {
+    let result = request
+        .message()
+        .and_then(|ask: PeerRequest| dispatch(node, ask));
     request.respond(server::Reply::message(&result));
 }
 
 /// Has the actor answer a relay.
-pub fn answer_relay(node: &Node, request: Request) {
-    let offer: Offer = match request.message() {
+pub fn handle_relay(node: &Node, request: Request) {
+    let offer: RelayRequest = match request.message() {
         Ok(offer) => offer,
         Err(failure) => return request.respond(server::Reply::failure(&failure)),
     };
-    let is_narrow = node.settings.is_narrow();
+    let has_narrow_link = node.settings.has_narrow_link();
     node.remote.tell(move |core, cx| {
         let duty = Ok(core.take_offer(cx, offer));
-        request.respond(if is_narrow {
+        request.respond(if has_narrow_link {
             server::Reply::packed(&duty)
         } else {
             server::Reply::compact(&duty)
@@ -86,29 +88,29 @@
     });
 }
 
-fn told(node: &Node, ask: Ask) -> Result<Told, Failure> {
+fn dispatch(node: &Node, ask: PeerRequest) -> Result<PeerResponse, Failure> {
     match ask {
-        Ask::State(id) => {
+        PeerRequest::State(id) => {
             let state = node.remote.ask(move |core, _| core.state(&id))?;
-            Ok(Told::State(state))
+            Ok(PeerResponse::State(state))
         }
-        Ask::Waiting(queue) => Ok(Told::Waiting(waiting(node, queue)?)),
-        Ask::Submit(submission) => {
+        PeerRequest::Waiting(queue) => Ok(PeerResponse::Waiting(queue_length(node, queue)?)),
+        PeerRequest::Submit(submission) => {
             let submission = kept::sound(*submission)?;
-            Ok(Told::Reply(accept::submit(node, submission, false)))
+            Ok(PeerResponse::Reply(accept::submit(node, submission, false)))
         }
-        Ask::Cancel(id) => Ok(Told::Reply(cancel::cancel(node, &id, false))),
-        Ask::Cancelled(id) => Ok(Told::Reply(cancel::told(node, &id))),
-        Ask::Probe { release } => probe(node, release),
-        Ask::Halls { passed } => Ok(Told::Halls(halls(node, passed)?)),
+        PeerRequest::Cancel(id) => Ok(PeerResponse::Reply(cancel::cancel(node, &id, false))),
+        PeerRequest::Cancelled(id) => Ok(PeerResponse::Reply(cancel::told(node, &id))),
+        PeerRequest::Probe { release } => probe(node, release),
+        PeerRequest::Halls { passed } => Ok(PeerResponse::Halls(closed_halls(node, passed)?)),
     }
 }
 
 /// The jobs of a queue that wait; `None` when this box does not own the cell.
-pub(crate) fn waiting(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
+pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
     node.remote.ask(move |core, _| {
-        let tenure = core.sure()?;
-        Some(tenure.cell.waiting(&queue))
+        let ownership = core.confirmed_ownership()?;
+        Some(ownership.cell.waiting(&queue))
     })
 }
 
@@ -118,24 +120,24 @@
 /// # Errors
 ///
 /// The box is stopping.
-pub fn halls(node: &Node, passed: bool) -> Result<Option<Vec<Shut>>, Failure> {
+pub fn closed_halls(node: &Node, passed: bool) -> Result<Option<Vec<ClosedHall>>, Failure> {
     let own = node.remote.ask(|core, _| core.halls())?;
     if own.is_some() || passed {
         return Ok(own);
     }
-    match ask_owner(node, &Ask::Halls { passed: true }) {
-        Some(Told::Halls(halls)) => Ok(halls),
+    match call_owner(node, &PeerRequest::Halls { passed: true }) {
+        Some(PeerResponse::Halls(halls)) => Ok(halls),
         _ => Ok(None),
     }
 }
 
-fn probe(node: &Node, release: bool) -> Result<Told, Failure> {
-    let cut_off = node.shared.is_cut_off();
+fn probe(node: &Node, release: bool) -> Result<PeerResponse, Failure> {
+    let cut_off = node.shared.is_store_unreachable();
     let owning = node.remote.ask(move |core, _| {
         if release && cut_off {
-            core.depose("it is cut off from the store, and another box is not");
+            core.end_ownership("it is cut off from the store, and another box is not");
         }
-        core.tenure.is_some()
+        core.ownership.is_some()
     })?;
-    Ok(Told::Owning { owning, cut_off })
+    Ok(PeerResponse::Owning { owning, cut_off })
 }
--- a/components/node/src/queued.rs
+++ b/components/node/src/queued.rs
@@ -4,7 +4,7 @@
 //! lost its room, would begin only to be stopped. Likewise a start that is withdrawn, since its data hall was shut.
 
 use {
-    crate::settings::START_WAIT,
+    crate::settings::MAX_START_WAIT_MS,
     cell::{Key, Order},
     kernel::sync::lock,
     std::{
@@ -38,7 +38,7 @@
     /// True for an order to start that has waited for too long to be sent.
     pub fn is_stale(&self, now: u64) -> bool {
         let is_start = matches!(self.order, Order::Start(_));
-        is_start && now.saturating_sub(self.since) > START_WAIT
+        is_start && now.saturating_sub(self.since) > MAX_START_WAIT_MS
     }
 }
 
@@ -163,10 +163,10 @@
 
     /// Seen on days with orders that have no answer: a start that waited 1.3 s behind two of them was sent
     /// 1.2 s after its task had ended elsewhere. A stop may be as late as it likes.
-    #[test_case(start(), 0, START_WAIT, false; "start in time")]
-    #[test_case(start(), 0, START_WAIT + 1, true; "start too late")]
-    #[test_case(start(), 400, START_WAIT - 400, false; "start in time after a relay's exchange")]
-    #[test_case(start(), 400, START_WAIT - 399, true; "start too late after a relay's exchange")]
+    #[test_case(start(), 0, MAX_START_WAIT_MS, false; "start in time")]
+    #[test_case(start(), 0, MAX_START_WAIT_MS + 1, true; "start too late")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 400, false; "start in time after a relay's exchange")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 399, true; "start too late after a relay's exchange")]
     #[test_case(stop(), 0, 60_000, false; "stop")]
     fn is_stale_by_wait(order: Order, age: u64, wait: u64, is_stale: bool) {
         let now = 100_000;
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -7,12 +7,15 @@
 use {
     crate::{
         core::Node,
+        external::PollError,
         follow,
-        message::{Begin, Command, Duty, Heard, Offer, Owner},
+        message::{Command, CompactStart, Owner, RelayRequest, RelayResponse, WorkerEvent},
         news::News,
-        outside::Unheard,
         queued::{self, Entrance, Exit, Queued},
-        settings::{LOOK_IDLE, LOOK_RELAY, POLL_PAUSE, RELAY_BUSY, RELAY_IDLE, RELAY_TIME},
+        settings::{
+            IDLE_MIN_INTERVAL, IDLE_OWNER_READ_MS, POLL_RETRY_PAUSE, RELAY_MIN_INTERVAL,
+            RELAY_OWNER_READ_MS, RELAY_TIMEOUT,
+        },
         texts::Texts,
         time, worker,
     },
@@ -56,25 +59,25 @@
 /// What workers have said since the last offer.
 #[derive(Default)]
 struct Ear {
-    heard: Vec<Heard>,
+    heard: Vec<WorkerEvent>,
     /// What each worker that is looked after listed last, as the owner knows it.
     lists: HashMap<Arc<str>, Vec<Run>>,
 }
 
 impl Ear {
     /// Notes a worker's report, unless it is looked after no longer.
-    fn report(&mut self, id: &Arc<str>, at: u64, result: Result<Report, Unheard>) {
+    fn report(&mut self, id: &Arc<str>, at: u64, result: Result<Report, PollError>) {
         let Some(list) = self.lists.get_mut(id) else {
             return;
         };
         let news = result.map(|report| News::of(report, list));
-        self.heard.push(Heard::Report(id.clone(), at, news));
+        self.heard.push(WorkerEvent::Report(id.clone(), at, news));
     }
 
     /// Notes that a worker is looked after no longer.
     fn leave(&mut self, id: Arc<str>) {
         if self.lists.remove(&id).is_some() {
-            self.heard.push(Heard::Left(id));
+            self.heard.push(WorkerEvent::Left(id));
         }
     }
 }
@@ -82,15 +85,15 @@
 /// Offers this box to the owner for as long as the process lives.
 pub fn run(node: &Node) {
     let mut session: Option<Session> = None;
-    let mut unanswered: Option<Offer> = None;
+    let mut unanswered: Option<RelayRequest> = None;
     let mut looks = Looks::default();
     while !node.shared.is_stopping() {
         let owner = node.shared.owner.load_full();
         let Some(owner) = owner.filter(|owner| owner.name != node.settings.name) else {
             session = None;
             unanswered = None;
-            node.shared.monitor.miss();
-            thread::sleep(RELAY_IDLE);
+            node.shared.monitor.clear();
+            thread::sleep(IDLE_MIN_INTERVAL);
             continue;
         };
         let offer = unanswered
@@ -101,19 +104,19 @@
             Ok(duty) => duty,
             Err(failure) => {
                 log::debug!(target: "relay", owner = &*owner.name, error:% = failure; "An exchange with the owner failed.");
-                node.shared.monitor.miss();
+                node.shared.monitor.clear();
                 unanswered = Some(offer);
                 looks.look(node, session.is_some());
                 thread::sleep(if session.is_some() {
-                    RELAY_BUSY
+                    RELAY_MIN_INTERVAL
                 } else {
-                    RELAY_IDLE
+                    IDLE_MIN_INTERVAL
                 });
                 continue;
             }
         };
-        let rest = Duration::from_millis(duty.pause).max(RELAY_IDLE);
-        node.shared.monitor.hear(duty.heartbeat, asked, rest);
+        let rest = Duration::from_millis(duty.pause).max(IDLE_MIN_INTERVAL);
+        node.shared.monitor.record(duty.heartbeat, asked, rest);
         let had_session = session.is_some();
         session = take_on(node, &owner, session, duty, asked);
         if had_session && session.is_none() {
@@ -138,20 +141,24 @@
         if now < self.next {
             return;
         }
-        let gap = if is_relay { LOOK_RELAY } else { LOOK_IDLE };
+        let gap = if is_relay {
+            RELAY_OWNER_READ_MS
+        } else {
+            IDLE_OWNER_READ_MS
+        };
         self.next = now + gap + fastrand::u64(0..gap);
         follow::look(node);
     }
 }
 
 /// Makes an offer to the owner, and returns what it wants done.
-fn exchange(node: &Node, owner: &Owner, offer: &Offer) -> Result<Duty, Failure> {
+fn exchange(node: &Node, owner: &Owner, offer: &RelayRequest) -> Result<RelayResponse, Failure> {
     let url = format!("http://{}{PATH}", owner.address);
     let mut body = wire::encode_compact(offer)?;
-    if node.settings.is_narrow() {
+    if node.settings.has_narrow_link() {
         body = wire::pack(body);
     }
-    node.client.post_encoded(&url, &body, RELAY_TIME)
+    node.client.post_encoded(&url, &body, RELAY_TIMEOUT)
 }
 
 /// Carries a duty out, in a new session where it belongs to one. Returns the session; `None` when the
@@ -160,7 +167,7 @@
     node: &Node,
     owner: &Owner,
     session: Option<Session>,
-    duty: Duty,
+    duty: RelayResponse,
     asked: u64,
 ) -> Option<Session> {
     if duty.session == 0 {
@@ -176,8 +183,8 @@
 }
 
 /// The next offer: what was heard in the session, where there is one.
-fn offer(node: &Node, session: Option<&mut Session>) -> Offer {
-    let mut offer = Offer {
+fn offer(node: &Node, session: Option<&mut Session>) -> RelayRequest {
+    let mut offer = RelayRequest {
         name: node.settings.name.clone(),
         hall: node.settings.hall.clone(),
         share: node.settings.share,
@@ -198,13 +205,13 @@
 }
 
 impl Session {
-    fn new(duty: &Duty) -> Self {
+    fn new(duty: &RelayResponse) -> Self {
         Session {
             number: duty.session,
             fence: duty.fence,
             taken: 0,
             offered: 0,
-            pause: RELAY_BUSY,
+            pause: RELAY_MIN_INTERVAL,
             ways: HashMap::new(),
             texts: Texts::default(),
             heard: Arc::default(),
@@ -212,7 +219,7 @@
     }
 
     /// Hands the commands of a duty on, which came in an exchange that began at `asked`.
-    fn carry_out(&mut self, node: &Node, duty: Duty, asked: u64) {
+    fn carry_out(&mut self, node: &Node, duty: RelayResponse, asked: u64) {
         self.pause = Duration::from_millis(duty.pause);
         if duty.batch <= self.taken {
             return;
@@ -269,12 +276,12 @@
         let refused = Outcome::Refused(Reason::NotSent);
         let answers = numbers
             .into_iter()
-            .map(|number| Heard::Answer(number, refused));
+            .map(|number| WorkerEvent::Answer(number, refused));
         lock(&self.heard).heard.extend(answers);
     }
 
     /// Hands starts of a job to their workers' tasks.
-    fn start(&self, job: &Id, begins: Vec<Begin>, age: u64) {
+    fn start(&self, job: &Id, begins: Vec<CompactStart>, age: u64) {
         let Some(text) = self.texts.get(job) else {
             log::error!(target: "relay", job = job.as_str(); "Starts came without the text of their job.");
             self.refuse(begins.iter().map(|begin| begin.number));
@@ -311,10 +318,10 @@
     heard: Arc<Mutex<Ear>>,
 ) {
     while let Some((at, poll)) = polls.recv().await {
-        let result = node.outside.workers.poll(&entry, fence, poll).await;
-        if let Err(Unheard::Silent(_)) = result {
+        let result = node.external.workers.poll(&entry, fence, poll).await;
+        if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_PAUSE).await;
+            net::sleep(POLL_RETRY_PAUSE).await;
         }
         lock(&heard).report(&entry.id, at, result);
     }
@@ -323,8 +330,10 @@
 async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit, heard: Arc<Mutex<Ear>>) {
     while let Some(queued) = orders.next().await {
         let number = queued.number;
-        let outcome = worker::send_one(&node, fence, &entry, queued, &orders).await;
-        lock(&heard).heard.push(Heard::Answer(number, outcome));
+        let outcome = worker::send_order(&node, fence, &entry, queued, &orders).await;
+        lock(&heard)
+            .heard
+            .push(WorkerEvent::Answer(number, outcome));
     }
 }
 
@@ -335,7 +344,7 @@
     /// An order that nobody takes would count as on its way for good, and its relay as busy.
     #[test]
     fn order_without_a_task_is_refused() {
-        let session = Session::new(&Duty::default());
+        let session = Session::new(&RelayResponse::default());
         let order = Order::Stop {
             key: Key {
                 job: Id::new("00000000000000a1").unwrap(),
@@ -352,6 +361,6 @@
         session.start(&Id::new("00000000000000a1").unwrap(), Vec::new(), 0);
         let heard = std::mem::take(&mut lock(&session.heard).heard);
         let refused = Outcome::Refused(Reason::NotSent);
-        assert!(matches!(&heard[..], [Heard::Answer(7, outcome)] if *outcome == refused));
+        assert!(matches!(&heard[..], [WorkerEvent::Answer(7, outcome)] if *outcome == refused));
     }
 }
--- a/components/node/src/relays/allowance.rs
+++ b/components/node/src/relays/allowance.rs
@@ -1,6 +1,6 @@
 //! How much of the owner's link specifications may take.
 
-use crate::settings::AHEAD;
+use crate::settings::MAX_IN_FLIGHT_MS;
 
 /// The part of the owner's link that specifications may take.
 const TEXT_PART: u64 = 4;
@@ -23,7 +23,7 @@
     pub fn grow(&mut self, link: u64, now: u64) {
         let rate = link / TEXT_PART;
         let since = now.saturating_sub(self.grown);
-        self.left = (self.left + since * rate).min(rate * AHEAD);
+        self.left = (self.left + since * rate).min(rate * MAX_IN_FLIGHT_MS);
         self.grown = now;
     }
 
--- a/components/node/src/relays/idle.rs
+++ b/components/node/src/relays/idle.rs
@@ -1,12 +1,12 @@
 //! The boxes that offer themselves as relays and are not needed.
 
 use {
-    crate::settings::{IDLE_OFFERS, RELAY_IDLE, RELAY_REST},
+    crate::settings::{IDLE_MAX_INTERVAL_MS, IDLE_MIN_INTERVAL, IDLE_REQUEST_RATE},
     std::{collections::HashSet, sync::Arc},
 };
 
 /// Boxes are counted anew this often, in milliseconds.
-const COUNT_FOR: u64 = 2 * RELAY_REST;
+const COUNT_FOR: u64 = 2 * IDLE_MAX_INTERVAL_MS;
 
 /// How many boxes there are.
 #[derive(Default)]
@@ -30,12 +30,12 @@
         if !self.names.contains(name) {
             self.names.insert(name.into());
         }
-        let least = RELAY_IDLE.as_millis() as u64;
+        let least = IDLE_MIN_INTERVAL.as_millis() as u64;
         if !is_complete {
             return least;
         }
         let boxes = self.counted.max(self.names.len()) as u64;
-        (boxes * 1_000 / IDLE_OFFERS).clamp(least, RELAY_REST)
+        (boxes * 1_000 / IDLE_REQUEST_RATE).clamp(least, IDLE_MAX_INTERVAL_MS)
     }
 }
 
@@ -69,6 +69,9 @@
         for number in 0..587 {
             idle.pause(&format!("b{number}"), true, 0);
         }
-        assert_eq!(idle.pause("b1", false, 1), RELAY_IDLE.as_millis() as u64);
+        assert_eq!(
+            idle.pause("b1", false, 1),
+            IDLE_MIN_INTERVAL.as_millis() as u64
+        );
     }
 }
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -11,10 +11,10 @@
         relay::{Relay, START_BYTES, TEXT_BYTES, bytes, start_bytes},
     },
     crate::{
-        message::{Command, Duty, Offer},
+        external::PollError,
+        message::{Command, RelayRequest, RelayResponse},
         news::News,
-        outside::Unheard,
-        settings::{AHEAD, RELAY_BUSY, RELAY_SLOW},
+        settings::{MAX_IN_FLIGHT_MS, RELAY_MAX_INTERVAL_MS, RELAY_MIN_INTERVAL},
         texts::Texts,
     },
     cell::{Entry, Order, Poll, Report},
@@ -55,7 +55,7 @@
     Short,
 }
 
-/// All relays of one tenure.
+/// All relays of one ownership.
 #[derive(Default)]
 pub struct Relays {
     by_name: HashMap<Arc<str>, Relay>,
@@ -157,7 +157,7 @@
     /// on the wire, where nothing can go before it.
     pub fn starts(&self, link: u64) -> usize {
         let unsent: usize = self.by_name.values().map(|relay| relay.unsent).sum();
-        let room = ((link * AHEAD) as usize).saturating_sub(unsent);
+        let room = ((link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(unsent);
         // With a text for every fourth start.
         let by_owner = room / (START_BYTES + TEXT_BYTES / 4);
         if self.by_name.is_empty() {
@@ -169,9 +169,9 @@
 
     /// Lets specifications take their part of an owner's link; all that they need where the store, from which relays
     /// would read them, fails.
-    pub fn allow_texts(&mut self, link: u64, is_failing: bool, now: u64) {
+    pub fn allow_texts(&mut self, link: u64, is_store_failing: bool, now: u64) {
         self.allowance.grow(link, now);
-        self.allowance.is_all = is_failing;
+        self.allowance.is_all = is_store_failing;
     }
 
     /// The workers of relays that have as many starts to send as their links take now.
@@ -186,8 +186,8 @@
         &mut self,
         name: &str,
         id: &Arc<str>,
-        told: Result<News, Unheard>,
-    ) -> Result<Report, Unheard> {
+        told: Result<News, PollError>,
+    ) -> Result<Report, PollError> {
         let news = told?;
         let mut unknown = Vec::new();
         let list = self.by_name.get_mut(name).map_or(&mut unknown, |relay| {
@@ -217,7 +217,7 @@
     }
 
     /// Takes a box's offer. True when what it brings is new.
-    pub fn take(&mut self, offer: &Offer, now: u64) -> bool {
+    pub fn take(&mut self, offer: &RelayRequest, now: u64) -> bool {
         let Some(relay) = self.by_name.get_mut(&offer.name) else {
             return false;
         };
@@ -237,7 +237,7 @@
     /// Takes a box on as a relay, if it is of use: a strong one always in a large cell, another one while
     /// workers of its hall have no relay, or any for long, or the owner talks to some itself. Returns the workers
     /// of its former session, if it had one: they have to be given away anew.
-    pub fn join(&mut self, offer: &Offer, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
+    pub fn join(&mut self, offer: &RelayRequest, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
         let former = match self.by_name.get(&offer.name) {
             Some(relay) if relay.session == offer.session => return None,
             Some(_) => self.drop(&offer.name),
@@ -248,7 +248,7 @@
         }
         self.sessions += 1;
         let relay = Relay {
-            // The clock keeps sessions of one tenure apart from those of another on this box.
+            // The clock keeps sessions of one ownership apart from those of another on this box.
             session: now * 1_000 + self.sessions,
             hall: offer.hall.clone(),
             share: offer.share,
@@ -269,7 +269,7 @@
         Some(former)
     }
 
-    fn wants(&self, offer: &Offer, need: Need, now: u64) -> bool {
+    fn wants(&self, offer: &RelayRequest, need: Need, now: u64) -> bool {
         if need == Need::None {
             return false;
         }
@@ -284,26 +284,26 @@
     /// How long relays wait between two exchanges with an owner of this link, in milliseconds: the heads of all
     /// exchanges are to take no more than a part of it.
     pub fn pause(&self, link: u64) -> u64 {
-        let least = RELAY_BUSY.as_millis() as u64;
+        let least = RELAY_MIN_INTERVAL.as_millis() as u64;
         let count = self.by_name.len() as u64;
         let wanted = count * EXCHANGE * EXCHANGE_PART / link.max(1);
-        wanted.clamp(least, RELAY_SLOW)
+        wanted.clamp(least, RELAY_MAX_INTERVAL_MS)
     }
 
     /// What a box has to do next, for an owner of this link.
-    pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> Duty {
+    pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> RelayResponse {
         let pause = self.pause(link);
         let Some(relay) = self.by_name.get_mut(name) else {
-            return Duty {
+            return RelayResponse {
                 pause: self.idle.pause(name, self.unattended.is_empty(), now),
-                ..Duty::default()
+                ..RelayResponse::default()
             };
         };
         if relay.sent.is_empty() && !relay.next.is_empty() {
             relay.sent = std::mem::take(&mut relay.next);
             relay.batch += 1;
         }
-        Duty {
+        RelayResponse {
             session: relay.session,
             fence,
             batch: relay.batch,
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -3,8 +3,8 @@
 use {
     super::allowance::Allowance,
     crate::{
-        message::{Begin, Command},
-        settings::{AHEAD, Settings},
+        message::{Command, CompactStart},
+        settings::{MAX_IN_FLIGHT_MS, Settings},
         texts::Texts,
     },
     cell::{Order, Run, Start},
@@ -57,7 +57,7 @@
 impl Relay {
     /// How many workers it looks after at the most.
     pub fn most(&self) -> usize {
-        Settings::most_workers(self.share, self.link).max(1)
+        Settings::max_workers(self.share, self.link).max(1)
     }
 
     /// True when it has room for another worker.
@@ -67,12 +67,12 @@
 
     /// True when it has as many starts to send as its link takes in the time ahead.
     pub fn is_busy(&self) -> bool {
-        self.starting as u64 >= self.link * AHEAD
+        self.starting as u64 >= self.link * MAX_IN_FLIGHT_MS
     }
 
     /// How many more starts its link takes in the time ahead.
     pub fn starts(&self) -> usize {
-        let room = ((self.link * AHEAD) as usize).saturating_sub(self.starting);
+        let room = ((self.link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(self.starting);
         room.div_ceil(TEXT_BYTES + SENT_BYTES)
     }
 
@@ -83,7 +83,7 @@
 
     /// Has a task started, with others of its job where they are told of in turn.
     pub fn start(&mut self, worker: &Arc<str>, number: u64, now: u64, start: &Start) {
-        let begin = Begin::new(worker.clone(), number, start);
+        let begin = CompactStart::new(worker.clone(), number, start);
         let job = &start.key.job;
         if let Some(Command::Starts(last, at, begins)) = self.next.last_mut()
             && last == job
--- a/components/node/src/store.rs
+++ b/components/node/src/store.rs
@@ -13,7 +13,7 @@
     pub revision: u64,
     /// The store's revision when this was read: a watch goes on from here, since the history of
     /// an old change may be gone.
-    pub at: u64,
+    pub store_revision: u64,
 }
 
 /// A page of keys in their order.
@@ -24,7 +24,7 @@
     /// There are more after the last one.
     pub more: bool,
     /// The store's revision when the page was read.
-    pub at: u64,
+    pub store_revision: u64,
 }
 
 /// One change that a watch has seen.
@@ -33,16 +33,16 @@
     /// A key was written.
     Put(Item),
     /// A key has gone.
-    Gone(String),
+    Deleted(String),
 }
 
 /// What a watch brought.
 #[derive(Debug, Clone)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes, and the revision to go on from.
     Events(Vec<Event>, u64),
     /// The history that was asked for is gone: read everything anew.
-    Forgotten,
+    Compacted,
 }
 
 /// One key to write.
@@ -72,7 +72,7 @@
 
 /// What came of a change that the store has answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyResult {
     /// It took effect, as this revision.
     Done(u64),
     /// A condition does not hold; the keys of the conditions as they are, without absent ones.
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// As for `get`.
-    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Failure>;
+    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchResult, Failure>;
 
     /// Makes a change.
     ///
@@ -127,7 +127,7 @@
     ///
     /// `not-run`: it surely takes no effect. `may-have-run`: it has taken effect, or may do so
     /// later while its conditions hold.
-    fn apply(&self, change: &Change) -> Result<Applied, Failure>;
+    fn apply(&self, change: &Change) -> Result<ApplyResult, Failure>;
 
     /// Sees whether the store answers, as cheaply as can be.
     ///
@@ -159,7 +159,7 @@
 /// A page could not be read.
 pub fn range_all(store: &dyn Store, prefix: &str) -> Result<(Vec<Item>, u64), Failure> {
     let mut page = store.range(prefix, None)?;
-    let at = page.at;
+    let at = page.store_revision;
     let mut items = std::mem::take(&mut page.items);
     while page.more {
         let last = items.last().map(|item| item.key.clone());
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -3,18 +3,18 @@
 use {
     crate::{
         core::Node,
-        outside::Unheard,
+        external::PollError,
         queued::{self, Entrance, Exit, Queued},
-        settings::POLL_PAUSE,
+        settings::POLL_RETRY_PAUSE,
         time,
     },
     cell::{Entry, Order, Outcome, Reason},
     kernel::{Failure, net, verdict::Cause},
 };
 
-/// Starts the tasks of a worker; they end with the tenure or with the worker. Returns the way for
+/// Starts the tasks of a worker; they end with the ownership or with the worker. Returns the way for
 /// its orders.
-pub fn tend(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
+pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
     let (entrance, orders) = queued::line();
     let polled = poll(node.clone(), fence, entry.clone());
     let sent = send(node.clone(), fence, entry, orders);
@@ -37,10 +37,10 @@
     };
     while let Some(poll) = next {
         let sent = time::now();
-        let result = node.outside.workers.poll(&entry, fence, poll).await;
-        if let Err(Unheard::Silent(_)) = result {
+        let result = node.external.workers.poll(&entry, fence, poll).await;
+        if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_PAUSE).await;
+            net::sleep(POLL_RETRY_PAUSE).await;
         }
         let id = entry.id.clone();
         let answer = node.remote.answered(move |core, cx, answerer| {
@@ -52,12 +52,12 @@
 
 async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit) {
     while let Some(queued) = orders.next().await {
-        // Orders may have waited behind others while the tenure ended.
+        // Orders may have waited behind others while the ownership ended.
         if !node.shared.is_owning(fence) {
             return;
         }
         let order = queued.order.clone();
-        let outcome = send_one(&node, fence, &entry, queued, &orders).await;
+        let outcome = send_order(&node, fence, &entry, queued, &orders).await;
         if outcome == Outcome::Unknown {
             log::info!(target: "owner", worker = &*entry.id, order:% = order; "An order has no answer.");
         }
@@ -72,7 +72,7 @@
 }
 
 /// Sends an order, unless it has waited for too long or must not leave any more; a start with the specification of its job.
-pub(crate) async fn send_one(
+pub(crate) async fn send_order(
     node: &Node,
     fence: u64,
     entry: &Entry,
@@ -87,7 +87,7 @@
         && start.text.is_empty()
     {
         let (own, job) = (node.clone(), start.key.job.clone());
-        let read = move || own.fetched.text(&*own.outside.store, &job);
+        let read = move || own.fetched.text(&*own.external.store, &job);
         match net::blocking(read).await.unwrap_or_else(|| Err(unread())) {
             Ok(text) => start.text = text,
             Err(failure) => {
@@ -101,7 +101,7 @@
         return Outcome::Refused(Reason::NotSent);
     }
     metrics::counter!("magpie_orders_total").increment(1);
-    node.outside
+    node.external
         .workers
         .order(entry, fence, &queued.order)
         .await
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -1,7 +1,7 @@
 //! A cell whose relays have narrow links, offered more than these carry, on a clock of its own.
 //!
 //! The cell and the book of relays are the real ones. What lies between is reckoned: each link carries so many bytes a
-//! millisecond, one thing after the other, and a start that comes later than [`START_WAIT`] is not sent.
+//! millisecond, one thing after the other, and a start that comes later than [`MAX_START_WAIT_MS`] is not sent.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -10,9 +10,9 @@
     job::{Id, Queue, Spec, Step, Submission, spec::Size},
     kernel::wire,
     magpie_node::{
-        message::{Begin, Command, Offer},
+        message::{Command, CompactStart, RelayRequest},
         relays::{Need, Relays},
-        settings::START_WAIT,
+        settings::MAX_START_WAIT_MS,
     },
     std::{collections::BTreeMap, sync::Arc},
 };
@@ -37,11 +37,11 @@
     /// A relay's offer reaches the owner, with the answers to these orders.
     Offer(usize, Vec<(u64, Outcome)>),
     /// A duty reaches a relay.
-    Duty(usize, Vec<(u64, Begin, Id)>, u64),
+    Duty(usize, Vec<(u64, CompactStart, Id)>, u64),
     /// A start leaves the relay, or does not.
-    Sent(usize, Begin, Id, bool),
+    Sent(usize, CompactStart, Id, bool),
     /// A run is done.
-    Done(Arc<str>, Id, Begin),
+    Done(Arc<str>, Id, CompactStart),
 }
 
 /// What a relay knows.
@@ -170,10 +170,10 @@
         self.events.insert((time, self.numbers), event);
     }
 
-    fn offer(&mut self, relay: usize) -> Offer {
+    fn offer(&mut self, relay: usize) -> RelayRequest {
         let session = &mut self.sessions[relay];
         session.offered += 1;
-        Offer {
+        RelayRequest {
             name: name(relay).into(),
             hall: "h1".into(),
             share: 500,
@@ -186,7 +186,7 @@
     }
 
     /// A report of a worker, with a run that is done.
-    fn report(&mut self, id: &Arc<str>, done: Option<(Id, Begin)>) {
+    fn report(&mut self, id: &Arc<str>, done: Option<(Id, CompactStart)>) {
         let number = self.ended.entry(id.clone()).or_default();
         let ended = done.map(|(job, begin)| {
             *number += 1;
@@ -258,7 +258,7 @@
             Event::Duty(relay, starts, pause) => {
                 for (at, begin, job) in starts {
                     let free = self.free.1[relay].max(self.now);
-                    let is_sent = free - at <= START_WAIT;
+                    let is_sent = free - at <= MAX_START_WAIT_MS;
                     let spent = if is_sent { (TEXT + HEADS) / LINK } else { 0 };
                     self.free.1[relay] = free + spent;
                     self.at(free + spent, Event::Sent(relay, begin, job, is_sent));
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -6,9 +6,9 @@
     cell::{Entry, Order, Poll, Reason, Report, Run, Start},
     job::{Address, Id, spec::Size},
     magpie_node::{
-        message::{Command, Offer},
+        external::PollError,
+        message::{Command, RelayRequest},
         news::News,
-        outside::Unheard,
         relays::{Need, Relays},
     },
     test_case::test_case,
@@ -18,7 +18,7 @@
 /// A link of 200 Mbit/s, in bytes a millisecond.
 const WIDE: u64 = 25_000;
 /// One of 2 Mbit/s.
-const NARROW: u64 = 250;
+const NARROW_LINK: u64 = 250;
 
 fn entry(id: &str) -> Entry {
     Entry {
@@ -36,8 +36,8 @@
     }
 }
 
-fn offer(name: &str, share: u32) -> Offer {
-    Offer {
+fn offer(name: &str, share: u32) -> RelayRequest {
+    RelayRequest {
         name: name.into(),
         hall: "h1".into(),
         share,
@@ -50,7 +50,7 @@
 }
 
 /// A book with one strong relay, and that relay's next offer.
-fn joined() -> (Relays, Offer) {
+fn joined() -> (Relays, RelayRequest) {
     let mut relays = Relays::default();
     let mut offer = offer("b1", 500);
     assert!(relays.join(&offer, Need::Large, 1).unwrap().is_empty());
@@ -331,7 +331,7 @@
 fn assign_keeps_to_the_link() {
     let mut relays = Relays::default();
     let mut narrow = offer("b1", 500);
-    narrow.link = NARROW;
+    narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     let given = (0..90).filter(|number| relays.assign(entry(&format!("w{number}")), 1).is_some());
     assert_eq!(given.count(), 20);
@@ -370,7 +370,7 @@
         relays.join(&offer(&format!("b{number}"), 500), Need::Large, 1);
     }
     assert_eq!(relays.pause(WIDE), 25);
-    assert_eq!(relays.pause(NARROW), 100);
+    assert_eq!(relays.pause(NARROW_LINK), 100);
     assert_eq!(relays.pause(2_500), 25);
 }
 
@@ -379,20 +379,20 @@
 fn starts_by_what_is_on_its_way() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.starts(NARROW);
+    let before = relays.starts(NARROW_LINK);
     assert!((100..300).contains(&before), "{before}");
     let text = "t".repeat(4_000);
-    relays.allow_texts(NARROW, true, 5);
+    relays.allow_texts(NARROW_LINK, true, 5);
     for number in 0..20 {
         let job = format!("{number:016x}");
         relays.order("b1", &"w1".into(), 5, start(&job, 0, &text));
     }
-    assert_eq!(relays.starts(NARROW), 0);
+    assert_eq!(relays.starts(NARROW_LINK), 0);
     assert!(relays.starts(WIDE) > 4_000);
-    let duty = relays.duty("b1", FENCE, NARROW, 5);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 5);
     offer.ack = duty.batch;
     relays.take(&offer, 6);
-    assert_eq!(relays.starts(NARROW), before);
+    assert_eq!(relays.starts(NARROW_LINK), before);
 }
 
 /// No more is decided than the relays' links take, however wide the owner's is.
@@ -401,7 +401,7 @@
     let mut relays = Relays::default();
     for name in ["b1", "b2"] {
         let mut narrow = offer(name, 500);
-        narrow.link = NARROW;
+        narrow.link = NARROW_LINK;
         relays.join(&narrow, Need::Large, 1);
     }
     relays.assign(entry("w1"), 1).unwrap();
@@ -418,7 +418,7 @@
 fn busy_until_answered() {
     let mut relays = Relays::default();
     let mut narrow = offer("b1", 500);
-    narrow.link = NARROW;
+    narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_200);
@@ -471,7 +471,7 @@
     relays.left("b1", &id);
     let news = News::of(first.clone(), &mut Vec::new());
     assert_eq!(relays.read("b1", &id, Ok(news)).unwrap(), first);
-    let refused = Err(Unheard::Refused(Reason::Fence));
+    let refused = Err(PollError::Refused(Reason::Fence));
     assert!(relays.read("b1", &id, refused).is_err());
 }
 
@@ -479,11 +479,11 @@
 /// seconds. Relays read those from the store that do not fit.
 #[test_case(false, 15; "the store answers")]
 #[test_case(true, 50; "the store fails")]
-fn texts_keep_to_their_part(is_failing: bool, sent: usize) {
+fn texts_keep_to_their_part(is_store_failing: bool, sent: usize) {
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_000);
-    relays.allow_texts(NARROW, is_failing, 1_000);
+    relays.allow_texts(NARROW_LINK, is_store_failing, 1_000);
     for number in 0..50 {
         relays.order(
             "b1",
@@ -492,7 +492,7 @@
             start(&format!("{number:016x}"), 0, &text),
         );
     }
-    let duty = relays.duty("b1", FENCE, NARROW, 1_000);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 1_000);
     let texts = duty
         .commands
         .iter()
@@ -509,7 +509,7 @@
 #[test]
 fn join_with_endless_link() {
     let mut relays = Relays::default();
-    let offer = Offer {
+    let offer = RelayRequest {
         link: u64::MAX,
         ..offer("b1", 500)
     };
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -6,7 +6,7 @@
         Request, Server, ops,
         server::{Bounds, INSIDE, Reply, Service},
     },
-    node::{Node, message::Shut, peer},
+    node::{Node, message::ClosedHall, peer},
     platform::callers,
     std::{
         io,
@@ -111,11 +111,11 @@
 }
 
 fn relayed(node: &Node, request: Request) -> Option<Request> {
-    node.answer_relay(request)
+    node.handle_relay(request)
 }
 
 fn inside(node: &Node, request: Request) {
-    if let Some(request) = node.answer_box(request) {
+    if let Some(request) = node.handle_peer(request) {
         figures(node, request);
     }
 }
@@ -133,13 +133,13 @@
 
 /// The data halls that are shut, one a line: its name, since when in milliseconds since 1970, and by whom.
 fn halls(node: &Node) -> Reply {
-    let shut = match peer::halls(node, false) {
+    let shut = match peer::closed_halls(node, false) {
         Ok(Some(shut)) => shut,
         Ok(None) => return Reply::text(503, "no owner answers\n"),
         Err(failure) => return Reply::failure(&failure),
     };
     let mut text = String::new();
-    for Shut { hall, by, since } in shut {
+    for ClosedHall { hall, by, since } in shut {
         let by = by.as_deref().unwrap_or("-");
         text.push_str(&format!("{hall} {since} {by}\n"));
     }
--- a/programs/box/src/signals.rs
+++ b/programs/box/src/signals.rs
@@ -46,7 +46,7 @@
 /// Stops the box: callers are sent elsewhere, the cell is handed over, requests are finished.
 pub fn stop(node: &Node, ports: &Ports, grace: Duration) {
     let begun = Instant::now();
-    node.retire(HAND_OVER);
+    node.shut_down(HAND_OVER);
     let linger = LINGER.min(grace.saturating_sub(MARGIN));
     thread::sleep(linger.saturating_sub(begun.elapsed()));
     while ports.busy.load(Ordering::Acquire) > 0 && begun.elapsed() + MARGIN < grace {
--- a/programs/box/tests/whole_path.rs
+++ b/programs/box/tests/whole_path.rs
@@ -10,7 +10,7 @@
     kernel::{Answer, Client, client::Call, sync::lock},
     node::{
         Reply,
-        message::{Ask, Told},
+        message::{PeerRequest, PeerResponse},
     },
     serde_json::{Value, json},
     standin::{
@@ -134,9 +134,9 @@
     /// Tells the box, as another one would, that a job is cancelled.
     fn tell_cancelled(&self, id: &str) -> Reply {
         let url = format!("http://127.0.0.1:{}/peer", self.inside);
-        let ask = Ask::Cancelled(Id::new(id).unwrap());
+        let ask = PeerRequest::Cancelled(Id::new(id).unwrap());
         match Client::new(None).post(&url, &ask, FOREVER).unwrap() {
-            Told::Reply(reply) => reply,
+            PeerResponse::Reply(reply) => reply,
             other => panic!("{other:?}"),
         }
     }
--- a/programs/ctl/src/hall.rs
+++ b/programs/ctl/src/hall.rs
@@ -5,7 +5,7 @@
     chrono::SecondsFormat,
     kernel::wall,
     node::{
-        message::{Ask, Shut, Told},
+        message::{ClosedHall, PeerRequest, PeerResponse},
         peer,
     },
 };
@@ -13,15 +13,16 @@
 /// Runs a command on data halls.
 pub fn run(context: &Context, command: HallCommand) -> Result<(), Error> {
     let HallCommand::List(command) = command;
-    let told: Told = context.entry_box(peer::PATH, &Ask::Halls { passed: false })?;
-    let Told::Halls(Some(halls)) = told else {
+    let told: PeerResponse =
+        context.entry_box(peer::PATH, &PeerRequest::Halls { passed: false })?;
+    let PeerResponse::Halls(Some(halls)) = told else {
         return Err(Error::Ended("no owner of the cell answers".to_owned()));
     };
     if command.json {
         show::json(&halls);
         return Ok(());
     }
-    let row = |shut: &Shut| {
+    let row = |shut: &ClosedHall| {
         [
             shut.hall.to_string(),
             time(shut.since),
--- a/programs/ctl/tests/hall.rs
+++ b/programs/ctl/tests/hall.rs
@@ -5,7 +5,7 @@
 use {
     kernel::{Failure, Request, Server, server::Reply},
     node::{
-        message::{Ask, Shut, Told},
+        message::{ClosedHall, PeerRequest, PeerResponse},
         peer,
     },
     std::{
@@ -15,12 +15,12 @@
 };
 
 /// A box that tells these halls, whatever it is asked.
-fn open(halls: Option<Vec<Shut>>) -> Server {
+fn open(halls: Option<Vec<ClosedHall>>) -> Server {
     let answer = move |request: Request| {
         assert_eq!(request.path, peer::PATH);
-        let asked: Result<Ask, Failure> = request.message();
-        assert!(matches!(asked, Ok(Ask::Halls { passed: false })));
-        let told: Result<Told, Failure> = Ok(Told::Halls(halls.clone()));
+        let asked: Result<PeerRequest, Failure> = request.message();
+        assert!(matches!(asked, Ok(PeerRequest::Halls { passed: false })));
+        let told: Result<PeerResponse, Failure> = Ok(PeerResponse::Halls(halls.clone()));
         request.respond(Reply::message(&told));
     };
     let any = "127.0.0.1:0".parse().unwrap();
@@ -35,8 +35,8 @@
         .unwrap()
 }
 
-fn shut() -> Vec<Shut> {
-    vec![Shut {
+fn shut() -> Vec<ClosedHall> {
+    vec![ClosedHall {
         hall: "h1".into(),
         by: Some("night shift".into()),
         since: 1_780_000_000_000,
