--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -12,15 +12,16 @@
 pub mod config;
 pub mod core;
 pub mod decode;
+pub mod external;
 pub mod group;
 pub mod heartbeat;
 pub mod job_cache;
 pub mod keys;
 pub mod message;
 pub mod order_queue;
-pub mod outside;
 pub mod owner_watch;
-pub mod owning;
+pub mod owner_tasks;
+pub mod ownership;
 pub mod peer;
 pub mod relay;
 pub mod relays;
@@ -29,15 +30,14 @@
 pub mod settings;
 pub mod spec_text;
 pub mod store;
-pub mod tenure;
 pub mod time;
 pub mod worker;
 
 pub use callers::{Call, Reply};
 pub use core::{Core, Node};
-pub use outside::{
-    Advisor, Closure, Closures, Configs, Found, Later, Machines, Outside, Read, Unheard, Waited,
-    Workers,
+pub use external::{
+    Advisor, BoxFuture, ConfigRead, ConfigSnapshot, ConfigSource, ConfigWait, External,
+    HallClosure, HallClosures, Machines, PollError, Workers,
 };
 pub use settings::Settings;
 pub use store::Store;
