--- a/components/cell/src/admit.rs
+++ b/components/cell/src/admit.rs
@@ -81,7 +81,7 @@
         if submission.spec.timetable.is_some() {
             self.timed.insert(id.clone());
         }
-        self.condemn_known(&id);
+        self.check_crash_limits(&id);
         self.open(&id, wall);
         true
     }
@@ -128,7 +128,7 @@
     /// clock.
     pub fn rerank(&mut self, wall: u64, now: u64) {
         self.weigh();
-        self.give_up(wall, now);
+        self.fail_over_limit(wall, now);
         let mut late = Vec::new();
         let mut waiting = Vec::new();
         for rank in &self.line {
--- a/components/cell/src/answer.rs
+++ b/components/cell/src/answer.rs
@@ -23,7 +23,7 @@
         if let Order::Start(start) = order {
             // Also where another life refuses it: it was surely not carried out, and what it was for has crashed nothing.
             self.started(id, start, outcome, now);
-            self.renew_loss(id);
+            self.refresh_loss(id);
         }
         if outcome == Outcome::Refused(Reason::OtherLife) {
             self.end_life(id, "another life answers", now);
--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -4,7 +4,7 @@
     crate::{
         advise::{Known, Question},
         crashes,
-        disturb::{Disturbance, level::Levels},
+        interference::{Interference, forecast::Forecasts},
         order::Order,
         place::Stuck,
         slot::Slot,
@@ -137,9 +137,9 @@
     /// What runs of jobs that are not known yet, from a takeover until they were read once more.
     pub(crate) pending: Option<Pending>,
     /// Which filling images disturb which serving ones.
-    pub(crate) disturbance: Disturbance,
+    pub(crate) interference: Interference,
     /// The load of serving jobs.
-    pub(crate) levels: Levels,
+    pub(crate) forecasts: Forecasts,
     /// More filling work waits than runs.
     pub(crate) crowded: bool,
     /// Needs that found no room when all workers were looked through.
@@ -165,7 +165,7 @@
     /// No lease of a worker may go on: another owner may reckon it over.
     pub(crate) keeps_leases: bool,
     /// Which tasks are suspected of crashing their workers, and which workers were lost.
-    pub(crate) crashes: crashes::State,
+    pub(crate) crashes: crashes::CrashTracker,
 }
 
 impl Cell {
@@ -194,8 +194,8 @@
             waves: BTreeMap::new(),
             recovery: None,
             pending: None,
-            disturbance: Disturbance::default(),
-            levels: Levels::default(),
+            interference: Interference::default(),
+            forecasts: Forecasts::default(),
             crowded: false,
             stuck: Vec::new(),
             unknown: HashSet::new(),
@@ -208,7 +208,7 @@
             done: Vec::new(),
             unguarded: HashSet::new(),
             keeps_leases: false,
-            crashes: crashes::State::default(),
+            crashes: crashes::CrashTracker::default(),
         }
     }
 
@@ -218,8 +218,8 @@
     }
 
     /// Goes on from what a former owner knew of disturbance.
-    pub fn recall(&mut self, learned: Disturbance) {
-        self.disturbance = learned;
+    pub fn recall(&mut self, learned: Interference) {
+        self.interference = learned;
     }
 
     /// The state of a job that may be shown; `None` when it is not known here.
--- a/components/cell/src/choose.rs
+++ b/components/cell/src/choose.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         cell::{Cell, Job, Rank},
-        crashes::{Suspicion, harm},
-        disturb::Image,
+        crashes::{Suspicion, crash_cost},
+        interference::Image,
         waits::Obstacle,
         worker::{Key, Worker},
     },
@@ -91,7 +91,7 @@
         };
         let cost = |worker: &Worker| {
             if past.suspicion.is_risky() {
-                harm(worker)
+                crash_cost(worker)
             } else {
                 self.cost(step, image, worker)
             }
@@ -117,7 +117,7 @@
 
     /// The number of a step's image.
     pub(crate) fn image(&self, step: &Step) -> Image {
-        self.disturbance.find(step.image.as_ref())
+        self.interference.lookup(step.image.as_ref())
     }
 
     /// True when a task of the step, which has this image, may run on the worker, beside `before`
@@ -163,7 +163,7 @@
         if !self.is_room_known(worker, now) {
             return Some(Obstacle::RoomUnknown);
         }
-        if self.is_kept_alone(&worker.entry.id) {
+        if self.is_reserved_for_trial(&worker.entry.id) {
             return Some(Obstacle::KeptAlone);
         }
         if worker.entry.pool != job.progress.submission.queue.pool {
@@ -209,7 +209,7 @@
         if !job.is_advised(address, id, now) {
             return Some(Obstacle::Unadvised);
         }
-        (!self.may_try(id, past.suspicion)).then_some(Obstacle::Trial)
+        (!self.allows_trial(id, past.suspicion)).then_some(Obstacle::Trial)
     }
 
     /// The least is the best: near its data, and for tasks that take room, the fullest worker with
@@ -242,7 +242,7 @@
     fn mixing(&self, image: Image, worker: &Worker) -> u64 {
         let images = worker.serve_images.keys();
         let unlike = images
-            .filter(|own| !self.disturbance.is_alike(**own, image))
+            .filter(|own| !self.interference.is_similar(**own, image))
             .count();
         let has_alike = worker.serve_images.len() > unlike;
         match (has_alike, unlike) {
--- a/components/cell/src/crashes/index.rs
+++ b/components/cell/src/crashes/index.rs
@@ -1,7 +1,7 @@
 //! Losses by cell, rack and job, so that those which met a silence can be counted without a look at each.
 
 use {
-    super::{lost::Loss, silence::Silences},
+    super::{losses::Loss, outage::Silences},
     crate::worker::Worker,
     job::Id,
     std::{
--- a/components/cell/src/crashes/lost.rs
+++ b/components/cell/src/crashes/losses.rs
@@ -4,7 +4,7 @@
     super::{
         EARLY,
         index::{Group, Index},
-        silence::{Silence, Silences},
+        outage::{Silence, Silences},
     },
     crate::{slot::Slot, worker::Worker},
     job::Id,
@@ -66,7 +66,7 @@
 impl Losses {
     /// Notes that a worker is given up, once: for its leases, or for the proof that its life is over. One that this owner
     /// has never heard was lost before its time: a takeover that clears up after a former owner is no loss of power.
-    pub fn note(&mut self, worker: &Worker, now: u64) {
+    pub fn record(&mut self, worker: &Worker, now: u64) {
         let id = &worker.entry.id;
         if worker.clock.is_none() || self.recent.contains_key(id) {
             return;
@@ -81,7 +81,7 @@
     }
 
     /// Forgets those of long ago.
-    pub fn forget(&mut self, now: u64) {
+    pub fn expire(&mut self, now: u64) {
         let before = self.recent.len();
         self.recent.retain(|_, loss| now < loss.at + REMEMBERED);
         if self.recent.is_empty() || self.recent.len() < before {
@@ -91,7 +91,7 @@
 
     /// Takes in that a worker has fallen silent or is heard again, or that what it holds has changed. It needs not be told
     /// of what was given up: that is noted before it is taken away.
-    pub fn renew(&mut self, worker: &Worker) {
+    pub fn refresh(&mut self, worker: &Worker) {
         let id = &worker.entry.id;
         let Some(index) = &mut self.index else {
             return;
@@ -104,7 +104,7 @@
     }
 
     /// Takes in a new worker. One that was given up is known again.
-    pub fn join(&mut self, worker: &Worker) {
+    pub fn add_worker(&mut self, worker: &Worker) {
         let Some(index) = &mut self.index else {
             return;
         };
@@ -116,7 +116,7 @@
     }
 
     /// Takes in that a worker is forgotten. One that was given up goes on counting for a while.
-    pub fn leave(&mut self, worker: &Worker) {
+    pub fn remove_worker(&mut self, worker: &Worker) {
         let id = &worker.entry.id;
         let Some(index) = &mut self.index else {
             return;
@@ -130,12 +130,12 @@
     }
 
     /// Looks through all workers anew once that is asked for: some have moved to other racks.
-    pub fn regroup(&mut self) {
+    pub fn invalidate(&mut self) {
         self.index = None;
     }
 
     /// The workers that fell silent together with one that is given up, itself among them.
-    pub(super) fn lost_with(
+    pub(super) fn correlated_with(
         &mut self,
         workers: &BTreeMap<Arc<str>, Worker>,
         worker: &Worker,
@@ -154,7 +154,7 @@
     }
 
     /// How many looks at workers and losses it took to tell which were lost together.
-    pub const fn looks(&self) -> u64 {
+    pub const fn lookups(&self) -> u64 {
         self.looks
     }
 }
--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -11,15 +11,15 @@
 //! leases was no crash, and is taken back.
 
 mod index;
-mod lost;
-mod silence;
+mod losses;
+mod outage;
 #[cfg(test)]
 mod tests;
 mod trial;
 
 pub(crate) use {
-    lost::Losses,
-    trial::{Suspicion, harm},
+    losses::Losses,
+    trial::{Suspicion, crash_cost},
 };
 
 use {
@@ -52,7 +52,7 @@
 
 /// What is known of crashes, beside what each task has of its own.
 #[derive(Debug, Default)]
-pub(crate) struct State {
+pub(crate) struct CrashTracker {
     /// Suspects that run and have not been listed for long enough, by worker.
     trials: HashMap<Arc<str>, trial::Trial>,
     /// Workers that were lost a short while ago.
@@ -60,7 +60,7 @@
     /// What was counted against tasks for workers that may come back, by worker.
     doubted: HashMap<Arc<str>, Doubted>,
     /// Tasks that are to be given up.
-    condemned: Vec<Key>,
+    over_limit: Vec<Key>,
 }
 
 /// Crashes that were counted for a worker which may be alive.
@@ -74,13 +74,13 @@
 
 impl Cell {
     /// Counts the crash of a worker, whose life is proven to be over, against what it held.
-    pub(crate) fn suspect_crashed(&mut self, id: &Arc<str>, now: u64) {
+    pub(crate) fn record_crash(&mut self, id: &Arc<str>, now: u64) {
         self.crashes.doubted.remove(id);
         self.suspect(id, now);
     }
 
     /// The same for a worker that cannot be reached and whose leases are over, as long as it does not come back.
-    pub(crate) fn suspect_lapsed(&mut self, id: &Arc<str>, now: u64) {
+    pub(crate) fn record_presumed_crash(&mut self, id: &Arc<str>, now: u64) {
         // Where this owner was late to ask, nothing speaks for a crash.
         if !self.workers.get(id).is_some_and(Worker::is_silent) {
             return;
@@ -98,17 +98,17 @@
             return Vec::new();
         };
         if worker.slots.is_empty() {
-            self.crashes.losses.note(worker, now);
+            self.crashes.losses.record(worker, now);
             return Vec::new();
         }
         let losses = &mut self.crashes.losses;
-        let together = losses.lost_with(&self.workers, worker, now);
+        let together = losses.correlated_with(&self.workers, worker, now);
         let mut held = Vec::new();
         for (key, slot) in &worker.slots {
             let is_early = worker.is_early(slot) && !together.clears(&key.job);
             held.push((key.clone(), is_early));
         }
-        losses.note(worker, now);
+        losses.record(worker, now);
         if worker.has_left() {
             return Vec::new();
         }
@@ -161,14 +161,14 @@
             log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "A worker crashed under a task that had just started.");
         }
         self.dirty.insert(key.job.clone());
-        if self.is_hopeless(key) {
-            self.crashes.condemned.push(key.clone());
+        if self.is_over_limit(key) {
+            self.crashes.over_limit.push(key.clone());
         }
         true
     }
 
     /// Takes back what was counted for a worker that is heard again: it has not crashed.
-    pub(crate) fn withdraw(&mut self, id: &Arc<str>) {
+    pub(crate) fn revoke_crash(&mut self, id: &Arc<str>) {
         let Some(doubted) = self.crashes.doubted.remove(id) else {
             return;
         };
@@ -192,7 +192,7 @@
     /// Its trial is over with that, whatever the task is suspected of by now. A trial that went on would hold back other
     /// suspects of the job, and whatever waits for its worker, for as long as the run: one of nine lasting tasks stood
     /// still for 39 s beside four trials whose suspicion had been taken back.
-    pub(crate) fn survived(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    pub(crate) fn record_survival(&mut self, id: &Arc<str>, key: &Key, now: u64) {
         let is_suspected = self
             .jobs
             .get(&key.job)
@@ -204,19 +204,19 @@
             return;
         };
         let is_sound = slot.has_run(SOUND, now);
-        self.pass_trial(id, key);
+        self.complete_trial(id, key);
         if !is_suspected {
             return;
         }
         if is_sound {
-            self.absolve(key);
+            self.reset_crashes(key);
         } else {
-            self.clear_early(key);
+            self.reset_early_crashes(key);
         }
     }
 
     /// A run has outlived the time in which it is suspected for having just started.
-    fn clear_early(&mut self, key: &Key) {
+    fn reset_early_crashes(&mut self, key: &Key) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -229,7 +229,7 @@
     }
 
     /// A task has run without crashing its worker.
-    pub(crate) fn absolve(&mut self, key: &Key) {
+    pub(crate) fn reset_crashes(&mut self, key: &Key) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -244,10 +244,10 @@
     }
 
     /// Ends the jobs of tasks that are given up. The times are since 1970 and on our clock.
-    pub(crate) fn give_up(&mut self, wall: u64, now: u64) {
-        for key in std::mem::take(&mut self.crashes.condemned) {
+    pub(crate) fn fail_over_limit(&mut self, wall: u64, now: u64) {
+        for key in std::mem::take(&mut self.crashes.over_limit) {
             // The worker of its last run may have come back meanwhile.
-            if !self.is_hopeless(&key) {
+            if !self.is_over_limit(&key) {
                 continue;
             }
             log::warn!(target: "cell", job = key.job.as_str(), place = key.place; "A task is given up: workers crash under it.");
@@ -256,26 +256,26 @@
     }
 
     /// Notes the tasks of a job that a former owner would have given up.
-    pub(crate) fn condemn_known(&mut self, id: &Id) {
+    pub(crate) fn check_crash_limits(&mut self, id: &Id) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         for &place in &job.suspects {
             let job = id.clone();
             let key = Key { job, place };
-            if self.is_hopeless(&key) {
-                self.crashes.condemned.push(key);
+            if self.is_over_limit(&key) {
+                self.crashes.over_limit.push(key);
             }
         }
     }
 
     /// True for a job with a task that is to be given up.
-    pub(crate) fn is_condemned(&self, id: &Id) -> bool {
-        self.crashes.condemned.iter().any(|key| key.job == *id)
+    pub(crate) fn has_task_over_limit(&self, id: &Id) -> bool {
+        self.crashes.over_limit.iter().any(|key| key.job == *id)
     }
 
     /// True for a task under which workers have crashed as often as it may.
-    fn is_hopeless(&self, key: &Key) -> bool {
+    fn is_over_limit(&self, key: &Key) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let crashes = job.progress.tasks[key.place].crashes;
             crashes.early >= GIVE_UP_EARLY || crashes.all >= GIVE_UP_ALL
@@ -283,27 +283,27 @@
     }
 
     /// Forgets what is too old to tell anything.
-    pub(crate) fn forget_crashes(&mut self, now: u64) {
-        self.crashes.losses.forget(now);
+    pub(crate) fn expire_crash_state(&mut self, now: u64) {
+        self.crashes.losses.expire(now);
         self.crashes
             .doubted
             .retain(|_, doubted| now < doubted.at + BACK_WITHIN);
     }
 
     /// Takes in that a worker has fallen silent or is heard again, or that what it holds has changed.
-    pub(crate) fn renew_loss(&mut self, id: &str) {
+    pub(crate) fn refresh_loss(&mut self, id: &str) {
         if let Some(worker) = self.workers.get(id) {
-            self.crashes.losses.renew(worker);
+            self.crashes.losses.refresh(worker);
         }
     }
 
     /// How many looks at workers it took to tell which were lost together, as a measure of work.
-    pub fn loss_looks(&self) -> u64 {
-        self.crashes.losses.looks()
+    pub fn loss_lookups(&self) -> u64 {
+        self.crashes.losses.lookups()
     }
 
     /// Tells what a worker held that is given up, and when it was last heard.
-    pub(crate) fn tell_lost(&self, id: &Arc<str>, cause: &str, now: u64) {
+    pub(crate) fn log_lost_worker(&self, id: &Arc<str>, cause: &str, now: u64) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -314,7 +314,7 @@
         let mut held: Vec<String> = worker
             .slots
             .iter()
-            .map(|(key, slot)| tell_held(worker, key, slot))
+            .map(|(key, slot)| format_run(worker, key, slot))
             .collect();
         held.sort();
         held.truncate(TOGETHER);
@@ -325,7 +325,7 @@
 
 /// A run on a worker as `JOB/PLACE.RUN:AGE`: for how long it was known to run when the worker was last heard, in
 /// milliseconds, or `new` where it was not known to run.
-fn tell_held(worker: &Worker, key: &Key, slot: &Slot) -> String {
+fn format_run(worker: &Worker, key: &Key, slot: &Slot) -> String {
     let age = match worker.known_to_run(slot) {
         Some(age) => age.to_string(),
         None => "new".to_owned(),
--- a/components/cell/src/crashes/tests.rs
+++ b/components/cell/src/crashes/tests.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        lost::{Loss, OF_CELL, OF_RACK},
-        silence::{Silence, Silences},
+        losses::{Loss, OF_CELL, OF_RACK},
+        outage::{Silence, Silences},
     },
     crate::{
         cell::Cell,
@@ -207,7 +207,7 @@
         if let Some(worker) = self.cell.workers.get_mut(&id) {
             worker.hold(key, slot);
         }
-        self.cell.renew_loss(&id);
+        self.cell.refresh_loss(&id);
     }
 
     /// A worker takes or refuses something that it was given, as may be known after it has fallen silent.
@@ -302,7 +302,7 @@
         };
         let [rack, cell] = plain(&self.cell, worker, self.now);
         let losses = &mut self.cell.crashes.losses;
-        let together = losses.lost_with(&self.cell.workers, worker, self.now);
+        let together = losses.correlated_with(&self.cell.workers, worker, self.now);
         let of_rack = together.of_rack().unwrap();
         let of_cell = together.of_cell();
         assert_eq!((of_rack.all(), of_rack.lost()), (rack.all, rack.lost));
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -47,7 +47,7 @@
 
 impl Suspicion {
     /// True for a task whose next run is a trial.
-    pub const fn is_tried(self) -> bool {
+    pub const fn needs_trial(self) -> bool {
         matches!(self, Suspicion::Shared | Suspicion::Alone)
     }
 
@@ -86,27 +86,27 @@
     }
 
     /// True for a suspect that may not be tried yet.
-    pub(crate) fn must_wait(&self, id: &Id, place: usize) -> bool {
-        if self.is_condemned(id) {
+    pub(crate) fn is_start_blocked(&self, id: &Id, place: usize) -> bool {
+        if self.has_task_over_limit(id) {
             return true;
         }
         let suspicion = self.suspicion(id, place);
-        if !suspicion.is_tried() {
-            return self.is_unkept(id, place);
+        if !suspicion.needs_trial() {
+            return self.has_unpersisted_crashes(id, place);
         }
-        let of_job = self.trials_of(id);
+        let of_job = self.job_trials(id);
         if suspicion == Suspicion::Shared {
-            return of_job >= self.most_of_job(id) || self.has_strong_suspect(id);
+            return of_job >= self.max_job_trials(id) || self.has_isolated_suspect(id);
         }
         let trials = self.crashes.trials.values();
         let alone = trials.filter(|trial| trial.suspicion == Suspicion::Alone);
         let most = 1 + self.workers.len() / WORKERS_EACH;
-        self.is_unkept(id, place) || of_job >= OF_JOB_ALONE || alone.count() >= most
+        self.has_unpersisted_crashes(id, place) || of_job >= OF_JOB_ALONE || alone.count() >= most
     }
 
     /// True for a task under which several workers have crashed, as long as that is not written down: the next owner is to
     /// know of these crashes before the next one.
-    pub(crate) fn is_unkept(&self, id: &Id, place: usize) -> bool {
+    pub(crate) fn has_unpersisted_crashes(&self, id: &Id, place: usize) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let crashes = job.progress.tasks[place].crashes;
             job.unkept && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
@@ -114,7 +114,7 @@
     }
 
     /// How many tasks of a job are being tried.
-    pub(crate) fn trials_of(&self, id: &Id) -> usize {
+    pub(crate) fn job_trials(&self, id: &Id) -> usize {
         let trials = self.crashes.trials.values();
         trials.filter(|trial| trial.key.job == *id).count()
     }
@@ -129,7 +129,7 @@
 
     /// True for a job with a task that is tried alone: that goes first, since it may end the job before others of its
     /// tasks take a worker each. One that no worker will do for holds nothing up: its rack may be gone for good.
-    fn has_strong_suspect(&self, id: &Id) -> bool {
+    fn has_isolated_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let mut places = job.suspects.difference(&job.stranded);
             places.any(|&place| self.suspicion(id, place) == Suspicion::Alone)
@@ -137,27 +137,27 @@
     }
 
     /// Notes that there is no worker for a task that is tried alone.
-    pub(crate) fn strand(&mut self, id: &Id, place: usize) {
+    pub(crate) fn mark_unplaceable(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stranded.insert(place);
         }
     }
 
     /// True when a task that is so much suspected may start on a worker: not beside another suspect.
-    pub(crate) fn may_try(&self, id: &Arc<str>, suspicion: Suspicion) -> bool {
-        !suspicion.is_tried() || !self.crashes.trials.contains_key(id)
+    pub(crate) fn allows_trial(&self, id: &Arc<str>, suspicion: Suspicion) -> bool {
+        !suspicion.needs_trial() || !self.crashes.trials.contains_key(id)
     }
 
     /// True when nothing else may start on a worker for now.
-    pub(crate) fn is_kept_alone(&self, id: &Arc<str>) -> bool {
+    pub(crate) fn is_reserved_for_trial(&self, id: &Arc<str>) -> bool {
         let trial = self.crashes.trials.get(id);
         trial.is_some_and(|trial| trial.suspicion == Suspicion::Alone)
     }
 
     /// Notes that a task starts on a worker, which is a trial where it is suspected.
-    pub(crate) fn try_out(&mut self, id: &Arc<str>, key: Key, run: u64, now: u64) {
+    pub(crate) fn begin_trial(&mut self, id: &Arc<str>, key: Key, run: u64, now: u64) {
         let suspicion = self.suspicion(&key.job, key.place);
-        if !suspicion.is_tried() {
+        if !suspicion.needs_trial() {
             return;
         }
         log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run, suspicion:? = suspicion; "A suspected task is tried.");
@@ -185,7 +185,7 @@
     }
 
     /// Ends the trial of a task on a worker, which is alive; others of its job are trusted the more for it.
-    pub(crate) fn pass_trial(&mut self, id: &Arc<str>, key: &Key) {
+    pub(crate) fn complete_trial(&mut self, id: &Arc<str>, key: &Key) {
         if !self.end_trial(id, key) {
             return;
         }
@@ -195,13 +195,13 @@
     }
 
     /// How many suspects of a job may be tried at one time.
-    fn most_of_job(&self, id: &Id) -> usize {
+    fn max_job_trials(&self, id: &Id) -> usize {
         let survivors = self.jobs.get(id).map_or(0, |job| job.survivors);
         OF_JOB * (1 + survivors)
     }
 
     /// Ends the trials whose run is over, or whose worker is gone.
-    pub(crate) fn end_trials(&mut self) {
+    pub(crate) fn end_stale_trials(&mut self) {
         let trials = &self.crashes.trials;
         let is_over = |(id, trial): &(&Arc<str>, &Trial)| {
             let slot = self.slot(id, &trial.key);
@@ -218,7 +218,7 @@
 }
 
 /// What is lost if a worker crashes, in thousandths of a core.
-pub(crate) fn harm(worker: &Worker) -> u64 {
+pub(crate) fn crash_cost(worker: &Worker) -> u64 {
     let new = worker.slots.values().filter(|slot| worker.is_early(slot));
     worker.firm.cpu + worker.filling + new.count() as u64 * NEWCOMER
 }
--- a/components/cell/src/ends.rs
+++ b/components/cell/src/ends.rs
@@ -35,8 +35,8 @@
         self.judge(id, end.how, moment.now);
         self.save(&key, end.saved.as_ref());
         if matches!(end.how, How::Done | How::Failed) {
-            self.pass_trial(id, &key);
-            self.absolve(&key);
+            self.complete_trial(id, &key);
+            self.reset_crashes(&key);
         }
         match end.how {
             How::Done => self.done(id, &key, was_here, moment),
--- a/components/cell/src/follow.rs
+++ b/components/cell/src/follow.rs
@@ -27,7 +27,7 @@
     fn join_as(&mut self, mut worker: Worker, generation: u32) -> Entry {
         worker.entry.generation = generation;
         let entry = worker.entry.clone();
-        self.crashes.losses.join(&worker);
+        self.crashes.losses.add_worker(&worker);
         self.workers.insert(entry.id.clone(), worker);
         entry
     }
--- a/components/cell/src/gang.rs
+++ b/components/cell/src/gang.rs
@@ -35,8 +35,10 @@
             .jobs
             .get(&rank.id)
             .map_or(0, |job| job.progress.left(address.time, address.step));
-        let is_unkept = |&place: &usize| self.is_unkept(&rank.id, place);
-        let is_held = self.is_condemned(&rank.id) || places.iter().any(is_unkept);
+        let has_unpersisted_crashes =
+            |&place: &usize| self.has_unpersisted_crashes(&rank.id, place);
+        let is_held =
+            self.has_task_over_limit(&rank.id) || places.iter().any(has_unpersisted_crashes);
         if places.len() < left as usize || is_held {
             return;
         }
@@ -78,7 +80,7 @@
             racks.extend(names.into_iter().map(|name| Some(name.into())));
         }
         racks.push(None);
-        let is_suspect = |&place: &usize| self.suspicion(&rank.id, place).is_tried();
+        let is_suspect = |&place: &usize| self.suspicion(&rank.id, place).needs_trial();
         // Suspects start together with the others or never, and just a run can clear them.
         let ways: &[bool] = match places.iter().any(is_suspect) {
             true => &[true, false],
@@ -116,10 +118,10 @@
                     .as_ref()
                     .is_none_or(|rack| &**rack == worker.entry.rack());
                 let before = taken.get(id).copied().unwrap_or_default();
-                let is_alone = before == 0 || !site.is_apart || !suspicion.is_tried();
+                let is_alone = before == 0 || !site.is_apart || !suspicion.needs_trial();
                 is_here
                     && is_alone
-                    && self.may_try(id, suspicion)
+                    && self.allows_trial(id, suspicion)
                     && job.is_advised(address, id, now)
                     && self.suits(job, address, image, worker, before, now)
             };
--- a/components/cell/src/disturb/level.rs
+++ b/components/cell/src/interference/forecast.rs
@@ -1,7 +1,7 @@
 //! The load of each serving job: what it is without filling tasks, and where it goes.
 
 use {
-    super::{Disturbance, Image},
+    super::{Image, Interference},
     job::Id,
     std::collections::HashMap,
 };
@@ -107,16 +107,16 @@
 
 /// The loads of all serving jobs. A job's tasks of one image share a load.
 #[derive(Debug, Default)]
-pub struct Levels {
+pub struct Forecasts {
     jobs: HashMap<(Id, Image), Level>,
 }
 
-impl Levels {
+impl Forecasts {
     /// Takes in a reading: the load that a job's tasks show on one worker, and the shares of filling
     /// tasks there, by column. What differs from the job's other workers goes to `known`.
-    pub fn read(
+    pub fn observe(
         &mut self,
-        known: &mut Disturbance,
+        known: &mut Interference,
         key: (Id, Image),
         load: f64,
         row: &[f64],
@@ -130,10 +130,10 @@
         if others >= ENOUGH {
             let shares = level.difference(row);
             let trust = others / (others + 1.0);
-            known.sample(image, load - level.shown.value, &shares, trust);
+            known.add_sample(image, load - level.shown.value, &shares, trust);
         }
         level.show(load, row, keep);
-        let mut own = load - known.added(image, row);
+        let mut own = load - known.added_load(image, row);
         if others >= ENOUGH {
             let now_is = level.fast.value;
             own = own.clamp(now_is - JUMP, now_is + JUMP);
@@ -147,7 +147,7 @@
 
     /// The load of a job's tasks so many milliseconds from now, without filling tasks, and the
     /// highest that was seen of it.
-    pub fn foresee(&self, key: &(Id, Image), now: u64, ahead: u64) -> (f64, f64) {
+    pub fn forecast(&self, key: &(Id, Image), now: u64, ahead: u64) -> (f64, f64) {
         let Some(level) = self.jobs.get(key) else {
             return (UNKNOWN, UNKNOWN);
         };
@@ -161,7 +161,7 @@
     }
 
     /// Forgets jobs that no worker reports any more.
-    pub fn forget(&mut self, now: u64) {
+    pub fn expire(&mut self, now: u64) {
         self.jobs.retain(|_, level| now < level.last + FORGET);
     }
 }
@@ -177,14 +177,14 @@
     }
 
     /// Ten workers report a load that swings, one of two filling images beside half of them.
-    fn watched(known: &mut Disturbance, until: u64) -> Levels {
-        let mut levels = Levels::default();
+    fn watched(known: &mut Interference, until: u64) -> Forecasts {
+        let mut levels = Forecasts::default();
         let mut random = fastrand::Rng::with_seed(3);
         for now in (1_000..until).step_by(50) {
             let share = if random.bool() { 0.15 } else { 0.0 };
-            let row = known.row(&[(7, share), (8, 0.15 - share)]);
+            let row = known.dense_row(&[(7, share), (8, 0.15 - share)]);
             let load = true_load(now as f64 - AGE) + 1.6 * share;
-            levels.read(known, key(), load, &row, now);
+            levels.observe(known, key(), load, &row, now);
             known.solve(now);
         }
         levels
@@ -196,10 +196,10 @@
 
     #[test]
     fn foresee_within_a_tenth() {
-        let mut known = Disturbance::default();
+        let mut known = Interference::default();
         for until in [8_000, 11_000, 15_000, 18_000] {
             let levels = watched(&mut known, until);
-            let (near, _) = levels.foresee(&key(), until, 700);
+            let (near, _) = levels.forecast(&key(), until, 700);
             let truth = true_load(until as f64 + 700.0);
             assert!((near - truth).abs() < 0.1, "{near} {truth} at {until}");
         }
@@ -207,13 +207,16 @@
 
     #[test]
     fn read_learns_from_differences() {
-        let mut known = Disturbance::default();
+        let mut known = Interference::default();
         watched(&mut known, 6_000);
         assert!(known.weight(IMAGE, 7) - known.weight(IMAGE, 8) > 1.2);
     }
 
     #[test]
     fn foresee_unknown_job() {
-        assert_eq!(Levels::default().foresee(&key(), 5, 0), (UNKNOWN, UNKNOWN));
+        assert_eq!(
+            Forecasts::default().forecast(&key(), 5, 0),
+            (UNKNOWN, UNKNOWN)
+        );
     }
 }
--- a/components/cell/src/disturb/mod.rs
+++ b/components/cell/src/interference/mod.rs
@@ -11,13 +11,13 @@
 //! Measured: weights are 0 to 0.3 for most pairs and 1 to 2.6 for the others; what is left
 //! unexplained has a standard deviation of 0.05.
 
-pub(crate) mod level;
-mod sums;
+pub(crate) mod forecast;
+mod regression;
 
 use {
+    regression::Sums,
     serde::{Deserialize, Serialize},
     std::{collections::HashMap, sync::Arc},
-    sums::Sums,
 };
 
 /// An image, by number.
@@ -43,20 +43,20 @@
 const LONGEST: f64 = 3.0;
 
 /// A pair of images with at least this weight disturbs; harmless ones are measured below 0.3.
-pub const HARMFUL: f64 = 0.4;
+pub const HARMFUL_WEIGHT: f64 = 0.4;
 
 /// The load at which a serving task just meets its target.
 pub const LOAD_AT_TARGET: f64 = 1.0 - IDLE;
 
 /// The load that a tail, over its target, stands for.
-pub fn load_of(over: f64) -> f64 {
+pub fn load_from_tail(over: f64) -> f64 {
     1.0 - IDLE / over.clamp(IDLE, LONGEST)
 }
 
 /// What is known of disturbance. It is written down now and then, for the next owner.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Disturbance {
+pub struct Interference {
     /// The numbers of images, by name.
     numbers: HashMap<Arc<str>, Image>,
     /// Filling images have columns, in the order of their first sample; by image.
@@ -76,9 +76,9 @@
     written: u64,
 }
 
-impl Disturbance {
+impl Interference {
     /// The number of an image; tasks without one count as an image of their own.
-    pub fn number(&mut self, image: Option<&Arc<str>>) -> Image {
+    pub fn intern(&mut self, image: Option<&Arc<str>>) -> Image {
         let Some(image) = image else {
             return NO_IMAGE;
         };
@@ -87,7 +87,7 @@
     }
 
     /// The number of an image, where it has one already.
-    pub fn find(&self, image: Option<&Arc<str>>) -> Image {
+    pub fn lookup(&self, image: Option<&Arc<str>>) -> Image {
         let Some(image) = image else {
             return NO_IMAGE;
         };
@@ -95,7 +95,7 @@
     }
 
     /// Shares of a worker's processors by column, from those by image.
-    pub fn row(&mut self, shares: &[(Image, f64)]) -> Vec<f64> {
+    pub fn dense_row(&mut self, shares: &[(Image, f64)]) -> Vec<f64> {
         for &(image, share) in shares {
             if share >= LEAST_SHARE {
                 self.column(image);
@@ -123,7 +123,7 @@
 
     /// Takes in by how much the load of one serving task differs from that of its job's others, and
     /// by how much the shares beside it do. `trust` is the weight of the reading, 0 to 1.
-    pub fn sample(&mut self, serving: Image, load: f64, shares: &[f64], trust: f64) {
+    pub fn add_sample(&mut self, serving: Image, load: f64, shares: &[f64], trust: f64) {
         let index = usize::from(serving);
         if self.pairs.len() <= index {
             self.pairs.resize(index + 1, Sums::default());
@@ -150,21 +150,21 @@
         self.alike = vec![vec![false; count]; count];
         for a in 0..count {
             for b in 0..a {
-                let is_alike = self.pairs[a].is_like(&self.pairs[b], self.width);
-                self.alike[a][b] = is_alike;
-                self.alike[b][a] = is_alike;
+                let is_similar = self.pairs[a].is_like(&self.pairs[b], self.width);
+                self.alike[a][b] = is_similar;
+                self.alike[b][a] = is_similar;
             }
         }
     }
 
     /// True when the same filling images are known to disturb both serving images.
-    pub fn is_alike(&self, a: Image, b: Image) -> bool {
+    pub fn is_similar(&self, a: Image, b: Image) -> bool {
         let row = self.alike.get(usize::from(a));
         a == b || row.and_then(|row| row.get(usize::from(b))) == Some(&true)
     }
 
     /// True, once, when what is known is due to be written down.
-    pub fn is_due(&mut self, now: u64) -> bool {
+    pub fn is_write_due(&mut self, now: u64) -> bool {
         if self.pairs.is_empty() || now < self.written + WRITE_GAP {
             return false;
         }
@@ -188,7 +188,7 @@
     }
 
     /// What a row of shares adds to the load of a serving image.
-    pub fn added(&self, serving: Image, row: &[f64]) -> f64 {
+    pub fn added_load(&self, serving: Image, row: &[f64]) -> f64 {
         let sums = self.pairs.get(usize::from(serving));
         let mut added = 0.0;
         for (column, share) in row.iter().enumerate() {
@@ -204,15 +204,15 @@
     use super::*;
 
     /// A harmful image and a harmless one, as differences from the mean, with noise.
-    fn learned() -> Disturbance {
+    fn learned() -> Interference {
         let mut random = fastrand::Rng::with_seed(7);
-        let mut known = Disturbance::default();
+        let mut known = Interference::default();
         for _ in 0..60 {
             let (bad, good) = (random.f64() * 0.2 - 0.1, random.f64() * 0.2 - 0.1);
             let noise = (random.f64() - 0.5) * 0.1;
-            let row = known.row(&[(7, 1.0), (8, 1.0)]);
+            let row = known.dense_row(&[(7, 1.0), (8, 1.0)]);
             assert_eq!(row, [1.0, 1.0]);
-            known.sample(1, 1.6 * bad + 0.1 * good + noise, &[bad, good], 1.0);
+            known.add_sample(1, 1.6 * bad + 0.1 * good + noise, &[bad, good], 1.0);
         }
         known.solve(SOLVE_GAP);
         known
@@ -230,19 +230,19 @@
     #[test]
     fn learned_is_written_short() {
         let mut random = fastrand::Rng::with_seed(9);
-        let mut known = Disturbance::default();
+        let mut known = Interference::default();
         for number in 0..16 * 400 {
             let serving = (number % 16) as Image + 1;
             let shares: Vec<(Image, f64)> = (0..3)
                 .map(|_| (random.u16(20..50), random.f64() * 0.3))
                 .collect();
-            let row = known.row(&shares);
-            known.sample(serving, random.f64() * 0.4 - 0.2, &row, 1.0);
+            let row = known.dense_row(&shares);
+            known.add_sample(serving, random.f64() * 0.4 - 0.2, &row, 1.0);
         }
         known.solve(SOLVE_GAP);
         let bytes = rmp_serde::to_vec(&known).unwrap();
         assert!(bytes.len() < 26_000, "{}", bytes.len());
-        let mut again: Disturbance = rmp_serde::from_slice(&bytes).unwrap();
+        let mut again: Interference = rmp_serde::from_slice(&bytes).unwrap();
         again.solve(SOLVE_GAP);
         for (serving, filling) in (1..17).flat_map(|a| (20..50).map(move |b| (a, b))) {
             let (a, b) = (
@@ -264,39 +264,39 @@
 
     #[test]
     fn number_same_image() {
-        let mut known = Disturbance::default();
+        let mut known = Interference::default();
         let (first, second): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
-        let number = known.number(Some(&first));
-        assert_ne!(known.number(Some(&second)), number);
-        assert_eq!(known.number(Some(&first)), number);
-        assert_eq!(known.number(None), 0);
-        assert_eq!(known.find(None), known.number(None));
+        let number = known.intern(Some(&first));
+        assert_ne!(known.intern(Some(&second)), number);
+        assert_eq!(known.intern(Some(&first)), number);
+        assert_eq!(known.intern(None), 0);
+        assert_eq!(known.lookup(None), known.intern(None));
     }
 
     #[test]
     fn is_alike_same_disturbers() {
-        let mut known = Disturbance::default();
-        let row = known.row(&[(7, 0.1), (8, 0.1)]);
+        let mut known = Interference::default();
+        let row = known.dense_row(&[(7, 0.1), (8, 0.1)]);
         for serving in [1, 2, 3] {
             let weights = if serving == 3 { [0.1, 1.6] } else { [1.6, 0.1] };
             for (column, weight) in weights.into_iter().enumerate() {
                 let mut one = vec![0.0; row.len()];
                 one[column] = 0.2;
                 for _ in 0..5 {
-                    known.sample(serving, weight * 0.2, &one, 1.0);
+                    known.add_sample(serving, weight * 0.2, &one, 1.0);
                 }
             }
         }
         known.solve(SOLVE_GAP);
-        assert!(known.is_alike(1, 2));
-        assert!(!known.is_alike(1, 3));
-        assert!(!known.is_alike(1, 4));
+        assert!(known.is_similar(1, 2));
+        assert!(!known.is_similar(1, 3));
+        assert!(!known.is_similar(1, 4));
     }
 
     #[test]
     fn load_of_target() {
-        assert!((load_of(1.0) - LOAD_AT_TARGET).abs() < 1e-9);
-        assert!(load_of(0.1) < 1e-9);
-        assert!(load_of(0.5) < load_of(0.9));
+        assert!((load_from_tail(1.0) - LOAD_AT_TARGET).abs() < 1e-9);
+        assert!(load_from_tail(0.1) < 1e-9);
+        assert!(load_from_tail(0.5) < load_from_tail(0.9));
     }
 }
--- a/components/cell/src/disturb/sums.rs
+++ b/components/cell/src/interference/regression.rs
@@ -1,7 +1,7 @@
 //! Least squares with a prior, kept as running sums.
 
 use {
-    super::HARMFUL,
+    super::HARMFUL_WEIGHT,
     serde::{Deserialize, Serialize},
 };
 
@@ -123,7 +123,7 @@
             let (Some(a), Some(b)) = (self.known(column), other.known(column)) else {
                 continue;
             };
-            if (a >= HARMFUL) != (b >= HARMFUL) {
+            if (a >= HARMFUL_WEIGHT) != (b >= HARMFUL_WEIGHT) {
                 return false;
             }
             known += 1;
--- a/components/cell/src/lapse.rs
+++ b/components/cell/src/lapse.rs
@@ -17,7 +17,7 @@
             worker.shun(now);
             if worker.silent.is_none() {
                 worker.silent = Some(now);
-                self.crashes.losses.renew(worker);
+                self.crashes.losses.refresh(worker);
             }
         }
     }
@@ -42,8 +42,8 @@
         }
         for (id, may_tell) in over {
             if !may_tell {
-                self.tell_lost(&id, "its leases are over", now);
-                self.suspect_lapsed(&id, now);
+                self.log_lost_worker(&id, "its leases are over", now);
+                self.record_presumed_crash(&id, now);
             }
             self.expire(&id, may_tell);
             let is_listed = self.workers.get(&id).is_some_and(|worker| worker.listed);
@@ -51,7 +51,7 @@
                 self.lose(&id, "its leases are over and it is not listed", now);
             }
         }
-        self.forget_crashes(now);
+        self.expire_crash_state(now);
         self.settle(now);
     }
 
--- a/components/cell/src/lives.rs
+++ b/components/cell/src/lives.rs
@@ -150,18 +150,18 @@
 
     /// Takes in proof that a life is over: its entry counts no more, however long it stays listed.
     pub fn end_life(&mut self, id: &Arc<str>, cause: &str, now: u64) {
-        self.suspect_crashed(id, now);
+        self.record_crash(id, now);
         self.lose(id, cause, now);
         self.over.insert(id.clone());
     }
 
     /// Forgets a worker, and frees all that it had.
     pub(crate) fn lose(&mut self, id: &Arc<str>, cause: &str, now: u64) {
-        self.tell_lost(id, cause, now);
+        self.log_lost_worker(id, cause, now);
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
-        self.crashes.losses.leave(&worker);
+        self.crashes.losses.remove_worker(&worker);
         log::warn!(target: "cell", worker = &**id, address = &*worker.entry.address, cause, tasks = worker.slots.len(), listed = worker.listed; "A worker is gone.");
         self.fleet_dirty = true;
         self.gone.push(id.clone());
--- a/components/cell/src/pace.rs
+++ b/components/cell/src/pace.rs
@@ -9,7 +9,10 @@
 use {
     crate::{
         cell::Cell,
-        disturb::{Disturbance, HARMFUL, Image, LOAD_AT_TARGET, level::Levels, load_of},
+        interference::{
+            HARMFUL_WEIGHT, Image, Interference, LOAD_AT_TARGET, forecast::Forecasts,
+            load_from_tail,
+        },
         order::Order,
         slot::{Slot, Stage, UNKNOWN_PACE},
         strain::added_by_all,
@@ -46,12 +49,12 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        learn(&mut self.disturbance, &mut self.levels, worker, now);
-        if self.disturbance.solve(now) {
-            self.levels.forget(now);
+        learn(&mut self.interference, &mut self.forecasts, worker, now);
+        if self.interference.solve(now) {
+            self.forecasts.expire(now);
         }
-        self.learned_due |= self.disturbance.is_due(now);
-        for (key, run, percent) in set_paces(&self.disturbance, &self.levels, worker, now) {
+        self.learned_due |= self.interference.is_write_due(now);
+        for (key, run, percent) in set_paces(&self.interference, &self.forecasts, worker, now) {
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
@@ -74,7 +77,7 @@
 
 /// Takes the figures of serving tasks as readings of their job's load, and of what the filling
 /// tasks beside them add.
-fn learn(known: &mut Disturbance, levels: &mut Levels, worker: &Worker, now: u64) {
+fn learn(known: &mut Interference, levels: &mut Forecasts, worker: &Worker, now: u64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let mut shares: Vec<(Image, f64)> = Vec::new();
     let mut loads = BTreeMap::new();
@@ -85,7 +88,7 @@
         if slot.fills {
             shares.push((slot.image, slot.figure as f64 / capacity));
         } else if slot.target > 0 {
-            let load = load_of(slot.figure as f64 / slot.target as f64);
+            let load = load_from_tail(slot.figure as f64 / slot.target as f64);
             let sum: &mut (f64, f64) = loads.entry((key.job.clone(), slot.image)).or_default();
             sum.0 += load;
             sum.1 += 1.0;
@@ -94,9 +97,9 @@
     if loads.is_empty() {
         return;
     }
-    let row = known.row(&shares);
+    let row = known.dense_row(&shares);
     for (job, (sum, count)) in loads {
-        levels.read(known, job, sum / count, &row, now);
+        levels.observe(known, job, sum / count, &row, now);
     }
 }
 
@@ -115,10 +118,15 @@
 
 /// For each serving image on a worker, the pace in hundredths that keeps it under its target when
 /// all filling tasks that disturb it have it.
-fn limits(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<(Image, f64)> {
+fn limits(
+    known: &Interference,
+    levels: &Forecasts,
+    worker: &Worker,
+    now: u64,
+) -> Vec<(Image, f64)> {
     let mut loads: BTreeMap<Image, f64> = BTreeMap::new();
     for key in worker.serve_jobs.keys() {
-        let (near, _) = levels.foresee(key, now, AHEAD);
+        let (near, _) = levels.forecast(key, now, AHEAD);
         let load = loads.entry(key.1).or_default();
         *load = load.max(near);
     }
@@ -148,8 +156,8 @@
 
 impl Bounds {
     /// The worst tail that a filling image disturbs, and the pace that it may have.
-    fn of(&self, known: &Disturbance, filling: Image) -> (u64, u8) {
-        let harms = |serving: Image| known.weight(serving, filling) >= HARMFUL;
+    fn of(&self, known: &Interference, filling: Image) -> (u64, u8) {
+        let harms = |serving: Image| known.weight(serving, filling) >= HARMFUL_WEIGHT;
         let harmed = self.tails.iter().filter(|(serving, _)| harms(**serving));
         let worst = harmed.map(|(_, &tail)| tail).max().unwrap_or_default();
         let limits = self.limits.iter().filter(|(serving, _)| harms(*serving));
@@ -160,8 +168,8 @@
 
 /// Sets the pace of each filling task. Returns the changes to order.
 fn set_paces(
-    known: &Disturbance,
-    levels: &Levels,
+    known: &Interference,
+    levels: &Forecasts,
     worker: &mut Worker,
     now: u64,
 ) -> Vec<(Key, u64, u8)> {
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -42,7 +42,7 @@
         if most == 0 {
             return;
         }
-        self.end_trials();
+        self.end_stale_trials();
         let changed = self.take_changed(now);
         self.stuck.retain(|known| now < known.since + TRY_ALL);
         let line: Vec<Rank> = self.line.iter().cloned().collect();
@@ -171,7 +171,7 @@
             if self.is_spent() {
                 return;
             }
-            if self.must_wait(&rank.id, place) {
+            if self.is_start_blocked(&rank.id, place) {
                 continue;
             }
             let among = is_stuck.then_some(changed);
@@ -180,14 +180,14 @@
                 continue;
             }
             if past.suspicion == Suspicion::Alone {
-                self.strand(&rank.id, place);
+                self.mark_unplaceable(&rank.id, place);
             }
             let is_advised = submission.queue.advised;
             if is_advised {
                 self.ask(rank, address, step, now);
             }
             // Fewer workers will do for a task that has failed or is suspected: the others may find room.
-            if past.failures > 0 || past.suspicion.is_tried() {
+            if past.failures > 0 || past.suspicion.needs_trial() {
                 continue;
             }
             if is_stuck || is_advised {
@@ -295,14 +295,14 @@
         };
         let step = job.progress.step(place);
         let address = job.progress.submission.spec.address(place);
-        let image = self.disturbance.number(step.image.as_ref());
+        let image = self.interference.intern(step.image.as_ref());
         let slot = Slot::new(step, address, image, run, Stage::Sent { deadline });
         worker.hold(key.clone(), slot);
         if worker.is_faulty() {
             worker.probe = Some(key.clone());
         }
         let start = job.assign(key.clone(), run, id, deadline, now);
-        self.try_out(id, key, run, now);
+        self.begin_trial(id, key, run, now);
         self.room = self.room.saturating_sub(1);
         self.placed.push((place, run, id.clone()));
         self.orders.push((id.clone(), Order::Start(start)));
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -51,9 +51,9 @@
         });
         let had_unwritten = worker.is_unwritten();
         if was_silent {
-            self.renew_loss(id);
+            self.refresh_loss(id);
         }
-        self.withdraw(id);
+        self.revoke_crash(id);
         self.outlive(id, sent, now);
         let moment = Moment { sent, now, wall };
         let dirty_before = self.dirty.len();
@@ -137,7 +137,7 @@
         self.begun(&key);
         self.save(&key, run.saved.as_ref());
         self.clear(id, &key, moment.now);
-        self.survived(id, &key, moment.now);
+        self.record_survival(id, &key, moment.now);
     }
 
     /// Trusts a worker again that is tried with a task that lasts, once this has run for long enough: it
@@ -173,7 +173,7 @@
             job.leave_line();
         }
         let step = job.progress.step(key.place);
-        let image = self.disturbance.number(step.image.as_ref());
+        let image = self.interference.intern(step.image.as_ref());
         let stage = Stage::Running { at: moment.now };
         let slot = Slot {
             adopted: true,
@@ -244,7 +244,7 @@
                 }
             }
             if holds {
-                self.crashes.losses.renew(worker);
+                self.crashes.losses.refresh(worker);
             }
         }
     }
--- a/components/cell/src/room.rs
+++ b/components/cell/src/room.rs
@@ -62,7 +62,7 @@
         let (before, size) = (worker.entry.size, entry.size);
         worker.changed |= worker.entry != entry;
         if worker.entry.rack() != entry.rack() {
-            self.crashes.losses.regroup();
+            self.crashes.losses.invalidate();
         }
         worker.entry = entry;
         if before == size {
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -1,7 +1,7 @@
 //! What a worker holds for one task, and how far the start of the task has come.
 
 use {
-    crate::disturb::Image,
+    crate::interference::Image,
     job::{Address, Step, spec::Size},
 };
 
--- a/components/cell/src/strain.rs
+++ b/components/cell/src/strain.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         cell::{Cell, Job},
-        disturb::{Disturbance, HARMFUL, Image, LOAD_AT_TARGET, level::Levels},
+        interference::{HARMFUL_WEIGHT, Image, Interference, LOAD_AT_TARGET, forecast::Forecasts},
         pace::LOAD_LIMIT,
         worker::Worker,
     },
@@ -91,7 +91,7 @@
             if !std::mem::take(&mut worker.changed) {
                 continue;
             }
-            worker.strain = strain(&self.disturbance, &self.levels, worker, now);
+            worker.strain = strain(&self.interference, &self.forecasts, worker, now);
             changed.push(id.clone());
         }
         changed
@@ -100,7 +100,7 @@
     /// Brings the strain of one worker up to date.
     pub(crate) fn strain(&mut self, id: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.strain = strain(&self.disturbance, &self.levels, worker, now);
+            worker.strain = strain(&self.interference, &self.forecasts, worker, now);
         }
     }
 
@@ -109,13 +109,13 @@
         let mut effect = Effect::default();
         let share = (step.size.cpu * more) as f64 / worker.entry.size.cpu.max(1) as f64;
         for strain in &worker.strain {
-            let weight = self.disturbance.weight(strain.image, image);
+            let weight = self.interference.weight(strain.image, image);
             let added = strain.harmless + share * weight;
             effect.peak = effect.peak.max(strain.peak + added);
             effect.soon = effect.soon.max(strain.near + added);
-            if weight >= HARMFUL {
+            if weight >= HARMFUL_WEIGHT {
                 effect.harms = true;
-                effect.is_known |= self.disturbance.is_known(strain.image, image);
+                effect.is_known |= self.interference.is_known(strain.image, image);
                 effect.near = effect.near.max(strain.near + added + strain.harmful);
             }
         }
@@ -168,10 +168,10 @@
 }
 
 /// The strain of a worker, by serving image.
-fn strain(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<Strain> {
+fn strain(known: &Interference, levels: &Forecasts, worker: &Worker, now: u64) -> Vec<Strain> {
     let mut strains: Vec<Strain> = Vec::with_capacity(worker.serve_images.len());
     for key in worker.serve_jobs.keys() {
-        let (near, peak) = levels.foresee(key, now, AHEAD);
+        let (near, peak) = levels.forecast(key, now, AHEAD);
         match strains.iter_mut().find(|strain| strain.image == key.1) {
             Some(strain) => {
                 strain.near = strain.near.max(near);
@@ -194,13 +194,13 @@
 
 /// What the filling tasks of a worker add to the load of a serving image when they all work at full
 /// speed: first those that disturb it much, then the others.
-pub(crate) fn added_by_all(known: &Disturbance, serving: Image, worker: &Worker) -> (f64, f64) {
+pub(crate) fn added_by_all(known: &Interference, serving: Image, worker: &Worker) -> (f64, f64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let (mut harmful, mut harmless) = (0.0, 0.0);
     for (&filling, &cpu) in &worker.fill_images {
         let weight = known.weight(serving, filling);
         let added = weight * cpu as f64 / capacity;
-        if weight >= HARMFUL {
+        if weight >= HARMFUL_WEIGHT {
             harmful += added;
         } else {
             harmless += added;
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -165,7 +165,7 @@
             }
             if let Some(key) = self.key(&id, job, address) {
                 self.adopt(&id, key, &run, moment);
-                self.renew_loss(&id);
+                self.refresh_loss(&id);
             }
         }
     }
--- a/components/cell/src/waits.rs
+++ b/components/cell/src/waits.rs
@@ -77,9 +77,9 @@
     fn tell_wait(&self, key: &Key, job: &Job, wall: u64, now: u64) {
         let waited = job.lined.map_or(0, |since| wall.saturating_sub(since));
         let is_in_line = self.line.contains(&job.rank);
-        let must_wait = self.must_wait(&key.job, key.place);
+        let must_wait = self.is_start_blocked(&key.job, key.place);
         let past = self.past(&job.rank, key.place);
-        let trials = self.trials_of(&key.job);
+        let trials = self.job_trials(&key.job);
         let cpu = job.progress.step(key.place).size.cpu;
         let is_unsure = job.unsure && self.recovery.is_some();
         let obstacles = self.obstacles(job, key.place, past, now);
--- a/components/cell/src/worker.rs
+++ b/components/cell/src/worker.rs
@@ -1,7 +1,7 @@
 //! One worker as the owner of its cell sees it.
 
 use {
-    crate::{disturb::Image, slot::Slot, strain::Strain, timing},
+    crate::{interference::Image, slot::Slot, strain::Strain, timing},
     job::{Address, Id, spec::Size},
     serde::{Deserialize, Serialize},
     std::{
--- a/components/cell/src/write.rs
+++ b/components/cell/src/write.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::{Cell, Job},
-        disturb::Disturbance,
+        interference::Interference,
         worker::Entry,
     },
     job::{Id, Record},
@@ -49,8 +49,8 @@
 impl Cell {
     /// What is known of disturbance, when it is due to be written. It goes by itself: nothing waits for it, and with
     /// 16 and 30 images it is larger than many groups of records.
-    pub fn take_learned(&mut self) -> Option<Disturbance> {
-        std::mem::take(&mut self.learned_due).then(|| self.disturbance.clone())
+    pub fn take_learned(&mut self) -> Option<Interference> {
+        std::mem::take(&mut self.learned_due).then(|| self.interference.clone())
     }
 
     /// The next group to write, with records that take at most this many entries of the store. The
--- a/components/cell/tests/decisions/crashes.rs
+++ b/components/cell/tests/decisions/crashes.rs
@@ -374,7 +374,7 @@
 
 /// How many looks at workers and losses it takes to tell which were lost together, for each worker of the cell.
 fn looks_each(world: &World, before: u64) -> u64 {
-    (world.cell.loss_looks() - before) / LARGE as u64
+    (world.cell.loss_lookups() - before) / LARGE as u64
 }
 
 /// Seen with 3,000 workers of which 2,600 were lost at once: the pass that gave them up took 2.4 s, and the lease of an owner
@@ -392,7 +392,7 @@
     for id in names(LOST..LARGE) {
         world.report(&id, vec![], vec![]);
     }
-    let before = world.cell.loss_looks();
+    let before = world.cell.loss_lookups();
     world.cell.lapse(world.now);
     let looks = looks_each(&world, before);
     assert!((1..=8).contains(&looks), "{looks}");
@@ -403,7 +403,7 @@
 fn return_of_most_of_large_cell_is_bounded() {
     let mut world = cut_at_once();
     world.now += 2_000;
-    let before = world.cell.loss_looks();
+    let before = world.cell.loss_lookups();
     for id in names(0..LOST) {
         world.cell.end_life(&id, "another life answers", world.now);
     }
@@ -416,7 +416,7 @@
 fn return_of_same_lives_to_large_cell_is_bounded() {
     let mut world = cut_at_once();
     world.now += 2_000;
-    let before = world.cell.loss_looks();
+    let before = world.cell.loss_lookups();
     for pair in names(0..LOST).chunks(2) {
         world
             .cell
--- a/components/cell/tests/decisions/fill.rs
+++ b/components/cell/tests/decisions/fill.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, end, entry, run, step, submission},
     job::Step,
-    magpie_cell::{Disturbance, How, Order, Outcome, Report},
+    magpie_cell::{How, Interference, Order, Outcome, Report},
     std::sync::Arc,
     test_case::test_case,
 };
@@ -57,16 +57,16 @@
 
 /// The serving image s is disturbed by f and not by g. Images get their numbers in the order in which
 /// the tasks of a world start.
-fn learned(order: [&str; 3]) -> Disturbance {
-    let mut known = Disturbance::default();
+fn learned(order: [&str; 3]) -> Interference {
+    let mut known = Interference::default();
     for name in order {
-        known.number(Some(&name.into()));
+        known.intern(Some(&name.into()));
     }
-    let [serving, harmful, harmless] = ["s", "f", "g"].map(|name| known.find(Some(&name.into())));
-    known.row(&[(harmful, 0.2), (harmless, 0.2)]);
+    let [serving, harmful, harmless] = ["s", "f", "g"].map(|name| known.lookup(Some(&name.into())));
+    known.dense_row(&[(harmful, 0.2), (harmless, 0.2)]);
     for _ in 0..40 {
-        known.sample(serving, 1.6 * 0.2, &[0.2, 0.0], 1.0);
-        known.sample(serving, 0.0, &[0.0, 0.2], 1.0);
+        known.add_sample(serving, 1.6 * 0.2, &[0.2, 0.0], 1.0);
+        known.add_sample(serving, 0.0, &[0.0, 0.2], 1.0);
     }
     known.solve(1_000);
     known
