--- a/components/cell/src/crashes/index.rs
+++ b/components/cell/src/crashes/index.rs
@@ -1,7 +1,8 @@
-//! Losses by cell, rack and job, so that those which met a silence can be counted without a look at each.
+//! Index of losses by cell, rack and job. Overlapping outages are counted without scanning all
+//! workers.
 
 use {
-    super::{losses::Loss, outage::Silences},
+    super::{losses::Loss, outage::Outages},
     crate::worker::Worker,
     job::Id,
     std::{
@@ -10,68 +11,69 @@
     },
 };
 
-/// Workers of a rack or a cell.
+/// Workers of a rack or of the cell.
 #[derive(Debug, Default)]
 pub(super) struct Group {
-    /// How many there are, those that were given up a short while ago among them.
-    pub all: usize,
-    /// The silences of those that were lost.
-    pub lost: Silences,
-    /// The silences of those on which a task of a job had just started.
-    pub jobs: HashMap<Id, Silences>,
+    /// Number of workers, including those declared lost within the retention time.
+    pub total: usize,
+    /// Outages of the lost workers.
+    pub outages: Outages,
+    /// Outages of the lost workers that had a new run, by the job of that run.
+    pub job_outages: HashMap<Id, Outages>,
 }
 
 impl Group {
     fn add(&mut self, loss: &Loss) {
-        self.lost.add(loss.silence);
+        self.outages.add(loss.outage);
         for job in &loss.jobs {
-            let silences = self.jobs.entry(job.clone()).or_default();
-            silences.add(loss.silence);
+            let outages = self.job_outages.entry(job.clone()).or_default();
+            outages.add(loss.outage);
         }
     }
 
     fn remove(&mut self, loss: &Loss) {
-        self.lost.remove(loss.silence);
+        self.outages.remove(loss.outage);
         for job in &loss.jobs {
-            let Some(silences) = self.jobs.get_mut(job) else {
+            let Some(outages) = self.job_outages.get_mut(job) else {
                 continue;
             };
-            silences.remove(loss.silence);
-            if silences.is_empty() {
-                self.jobs.remove(job);
+            outages.remove(loss.outage);
+            if outages.is_empty() {
+                self.job_outages.remove(job);
             }
         }
     }
 }
 
-/// All workers, those that cannot be reached, and those that were given up a short while ago.
+/// Index of all workers, the unreachable ones and those recently declared lost.
 ///
-/// It guards against the square of the number of lost workers: each that was given up had all others looked at and
-/// compared anew. Of 3,000 workers with 8 runs each 2,600 were lost together: the pass that gave them up took 3.5 to 5.2 s,
-/// and takes 0.03 to 0.06 s; proof, one by one, that their lives were over took 3.3 s in all, and takes 0.03 to 0.05 s. It was
-/// taken by the wall clock, in a release build on a machine that others used. An owner's lease is over after 2 s.
+/// It avoids work that is quadratic in the number of lost workers: a scan of all workers for each
+/// lost one. When 2,600 of 3,000 workers with 8 runs each were lost together, such scans took 3.5
+/// to 5.2 s in the pass that declared them lost, and 3.3 s in total when their incarnations were
+/// proven over one by one. With the index both take 0.03 to 0.06 s (wall clock, release build,
+/// shared machine). An owner's lease expires after 2 s.
 #[derive(Debug, Default)]
-pub(super) struct Index {
+pub(super) struct LossIndex {
     pub cell: Group,
     racks: HashMap<Arc<str>, Group>,
-    /// Workers that cannot be reached and were not given up yet.
-    unreached: HashMap<Arc<str>, Loss>,
+    /// Unreachable workers that have not been declared lost, by id.
+    unreachable: HashMap<Arc<str>, Loss>,
 }
 
-impl Index {
-    /// Looks through all workers, and those that were given up.
+impl LossIndex {
+    /// Builds the index from all workers and the recent losses.
     pub fn of(workers: &BTreeMap<Arc<str>, Worker>, recent: &HashMap<Arc<str>, Loss>) -> Self {
-        let mut index = Index::default();
+        let mut index = LossIndex::default();
         for (id, worker) in workers {
-            index.count(worker.entry.rack());
+            index.add_worker(worker.entry.rack());
             if !recent.contains_key(id) {
-                index.miss(worker);
+                index.add_unreachable(worker);
             }
         }
         for (id, loss) in recent {
             index.add(loss);
             if !workers.contains_key(id) {
-                index.count(&loss.rack);
+                index.add_worker(&loss.rack);
             }
         }
         index
@@ -82,21 +84,21 @@
         self.racks.get(rack)
     }
 
-    /// What is known of a worker that cannot be reached.
-    pub fn unreached(&self, id: &str) -> Option<&Loss> {
-        self.unreached.get(id)
+    /// The loss that is indexed for an unreachable worker.
+    pub fn unreachable(&self, id: &str) -> Option<&Loss> {
+        self.unreachable.get(id)
     }
 
-    /// Counts a worker, be it lost or not.
-    pub fn count(&mut self, rack: &str) {
-        self.cell.all += 1;
-        self.group(rack).all += 1;
+    /// Adds a worker, lost or not, to the totals.
+    pub fn add_worker(&mut self, rack: &str) {
+        self.cell.total += 1;
+        self.group(rack).total += 1;
     }
 
-    /// Counts a worker no more.
-    pub fn discount(&mut self, rack: &str) {
-        self.cell.all -= 1;
-        self.group(rack).all -= 1;
+    /// Removes a worker from the totals.
+    pub fn remove_worker(&mut self, rack: &str) {
+        self.cell.total -= 1;
+        self.group(rack).total -= 1;
     }
 
     /// Adds a loss.
@@ -105,19 +107,19 @@
         self.group(&loss.rack).add(loss);
     }
 
-    /// Adds a worker if it cannot be reached.
-    pub fn miss(&mut self, worker: &Worker) {
+    /// Adds a worker as a loss if it is unreachable and has reported before.
+    pub fn add_unreachable(&mut self, worker: &Worker) {
         let (Some(since), Some(_)) = (worker.silent, worker.clock) else {
             return;
         };
         let loss = Loss::of(worker, since);
         self.add(&loss);
-        self.unreached.insert(loss.id.clone(), loss);
+        self.unreachable.insert(loss.id.clone(), loss);
     }
 
-    /// Takes a worker out that could not be reached.
-    pub fn reach(&mut self, id: &str) {
-        if let Some(loss) = self.unreached.remove(id) {
+    /// Removes the loss of an unreachable worker.
+    pub fn remove_unreachable(&mut self, id: &str) {
+        if let Some(loss) = self.unreachable.remove(id) {
             self.cell.remove(&loss);
             self.group(&loss.rack).remove(&loss);
         }
--- a/components/cell/src/crashes/losses.rs
+++ b/components/cell/src/crashes/losses.rs
@@ -1,10 +1,11 @@
-//! Workers that are lost together: a rack without power, or a cut.
+//! Correlated losses: workers lost together through a power failure of a rack or a network
+//! partition.
 
 use {
     super::{
-        EARLY,
-        index::{Group, Index},
-        outage::{Silence, Silences},
+        EARLY_MS,
+        index::{Group, LossIndex},
+        outage::{Outage, Outages},
     },
     crate::{slot::Slot, worker::Worker},
     job::Id,
@@ -14,26 +15,29 @@
     },
 };
 
-/// Fewer workers than this are no group, whatever part of their rack or cell they are.
-const FEWEST: usize = 3;
-/// Workers that are lost together when they are this part of their rack, in hundredths: without power all of it is
-/// lost, and some may not be missed yet. Half of a rack went with six tasks that had been placed there together.
-pub(super) const OF_RACK: usize = 75;
-/// The same of the cell. A tenth of the workers of a cell was down at any time with six tasks that crash theirs.
-pub(super) const OF_CELL: usize = 25;
-/// How long a loss is remembered, in milliseconds: longer than the last of a group takes to be given up, which is when
-/// its leases are over.
-const REMEMBERED: u64 = 10_000;
-
-/// A worker that cannot be reached, or was given up.
+/// Minimum number of workers in a correlated loss, whatever their share of the rack or cell.
+const MIN_GROUP: usize = 3;
+/// Share of a rack, in percent, from which a loss is correlated. A power failure takes the whole
+/// rack, but some of its workers may not be detected yet. It has to exceed one half: six crashing
+/// tasks placed on the same rack took half of its workers.
+pub(super) const RACK_PERCENT: usize = 75;
+/// Share of the cell, in percent, from which a loss is correlated. It has to exceed a tenth: with
+/// six crashing tasks a tenth of the workers was down at any time.
+pub(super) const CELL_PERCENT: usize = 25;
+/// How long a loss is kept, in milliseconds: longer than the time until the leases of the last
+/// worker of a group expire and it is declared lost.
+const RETENTION_MS: u64 = 10_000;
+
+/// The loss of a worker that is unreachable or was declared lost.
 #[derive(Debug)]
 pub(super) struct Loss {
     pub id: Arc<str>,
     pub rack: Arc<str>,
-    pub silence: Silence,
-    /// The jobs of which a task had just started there.
+    pub outage: Outage,
+    /// Jobs with a new run on the worker.
     pub jobs: BTreeSet<Id>,
-    /// When it was given up, in milliseconds on our clock; before that, since when it has not been reached.
+    /// When the worker was declared lost, in milliseconds on the owner's clock; until then, since
+    /// when it is unreachable.
     at: u64,
 }
 
@@ -44,205 +48,220 @@
         Loss {
             id: worker.entry.id.clone(),
             rack: worker.entry.rack().into(),
-            silence: Silence::of(worker, now),
+            outage: Outage::of(worker, now),
             jobs: early.map(|(key, _)| key.job.clone()).collect(),
             at: now,
         }
     }
 }
 
-/// Workers that were given up a short while ago, and beside them all others once one is to be judged.
+/// Workers recently declared lost, and an index of all workers that is built on the first query.
 ///
-/// The index is kept from one loss to the next, since workers that are lost together are given up one by one. It is told
-/// of whatever changes it: workers that come and go, that fall silent or are heard, and what silent ones hold.
+/// The index is kept between queries, since workers lost together are declared lost one by one.
+/// Callers report every change: workers that are added or removed, that become unreachable or
+/// reachable, and changes in the runs of unreachable workers.
 #[derive(Debug, Default)]
 pub(crate) struct Losses {
     pub(super) recent: HashMap<Arc<str>, Loss>,
-    index: Option<Index>,
-    /// Looks at workers and losses.
-    looks: u64,
+    index: Option<LossIndex>,
+    /// Index operations and workers scanned, as a measure of work.
+    lookups: u64,
 }
 
 impl Losses {
-    /// Notes that a worker is given up, once: for its leases, or for the proof that its life is over. One that this owner
-    /// has never heard was lost before its time: a takeover that clears up after a former owner is no loss of power.
+    /// Records that a worker is declared lost, once, because its leases expired or its incarnation
+    /// is proven over. A worker that never reported to this owner is ignored: it was lost earlier,
+    /// and cleaning up after a previous owner is not a power failure.
     pub fn record(&mut self, worker: &Worker, now: u64) {
         let id = &worker.entry.id;
         if worker.clock.is_none() || self.recent.contains_key(id) {
             return;
         }
-        self.looks += 1;
+        self.lookups += 1;
         let loss = Loss::of(worker, now);
         if let Some(index) = &mut self.index {
-            index.reach(id);
+            index.remove_unreachable(id);
             index.add(&loss);
         }
         self.recent.insert(id.clone(), loss);
     }
 
-    /// Forgets those of long ago.
+    /// Drops losses older than the retention time.
     pub fn expire(&mut self, now: u64) {
         let before = self.recent.len();
-        self.recent.retain(|_, loss| now < loss.at + REMEMBERED);
+        self.recent.retain(|_, loss| now < loss.at + RETENTION_MS);
         if self.recent.is_empty() || self.recent.len() < before {
             self.index = None;
         }
     }
 
-    /// Takes in that a worker has fallen silent or is heard again, or that what it holds has changed. It needs not be told
-    /// of what was given up: that is noted before it is taken away.
+    /// Updates the index after a worker became unreachable or reachable, or its runs changed. No
+    /// call is needed when runs are freed because the worker is declared lost: `record` comes
+    /// first.
     pub fn refresh(&mut self, worker: &Worker) {
         let id = &worker.entry.id;
         let Some(index) = &mut self.index else {
             return;
         };
-        self.looks += 1;
-        index.reach(id);
+        self.lookups += 1;
+        index.remove_unreachable(id);
         if !self.recent.contains_key(id) {
-            index.miss(worker);
+            index.add_unreachable(worker);
         }
     }
 
-    /// Takes in a new worker. One that was given up is known again.
+    /// Adds a new worker. A worker that was declared lost leaves the losses' count and counts as
+    /// known again.
     pub fn add_worker(&mut self, worker: &Worker) {
         let Some(index) = &mut self.index else {
             return;
         };
-        self.looks += 1;
+        self.lookups += 1;
         if let Some(loss) = self.recent.get(&worker.entry.id) {
-            index.discount(&loss.rack);
+            index.remove_worker(&loss.rack);
         }
-        index.count(worker.entry.rack());
+        index.add_worker(worker.entry.rack());
     }
 
-    /// Takes in that a worker is forgotten. One that was given up goes on counting for a while.
+    /// Removes a worker. If it was declared lost, it is counted until its loss expires.
     pub fn remove_worker(&mut self, worker: &Worker) {
         let id = &worker.entry.id;
         let Some(index) = &mut self.index else {
             return;
         };
-        self.looks += 1;
-        index.reach(id);
-        index.discount(worker.entry.rack());
+        self.lookups += 1;
+        index.remove_unreachable(id);
+        index.remove_worker(worker.entry.rack());
         if let Some(loss) = self.recent.get(id) {
-            index.count(&loss.rack);
+            index.add_worker(&loss.rack);
         }
     }
 
-    /// Looks through all workers anew once that is asked for: some have moved to other racks.
+    /// Drops the index, because workers moved to other racks. The next query rebuilds it.
     pub fn invalidate(&mut self) {
         self.index = None;
     }
 
-    /// The workers that fell silent together with one that is given up, itself among them.
+    /// Correlates the loss of a worker with those whose outage overlaps with its own.
     pub(super) fn correlated_with(
         &mut self,
         workers: &BTreeMap<Arc<str>, Worker>,
         worker: &Worker,
         now: u64,
-    ) -> Together<'_> {
-        self.looks += 1;
+    ) -> Correlation<'_> {
+        self.lookups += 1;
         if self.index.is_none() {
-            self.looks += (workers.len() + self.recent.len()) as u64;
+            self.lookups += (workers.len() + self.recent.len()) as u64;
         }
         let recent = &self.recent;
-        let gather = || Index::of(workers, recent);
-        let index = self.index.get_or_insert_with(gather);
+        let build = || LossIndex::of(workers, recent);
+        let index = self.index.get_or_insert_with(build);
         let own = Loss::of(worker, now);
-        let known = recent.get(&own.id).or_else(|| index.unreached(&own.id));
-        Together { own, known, index }
+        let indexed = recent.get(&own.id).or_else(|| index.unreachable(&own.id));
+        Correlation {
+            own,
+            indexed,
+            index,
+        }
     }
 
-    /// How many looks at workers and losses it took to tell which were lost together.
+    /// Index operations and workers scanned since the start, as a measure of work.
     pub const fn lookups(&self) -> u64 {
-        self.looks
+        self.lookups
     }
 }
 
-/// With how many others a worker was lost.
-pub(super) struct Together<'a> {
+/// The loss of a worker in relation to the other losses.
+pub(super) struct Correlation<'a> {
     own: Loss,
-    /// What the index has of it, which does not count beside `own`.
-    known: Option<&'a Loss>,
-    index: &'a Index,
+    /// The loss that the index holds for the same worker; not counted in addition to `own`.
+    indexed: Option<&'a Loss>,
+    index: &'a LossIndex,
 }
 
-impl Together<'_> {
-    /// True when so many were lost that a task of this job is not the cause: it had just started on half of them at
-    /// the most.
-    pub fn clears(&self, job: &Id) -> bool {
-        let is_cleared = |rack: Lost| rack.clears(OF_RACK, job);
-        self.of_rack().is_some_and(is_cleared) || self.of_cell().clears(OF_CELL, job)
+impl Correlation<'_> {
+    /// True if the loss is correlated and at most half of the lost workers had a new run of this
+    /// job, so that no task of the job caused it.
+    pub fn rules_out(&self, job: &Id) -> bool {
+        let is_ruled_out = |loss: GroupLoss| loss.rules_out(RACK_PERCENT, job);
+        self.in_rack().is_some_and(is_ruled_out) || self.in_cell().rules_out(CELL_PERCENT, job)
     }
 
-    /// The worker among those of its rack.
-    pub fn of_rack(&self) -> Option<Lost<'_>> {
-        let (own, known) = (&self.own, self.known);
-        Some(Lost {
+    /// The loss among the workers of its rack.
+    pub fn in_rack(&self) -> Option<GroupLoss<'_>> {
+        let (own, indexed) = (&self.own, self.indexed);
+        Some(GroupLoss {
             own,
-            known: known.filter(|known| known.rack == own.rack),
+            indexed: indexed.filter(|indexed| indexed.rack == own.rack),
             group: self.index.rack(&own.rack)?,
         })
     }
 
-    /// The worker among those of the cell.
-    pub fn of_cell(&self) -> Lost<'_> {
-        Lost {
+    /// The loss among the workers of the cell.
+    pub fn in_cell(&self) -> GroupLoss<'_> {
+        GroupLoss {
             own: &self.own,
-            known: self.known,
+            indexed: self.indexed,
             group: &self.index.cell,
         }
     }
 }
 
-/// A worker that was lost, among others.
-pub(super) struct Lost<'a> {
+/// The loss of a worker within a group.
+pub(super) struct GroupLoss<'a> {
     own: &'a Loss,
-    /// What the group has of it.
-    known: Option<&'a Loss>,
+    /// The loss that the group holds for the same worker.
+    indexed: Option<&'a Loss>,
     group: &'a Group,
 }
 
-impl Lost<'_> {
-    /// How many workers there are, be they lost or not.
-    pub const fn all(&self) -> usize {
-        self.group.all
+impl GroupLoss<'_> {
+    /// Number of workers in the group, lost or not.
+    pub const fn total(&self) -> usize {
+        self.group.total
     }
 
-    /// How many were lost together, itself among them.
-    pub fn lost(&self) -> usize {
-        self.others(&self.group.lost, self.known) + 1
+    /// Number of workers lost together, including this one.
+    pub fn lost_count(&self) -> usize {
+        self.overlapping_others(&self.group.outages, self.indexed) + 1
     }
 
-    /// On how many of these a task of a job had just started.
-    pub fn of_job(&self, job: &Id) -> usize {
+    /// Number of workers lost together that had a new run of a job.
+    pub fn starting(&self, job: &Id) -> usize {
         let has_job = |loss: &&Loss| loss.jobs.contains(job);
-        let known = self.known.filter(has_job);
-        let silences = self.group.jobs.get(job);
-        let others = silences.map_or(0, |silences| self.others(silences, known));
+        let indexed = self.indexed.filter(has_job);
+        let outages = self.group.job_outages.get(job);
+        let others = outages.map_or(0, |outages| self.overlapping_others(outages, indexed));
         others + usize::from(has_job(&self.own))
     }
 
-    /// How many others fell silent together with it. These silences have its own as it is known.
-    fn others(&self, silences: &Silences, known: Option<&Loss>) -> usize {
-        let is_met = known.is_some_and(|known| known.silence.meets(self.own.silence));
-        silences.meeting(self.own.silence) - usize::from(is_met)
+    /// Number of other workers in `outages` whose outage overlaps. `indexed` is this worker's own
+    /// loss if `outages` holds it.
+    fn overlapping_others(&self, outages: &Outages, indexed: Option<&Loss>) -> usize {
+        let is_counted = indexed.is_some_and(|indexed| indexed.outage.overlaps(self.own.outage));
+        outages.count_overlapping(self.own.outage) - usize::from(is_counted)
     }
 
-    /// True when so many hundredths of all were lost that a task of this job is not the cause.
-    fn clears(&self, part: usize, job: &Id) -> bool {
-        let lost = self.lost();
-        let is_group = lost >= FEWEST && lost * 100 >= self.all() * part;
-        is_group && self.of_job(job) * 2 <= lost
+    /// True if at least `percent` of the group was lost and at most half of the lost workers had a
+    /// new run of the job.
+    fn rules_out(&self, percent: usize, job: &Id) -> bool {
+        let lost = self.lost_count();
+        let is_group = lost >= MIN_GROUP && lost * 100 >= self.total() * percent;
+        is_group && self.starting(job) * 2 <= lost
     }
 }
 
 impl Worker {
-    /// True when a run is not known to have gone on for long. One that was adopted has: it was listed to this owner, and a
-    /// takeover takes 2 s from the death of the former one. Counted from its adoption, all that ran on workers lost in the
-    /// second after a takeover were suspects, and their tasks were away for a second or two longer. Where the cell is handed
-    /// over instead, at once, a task that crashes its worker 0.7 s after each start is started five times, not three.
+    /// True unless the run is known to have run for [`EARLY_MS`]. Adopted runs are never early: a
+    /// previous owner started them, and a takeover takes 2 s from its death. Counting from the
+    /// adoption would suspect all runs on workers that are lost in the second after a takeover,
+    /// which delayed their tasks by one or two seconds. The cost: if the cell is handed over
+    /// without delay, a task that crashes its worker 0.7 s after each start is started five times
+    /// rather than three.
     pub(super) fn is_early(&self, slot: &Slot) -> bool {
-        !slot.adopted && self.known_to_run(slot).is_none_or(|age| age < EARLY)
+        !slot.adopted
+            && self
+                .confirmed_runtime(slot)
+                .is_none_or(|age| age < EARLY_MS)
     }
 }
--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -1,14 +1,15 @@
-//! Tasks that crash their workers.
+//! Crash attribution: finds and fails tasks that crash their workers.
 //!
-//! A worker that crashes lists no ends, so nothing it says tells which of its tasks did it. What is known is which
-//! tasks it held, and for how long each was known to run. A task is suspected when its worker crashes before the run
-//! has been listed for [`EARLY`], and more so each time this happens to it in a row. A suspect is tried where few can
-//! come to harm, and never beside another one, so that the next crash tells them apart; a run that is listed for
-//! longer clears its task. After [`GIVE_UP_EARLY`] crashes in a row the task is given up, and its job has failed.
+//! A crashed worker reports no ends, so no report names the task that caused the crash. The owner
+//! knows the tasks on the worker and how long each run was reported. A task is suspected if its
+//! worker crashes before the run has been reported for [`EARLY_MS`]; suspicion grows with
+//! consecutive crashes. A suspected task gets a trial on a worker where a crash costs little, never
+//! together with another suspect, so that the next crash tells them apart. A run reported for
+//! longer clears its task. After [`MAX_EARLY_CRASHES`] consecutive early crashes the job fails.
 //!
-//! What is lost together with many other workers is put down to power or a cut, and counts as a late crash: more of
-//! these are needed, but those too are bounded. What a worker held that comes back after it was given up for its
-//! leases was no crash, and is taken back.
+//! A loss correlated with the loss of many other workers is attributed to power or network and
+//! counts as a late crash. Late crashes are bounded too, by a higher limit. If a worker whose
+//! leases had expired returns, its crash is revoked.
 
 mod index;
 mod losses;
@@ -33,67 +34,71 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// A run that has been listed for this long has not crashed its worker by starting, in milliseconds. Workers that
-/// serve are polled each half second, so that a sound run has been listed at least once by then.
-const EARLY: u64 = 1_000;
-/// A run that has been listed for this long clears its task of all earlier crashes, in milliseconds: ten times as long
-/// as most tasks run.
-const SOUND: u64 = 30_000;
-/// Early crashes in a row after which a task is given up. Two can be two losses of power, or a crash beside another
-/// suspect and one by chance, and must fail no job that can be done. Each more costs a worker: with six such tasks on 66
-/// workers 12 crash with two, 18 with three, 30 with five (and 174 in 60 s where nothing is counted).
-const GIVE_UP_EARLY: u32 = 3;
-/// Crashes in a row, early or late, after which a task is given up, in any case: it may not start three times more once
-/// three workers have crashed under it.
-const GIVE_UP_ALL: u32 = 5;
-/// A worker that was given up for its leases is not expected back after this time, in milliseconds: the longest cuts
-/// that the sheets name last some ten seconds.
-const BACK_WITHIN: u64 = 60_000;
+/// A run reported for this long, in milliseconds, did not crash its worker by starting. Workers
+/// with serving tasks are polled every half second, so a healthy run is reported at least once by
+/// then.
+const EARLY_MS: u64 = 1_000;
+/// A run reported for this long, in milliseconds, clears its task of all earlier crashes: ten times
+/// the duration of most tasks.
+const STABLE_MS: u64 = 30_000;
+/// Consecutive early crashes after which a task fails its job. Two may be two power failures, or a
+/// crash caused by another suspect followed by an unrelated one, and must not fail a healthy job.
+/// Each further crash costs a worker per task: six such tasks on 66 workers crash 12 workers with a
+/// limit of two, 18 with three, 30 with five, and 174 in 60 s without a limit.
+const MAX_EARLY_CRASHES: u32 = 3;
+/// Consecutive crashes, early or late, after which a task fails its job: at most two more starts
+/// are allowed once three workers have crashed under the task.
+const MAX_CRASHES: u32 = 5;
+/// Time, in milliseconds, in which the crash of a worker that was lost through expired leases can
+/// be revoked. The longest network partitions in the requirements last about ten seconds.
+const REVOCABLE_MS: u64 = 60_000;
 
-/// What is known of crashes, beside what each task has of its own.
+/// Crash state of a cell, besides the counts in the record of each task.
 #[derive(Debug, Default)]
 pub(crate) struct CrashTracker {
-    /// Suspects that run and have not been listed for long enough, by worker.
+    /// Trials of suspected tasks, by worker.
     trials: HashMap<Arc<str>, trial::Trial>,
-    /// Workers that were lost a short while ago.
+    /// Recent losses of workers.
     pub losses: Losses,
-    /// What was counted against tasks for workers that may come back, by worker.
-    doubted: HashMap<Arc<str>, Doubted>,
-    /// Tasks that are to be given up.
+    /// Crashes of workers that may return, by worker.
+    provisional: HashMap<Arc<str>, ProvisionalCrashes>,
+    /// Tasks that reached a crash limit and whose jobs are to fail.
     over_limit: Vec<Key>,
 }
 
-/// Crashes that were counted for a worker which may be alive.
+/// Crashes counted for a worker that may be alive.
 #[derive(Debug)]
-struct Doubted {
+struct ProvisionalCrashes {
     /// When they were counted.
     at: u64,
-    /// The tasks, and whether the crash was an early one.
+    /// The tasks, and for each whether the crash was early.
     tasks: Vec<(Key, bool)>,
 }
 
 impl Cell {
-    /// Counts the crash of a worker, whose life is proven to be over, against what it held.
+    /// Counts a crash of a worker whose incarnation is proven over against its tasks.
     pub(crate) fn record_crash(&mut self, id: &Arc<str>, now: u64) {
-        self.crashes.doubted.remove(id);
-        self.suspect(id, now);
+        self.crashes.provisional.remove(id);
+        self.attribute_crash(id, now);
     }
 
-    /// The same for a worker that cannot be reached and whose leases are over, as long as it does not come back.
+    /// Counts a crash of a worker that is unreachable and whose leases have expired; revoked if the
+    /// worker returns.
     pub(crate) fn record_presumed_crash(&mut self, id: &Arc<str>, now: u64) {
-        // Where this owner was late to ask, nothing speaks for a crash.
+        // If the owner itself polled too late, the expiry is no evidence of a crash.
         if !self.workers.get(id).is_some_and(Worker::is_silent) {
             return;
         }
-        let tasks = self.suspect(id, now);
+        let tasks = self.attribute_crash(id, now);
         if !tasks.is_empty() {
-            let doubted = Doubted { at: now, tasks };
-            self.crashes.doubted.insert(id.clone(), doubted);
+            let provisional = ProvisionalCrashes { at: now, tasks };
+            self.crashes.provisional.insert(id.clone(), provisional);
         }
     }
 
-    /// Counts a crash against what a worker holds. Returns the tasks, and for which of them it was an early one.
-    fn suspect(&mut self, id: &Arc<str>, now: u64) -> Vec<(Key, bool)> {
+    /// Counts a crash against the tasks of a worker that may have caused it. Returns these, and for
+    /// each whether the crash was early.
+    fn attribute_crash(&mut self, id: &Arc<str>, now: u64) -> Vec<(Key, bool)> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
         };
@@ -102,47 +107,49 @@
             return Vec::new();
         }
         let losses = &mut self.crashes.losses;
-        let together = losses.correlated_with(&self.workers, worker, now);
+        let correlation = losses.correlated_with(&self.workers, worker, now);
         let mut held = Vec::new();
         for (key, slot) in &worker.slots {
-            let is_early = worker.is_early(slot) && !together.clears(&key.job);
+            let is_early = worker.is_early(slot) && !correlation.rules_out(&key.job);
             held.push((key.clone(), is_early));
         }
         losses.record(worker, now);
-        if worker.has_left() {
+        if worker.left_cleanly() {
             return Vec::new();
         }
         held.sort();
-        self.clear_bystanders(&mut held);
-        held.retain(|(key, is_early)| self.count(key, *is_early));
+        self.retain_likely_causes(&mut held);
+        held.retain(|(key, is_early)| self.count_crash(key, *is_early));
         held
     }
 
-    /// Of the tasks that a worker held, and for which of them the crash was an early one, leaves those that may have caused
-    /// it.
-    fn clear_bystanders(&self, held: &mut Vec<(Key, bool)>) {
-        let is_strong = |(key, is_early): &(Key, bool)| {
+    /// Removes the tasks that probably did not cause the crash. `held` has the tasks of the worker,
+    /// and for each whether the crash was early.
+    fn retain_likely_causes(&self, held: &mut Vec<(Key, bool)>) {
+        let is_isolated = |(key, is_early): &(Key, bool)| {
             *is_early && self.suspicion(&key.job, key.place) == Suspicion::Alone
         };
         let explains = |(key, is_early): &(Key, bool)| *is_early && self.is_suspect(key);
-        if held.iter().any(is_strong) {
-            // What was tried alone explains it, also to what had started there a moment before. With workers that report
-            // each 2 s a lasting task on one of two workers was given up after five crashes under others' suspects.
-            held.retain(is_strong);
+        if held.iter().any(is_isolated) {
+            // A task in an isolated trial explains the crash, even for runs that started a moment
+            // earlier. Without this rule, and with workers that report every 2 s, a long-running
+            // task on one of two workers failed after five crashes caused by other suspects.
+            held.retain(is_isolated);
         } else if held.iter().any(explains) {
-            // A suspect that had just started here is the better explanation: what ran beside it for longer keeps its
-            // name. A task of several seconds was given up after five crashes under others' suspects, in 23 s.
+            // A suspect that has just started explains the crash; older runs on the worker are not
+            // counted. Without this rule a task of several seconds failed after five crashes caused
+            // by other suspects, within 23 s.
             held.retain(|(_, is_early)| *is_early);
         }
     }
 
-    /// True for a task that was suspected before.
+    /// True if the task is already suspected.
     fn is_suspect(&self, key: &Key) -> bool {
         self.suspicion(&key.job, key.place) != Suspicion::None
     }
 
-    /// Counts one crash against a task. False when its job is not known or over.
-    fn count(&mut self, key: &Key, is_early: bool) -> bool {
+    /// Counts a crash against a task. Returns false if the job is unknown or has ended.
+    fn count_crash(&mut self, key: &Key, is_early: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
         };
@@ -158,7 +165,7 @@
         job.unkept = true;
         if is_early {
             job.survivors = 0;
-            log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "A worker crashed under a task that had just started.");
+            log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "Worker crashed soon after the task started; the task is suspected.");
         }
         self.dirty.insert(key.job.clone());
         if self.is_over_limit(key) {
@@ -167,13 +174,13 @@
         true
     }
 
-    /// Takes back what was counted for a worker that is heard again: it has not crashed.
+    /// Revokes the crash of a worker that reports again.
     pub(crate) fn revoke_crash(&mut self, id: &Arc<str>) {
-        let Some(doubted) = self.crashes.doubted.remove(id) else {
+        let Some(provisional) = self.crashes.provisional.remove(id) else {
             return;
         };
-        log::info!(target: "cell", worker = &**id, tasks = doubted.tasks.len(); "A worker that was given up is back; its tasks are suspected no longer.");
-        for (key, is_early) in doubted.tasks {
+        log::info!(target: "cell", worker = &**id, tasks = provisional.tasks.len(); "Worker that had been declared lost has returned; crashes counted against its tasks are revoked.");
+        for (key, is_early) in provisional.tasks {
             let Some(job) = self.jobs.get_mut(&key.job) else {
                 continue;
             };
@@ -187,11 +194,12 @@
         }
     }
 
-    /// Takes in that a run is listed: it has not crashed its worker so far.
+    /// Notes that a run is reported and therefore has not crashed its worker.
     ///
-    /// Its trial is over with that, whatever the task is suspected of by now. A trial that went on would hold back other
-    /// suspects of the job, and whatever waits for its worker, for as long as the run: one of nine lasting tasks stood
-    /// still for 39 s beside four trials whose suspicion had been taken back.
+    /// Its trial ends, even if the task is no longer suspected. Otherwise the trial would block
+    /// other suspects of the job, and all starts reserved by it, for as long as the run lasts: one
+    /// of nine long-running tasks was not running for 39 s because of four trials whose crashes had
+    /// been revoked.
     pub(crate) fn record_survival(&mut self, id: &Arc<str>, key: &Key, now: u64) {
         let is_suspected = self
             .jobs
@@ -200,35 +208,38 @@
         if !is_suspected && !self.crashes.trials.contains_key(id) {
             return;
         }
-        let Some(slot) = self.slot(id, key).filter(|slot| slot.has_run(EARLY, now)) else {
+        let Some(slot) = self
+            .slot(id, key)
+            .filter(|slot| slot.has_run(EARLY_MS, now))
+        else {
             return;
         };
-        let is_sound = slot.has_run(SOUND, now);
+        let is_stable = slot.has_run(STABLE_MS, now);
         self.complete_trial(id, key);
         if !is_suspected {
             return;
         }
-        if is_sound {
+        if is_stable {
             self.reset_crashes(key);
         } else {
             self.reset_early_crashes(key);
         }
     }
 
-    /// A run has outlived the time in which it is suspected for having just started.
+    /// Clears the early crashes of a task whose run has passed [`EARLY_MS`].
     fn reset_early_crashes(&mut self, key: &Key) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
         let crashes = &mut job.progress.tasks[key.place].crashes;
         if crashes.early > 0 {
-            log::info!(target: "cell", job = key.job.as_str(), place = key.place, early = crashes.early; "A suspected task runs without harm.");
+            log::info!(target: "cell", job = key.job.as_str(), place = key.place, early = crashes.early; "Suspected task is running; its early crashes are cleared.");
             crashes.early = 0;
             self.dirty.insert(key.job.clone());
         }
     }
 
-    /// A task has run without crashing its worker.
+    /// Clears all crashes of a task.
     pub(crate) fn reset_crashes(&mut self, key: &Key) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -243,19 +254,20 @@
         }
     }
 
-    /// Ends the jobs of tasks that are given up. The times are since 1970 and on our clock.
+    /// Fails the jobs of tasks that reached a crash limit. `wall` is in milliseconds since 1970,
+    /// `now` on the owner's clock.
     pub(crate) fn fail_over_limit(&mut self, wall: u64, now: u64) {
         for key in std::mem::take(&mut self.crashes.over_limit) {
-            // The worker of its last run may have come back meanwhile.
+            // The crash of its last worker may have been revoked.
             if !self.is_over_limit(&key) {
                 continue;
             }
-            log::warn!(target: "cell", job = key.job.as_str(), place = key.place; "A task is given up: workers crash under it.");
+            log::warn!(target: "cell", job = key.job.as_str(), place = key.place; "Task reached its crash limit; its job fails.");
             self.finish(&key.job, job::State::Failed, now, wall);
         }
     }
 
-    /// Notes the tasks of a job that a former owner would have given up.
+    /// Queues the tasks of a resumed job that reached a crash limit under a previous owner.
     pub(crate) fn check_crash_limits(&mut self, id: &Id) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -269,40 +281,40 @@
         }
     }
 
-    /// True for a job with a task that is to be given up.
+    /// True if the job has a task that reached a crash limit.
     pub(crate) fn has_task_over_limit(&self, id: &Id) -> bool {
         self.crashes.over_limit.iter().any(|key| key.job == *id)
     }
 
-    /// True for a task under which workers have crashed as often as it may.
+    /// True if a task has reached a crash limit.
     fn is_over_limit(&self, key: &Key) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let crashes = job.progress.tasks[key.place].crashes;
-            crashes.early >= GIVE_UP_EARLY || crashes.all >= GIVE_UP_ALL
+            crashes.early >= MAX_EARLY_CRASHES || crashes.all >= MAX_CRASHES
         })
     }
 
-    /// Forgets what is too old to tell anything.
+    /// Drops losses and revocable crashes that are too old.
     pub(crate) fn expire_crash_state(&mut self, now: u64) {
         self.crashes.losses.expire(now);
         self.crashes
-            .doubted
-            .retain(|_, doubted| now < doubted.at + BACK_WITHIN);
+            .provisional
+            .retain(|_, provisional| now < provisional.at + REVOCABLE_MS);
     }
 
-    /// Takes in that a worker has fallen silent or is heard again, or that what it holds has changed.
+    /// Updates the losses after a worker became unreachable or reachable, or its runs changed.
     pub(crate) fn refresh_loss(&mut self, id: &str) {
         if let Some(worker) = self.workers.get(id) {
             self.crashes.losses.refresh(worker);
         }
     }
 
-    /// How many looks at workers it took to tell which were lost together, as a measure of work.
+    /// Index operations and workers scanned to correlate losses, as a measure of work.
     pub fn loss_lookups(&self) -> u64 {
         self.crashes.losses.lookups()
     }
 
-    /// Tells what a worker held that is given up, and when it was last heard.
+    /// Logs a lost worker: its runs, and the time since its last report.
     pub(crate) fn log_lost_worker(&self, id: &Arc<str>, cause: &str, now: u64) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -319,14 +331,14 @@
         held.sort();
         held.truncate(TOGETHER);
         let tasks = held.join(" ");
-        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_silent(), count = worker.slots.len(), tasks = tasks.as_str(); "A worker is lost with its tasks.");
+        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_silent(), count = worker.slots.len(), tasks = tasks.as_str(); "Worker was lost with its tasks.");
     }
 }
 
-/// A run on a worker as `JOB/PLACE.RUN:AGE`: for how long it was known to run when the worker was last heard, in
-/// milliseconds, or `new` where it was not known to run.
+/// Formats a run as `JOB/PLACE.RUN:AGE`. The age is the time, in milliseconds, for which the run
+/// was known to run at the worker's last report, or `new` if no report listed it.
 fn format_run(worker: &Worker, key: &Key, slot: &Slot) -> String {
-    let age = match worker.known_to_run(slot) {
+    let age = match worker.confirmed_runtime(slot) {
         Some(age) => age.to_string(),
         None => "new".to_owned(),
     };
@@ -334,9 +346,9 @@
 }
 
 impl Worker {
-    /// For how long a run was known to go on when the worker last reported, in milliseconds; `None` where no report
-    /// has listed it.
-    fn known_to_run(&self, slot: &Slot) -> Option<u64> {
+    /// How long a run was known to run at the worker's last report, in milliseconds; `None` if no
+    /// report listed it.
+    fn confirmed_runtime(&self, slot: &Slot) -> Option<u64> {
         let heard = self.clock?.at;
         match slot.stage {
             Stage::Sent { .. } => None,
@@ -344,9 +356,9 @@
         }
     }
 
-    /// True for a worker that has left and not crashed: it had announced that, went down for its upkeep, or served
-    /// on after its entry had gone.
-    fn has_left(&self) -> bool {
+    /// True if the worker left and did not crash: it announced that it leaves, went down for
+    /// maintenance, or reported after its entry disappeared.
+    fn left_cleanly(&self) -> bool {
         let served_on = self
             .vanished
             .zip(self.clock)
--- a/components/cell/src/crashes/outage.rs
+++ b/components/cell/src/crashes/outage.rs
@@ -1,72 +1,73 @@
-//! When workers fell silent, and how many of them in the same moment.
+//! Outages of workers: when a worker became unreachable, and how many outages overlap.
 
 use crate::worker::Worker;
 
-/// Between these two times a worker fell silent, in milliseconds on our clock: last heard, and first not reached, which
-/// is no earlier.
+/// The interval in which a worker became unreachable, in milliseconds on the owner's clock: from
+/// its last report until the first failed poll.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Silence {
+pub(super) struct Outage {
     pub from: u64,
     pub until: u64,
 }
 
-impl Silence {
+impl Outage {
     pub fn of(worker: &Worker, now: u64) -> Self {
         let until = worker.silent.unwrap_or(now);
         let from = worker.clock.map_or(until, |clock| clock.at);
-        Silence {
+        Outage {
             from: from.min(until),
             until,
         }
     }
 
-    /// True when both may have begun in the same moment.
-    pub const fn meets(self, other: Silence) -> bool {
+    /// True if both workers may have become unreachable at the same moment.
+    pub const fn overlaps(self, other: Outage) -> bool {
         self.from <= other.until && other.from <= self.until
     }
 }
 
-/// Silences of many workers.
+/// A multiset of outages.
 #[derive(Debug, Default)]
-pub(super) struct Silences {
-    /// When they begin, the earliest first.
+pub(super) struct Outages {
+    /// Starts of the intervals, ascending.
     from: Vec<u64>,
-    /// When they end, the earliest first.
+    /// Ends of the intervals, ascending.
     until: Vec<u64>,
 }
 
-impl Silences {
-    pub fn add(&mut self, silence: Silence) {
-        put(&mut self.from, silence.from);
-        put(&mut self.until, silence.until);
+impl Outages {
+    pub fn add(&mut self, outage: Outage) {
+        insert_sorted(&mut self.from, outage.from);
+        insert_sorted(&mut self.until, outage.until);
     }
 
-    /// Takes one out that was added.
-    pub fn remove(&mut self, silence: Silence) {
-        take(&mut self.from, silence.from);
-        take(&mut self.until, silence.until);
+    /// Removes an outage that was added.
+    pub fn remove(&mut self, outage: Outage) {
+        remove_sorted(&mut self.from, outage.from);
+        remove_sorted(&mut self.until, outage.until);
     }
 
     pub const fn is_empty(&self) -> bool {
         self.from.is_empty()
     }
 
-    /// How many of them meet this one: all but those that begin after it and those that end before it.
-    pub fn meeting(&self, silence: Silence) -> usize {
-        let begun = self.from.partition_point(|&from| from <= silence.until);
-        let ended = self.until.partition_point(|&until| until < silence.from);
+    /// Counts the outages that overlap with the given one: all except those that start after it and
+    /// those that end before it.
+    pub fn count_overlapping(&self, outage: Outage) -> usize {
+        let begun = self.from.partition_point(|&from| from <= outage.until);
+        let ended = self.until.partition_point(|&until| until < outage.from);
         begun - ended
     }
 }
 
-/// Puts a time into a sorted list.
-fn put(times: &mut Vec<u64>, time: u64) {
+/// Inserts a time into a sorted list.
+fn insert_sorted(times: &mut Vec<u64>, time: u64) {
     let at = times.partition_point(|&other| other <= time);
     times.insert(at, time);
 }
 
-/// Takes a time out of a sorted list.
-fn take(times: &mut Vec<u64>, time: u64) {
+/// Removes a time from a sorted list.
+fn remove_sorted(times: &mut Vec<u64>, time: u64) {
     if let Ok(at) = times.binary_search(&time) {
         times.remove(at);
     }
--- a/components/cell/src/crashes/tests.rs
+++ b/components/cell/src/crashes/tests.rs
@@ -1,9 +1,9 @@
-//! That losses are told apart as by a look at each of them.
+//! Compares the loss index with a full scan of workers and losses.
 
 use {
     super::{
-        losses::{Loss, OF_CELL, OF_RACK},
-        outage::{Silence, Silences},
+        losses::{CELL_PERCENT, Loss, RACK_PERCENT},
+        outage::{Outage, Outages},
     },
     crate::{
         cell::Cell,
@@ -16,20 +16,22 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// Racks of a cell, and its workers: a rack by itself is less than the part of a cell that counts as lost together.
+/// Racks and machines of the cell. A single rack is smaller than the share of the cell that counts
+/// as a correlated loss.
 const RACKS: usize = 6;
 const MACHINES: usize = 36;
 const JOBS: u32 = 5;
 
-/// Workers of a rack or a cell: all of them, those lost, and on how many of these a task of a job had just started.
+/// Workers of a rack or a cell: all of them, the lost ones, and how many of these had a new run, by
+/// job.
 #[derive(Default)]
-struct Plain {
-    all: usize,
+struct Scan {
+    total: usize,
     lost: usize,
     jobs: HashMap<Id, usize>,
 }
 
-impl Plain {
+impl Scan {
     fn add(&mut self, loss: &Loss) {
         self.lost += 1;
         for job in &loss.jobs {
@@ -37,100 +39,100 @@
         }
     }
 
-    fn of_job(&self, job: &Id) -> usize {
+    fn starting(&self, job: &Id) -> usize {
         self.jobs.get(job).copied().unwrap_or_default()
     }
 
-    fn clears(&self, part: usize, job: &Id) -> bool {
-        let is_group = self.lost >= 3 && self.lost * 100 >= self.all * part;
-        is_group && self.of_job(job) * 2 <= self.lost
+    fn rules_out(&self, percent: usize, job: &Id) -> bool {
+        let is_group = self.lost >= 3 && self.lost * 100 >= self.total * percent;
+        is_group && self.starting(job) * 2 <= self.lost
     }
 }
 
-/// The rack and the cell of a worker that is given up, by a look at each other worker and each loss.
-fn plain(cell: &Cell, own: &Worker, now: u64) -> [Plain; 2] {
+/// Counts the rack and the cell of a lost worker by scanning all workers and losses.
+fn scan(cell: &Cell, own: &Worker, now: u64) -> [Scan; 2] {
     let (id, rack) = (&own.entry.id, own.entry.rack());
     let recent = &cell.crashes.losses.recent;
-    let [mut of_rack, mut of_cell] = [Plain::default(), Plain::default()];
-    let gone = recent.values();
-    let gone = gone.filter(|loss| !cell.workers.contains_key(&loss.id));
+    let [mut in_rack, mut in_cell] = [Scan::default(), Scan::default()];
+    let removed = recent.values();
+    let removed = removed.filter(|loss| !cell.workers.contains_key(&loss.id));
     let racks = cell.workers.values().map(|worker| worker.entry.rack());
-    for other in racks.chain(gone.map(|loss| &*loss.rack)) {
-        of_cell.all += 1;
-        of_rack.all += usize::from(other == rack);
+    for other in racks.chain(removed.map(|loss| &*loss.rack)) {
+        in_cell.total += 1;
+        in_rack.total += usize::from(other == rack);
     }
-    let mut unreached = Vec::new();
+    let mut unreachable = Vec::new();
     for (other, worker) in &cell.workers {
         let is_silent = worker.silent.is_some() && worker.clock.is_some();
         if is_silent && other != id && !recent.contains_key(other) {
-            unreached.push(Loss::of(worker, now));
+            unreachable.push(Loss::of(worker, now));
         }
     }
     let own = Loss::of(own, now);
     let others = recent.values().filter(|loss| loss.id != own.id);
-    let met = others.chain(&unreached);
-    let met = met.filter(|loss| loss.silence.meets(own.silence));
-    for loss in met.chain([&own]) {
-        of_cell.add(loss);
+    let overlapping = others.chain(&unreachable);
+    let overlapping = overlapping.filter(|loss| loss.outage.overlaps(own.outage));
+    for loss in overlapping.chain([&own]) {
+        in_cell.add(loss);
         if *loss.rack == *rack {
-            of_rack.add(loss);
+            in_rack.add(loss);
         }
     }
-    [of_rack, of_cell]
+    [in_rack, in_cell]
 }
 
-/// Verdicts that were compared.
+/// Number of verdicts compared, by reason.
 #[derive(Debug, Default)]
-struct Seen {
+struct Verdicts {
     by_rack: u32,
     by_cell: u32,
-    by_none: u32,
+    by_neither: u32,
 }
 
-/// A cell whose workers come, go, fall silent and are heard by chance.
-struct World {
+/// A cell whose workers join, leave, become unreachable and report at random.
+struct Simulation {
     cell: Cell,
     now: u64,
     random: fastrand::Rng,
     entries: Vec<Entry>,
-    lives: usize,
-    seen: Seen,
+    incarnations: usize,
+    verdicts: Verdicts,
 }
 
 fn job(number: u32) -> Id {
     Id::new(&format!("{number:016}")).unwrap()
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let timing = Timing {
             lease: 6_000,
             stop: 900,
             pace: 100,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             cell: Cell::new(timing),
             now: 20_000,
             random: fastrand::Rng::with_seed(seed),
             entries: Vec::new(),
-            lives: 0,
-            seen: Seen::default(),
+            incarnations: 0,
+            verdicts: Verdicts::default(),
         };
         for machine in 0..MACHINES {
-            let entry = world.life(machine);
-            world.entries.push(entry);
+            let entry = simulation.new_entry(machine);
+            simulation.entries.push(entry);
         }
-        world.list();
+        simulation.list();
         for machine in 0..MACHINES {
-            world.report(machine);
+            simulation.report(machine);
         }
-        world
+        simulation
     }
 
-    /// A new life of a machine.
-    fn life(&mut self, machine: usize) -> Entry {
-        self.lives += 1;
-        let name: Arc<str> = format!("w{:04}", self.lives).into();
+    /// A new incarnation of a machine's worker.
+    fn new_entry(&mut self, machine: usize) -> Entry {
+        self.incarnations += 1;
+        let name: Arc<str> = format!("w{:04}", self.incarnations).into();
         Entry {
             id: name.clone(),
             name,
@@ -160,7 +162,7 @@
         self.entries[machine].id.clone()
     }
 
-    /// A worker lists what it holds.
+    /// A worker reports some of its runs.
     fn report(&mut self, machine: usize) {
         let id = self.id(machine);
         let Some(worker) = self.cell.workers.get(&id) else {
@@ -186,7 +188,7 @@
         self.cell.poll(&id, self.now);
     }
 
-    /// Something starts on a worker; on one that is silent, as what is adopted late does.
+    /// Adds a run to a worker. On an unreachable worker this corresponds to a late adoption.
     fn start(&mut self, machine: usize) {
         let id = self.id(machine);
         let index = self.random.u32(0..1_000);
@@ -210,7 +212,8 @@
         self.cell.refresh_loss(&id);
     }
 
-    /// A worker takes or refuses something that it was given, as may be known after it has fallen silent.
+    /// A worker confirms or refuses a start; the answer may arrive after the worker became
+    /// unreachable.
     fn answer(&mut self, machine: usize) {
         let id = self.id(machine);
         let worker = self.cell.workers.get(&id);
@@ -232,30 +235,30 @@
         self.cell.answered(&id, &order, outcome, self.now);
     }
 
-    /// Some workers fall silent: those of a rack, a part of the cell, or one.
-    fn cut(&mut self) {
+    /// Makes workers unreachable: a rack, a random third of the cell, or a single one.
+    fn cut_off(&mut self) {
         let kind = self.random.u32(0..3);
         let rack = self.random.usize(0..RACKS);
-        let one = self.machine();
+        let single = self.machine();
         for machine in 0..MACHINES {
-            let is_cut = match kind {
+            let is_affected = match kind {
                 0 => machine % RACKS == rack && self.random.u32(0..8) > 0,
                 1 => self.random.u32(0..3) == 0,
-                _ => machine == one,
+                _ => machine == single,
             };
-            if is_cut {
+            if is_affected {
                 let id = self.id(machine);
                 self.cell.unheard(&id, self.now);
             }
         }
     }
 
-    /// A machine has a new life, which is listed and may answer.
+    /// Replaces a machine's worker by a new incarnation, which is listed and may report.
     fn crash(&mut self, machine: usize) {
-        let former = self.id(machine);
-        self.entries[machine] = self.life(machine);
+        let previous = self.id(machine);
+        self.entries[machine] = self.new_entry(machine);
         if self.random.bool() {
-            self.cell.end_life(&former, "test", self.now);
+            self.cell.end_life(&previous, "test", self.now);
             return;
         }
         self.list();
@@ -263,8 +266,8 @@
         self.report(machine);
     }
 
-    /// Time goes by, and most of the workers that are reached report.
-    fn go_on(&mut self) {
+    /// Advances time; most reachable workers report.
+    fn advance(&mut self) {
         self.now += self.random.u64(0..4_000);
         for machine in 0..MACHINES {
             let worker = self.cell.workers.get(&self.id(machine));
@@ -275,13 +278,13 @@
         }
     }
 
-    fn act(&mut self) {
+    fn step(&mut self) {
         let machine = self.machine();
         match self.random.u32(0..100) {
             0..40 => self.report(machine),
             40..70 => self.start(machine),
             70..76 => self.answer(machine),
-            76..79 => self.cut(),
+            76..79 => self.cut_off(),
             79..81 => self.crash(machine),
             81..89 => self.cell.lapse(self.now),
             89..92 => self.list(),
@@ -289,79 +292,89 @@
                 let rack = format!("r{}", self.random.usize(0..RACKS));
                 self.entries[machine].labels = vec![rack.as_str().into()];
             }
-            _ => self.go_on(),
+            _ => self.advance(),
         }
         self.now += self.random.u64(0..60);
     }
 
-    /// Compares what both ways say of one worker.
+    /// Compares index and full scan for one worker.
     fn compare(&mut self) {
         let at = self.random.usize(0..self.cell.workers.len().max(1));
         let Some(worker) = self.cell.workers.values().nth(at) else {
             return;
         };
-        let [rack, cell] = plain(&self.cell, worker, self.now);
+        let [rack, cell] = scan(&self.cell, worker, self.now);
         let losses = &mut self.cell.crashes.losses;
-        let together = losses.correlated_with(&self.cell.workers, worker, self.now);
-        let of_rack = together.of_rack().unwrap();
-        let of_cell = together.of_cell();
-        assert_eq!((of_rack.all(), of_rack.lost()), (rack.all, rack.lost));
-        assert_eq!((of_cell.all(), of_cell.lost()), (cell.all, cell.lost));
+        let correlation = losses.correlated_with(&self.cell.workers, worker, self.now);
+        let in_rack = correlation.in_rack().unwrap();
+        let in_cell = correlation.in_cell();
+        assert_eq!(
+            (in_rack.total(), in_rack.lost_count()),
+            (rack.total, rack.lost)
+        );
+        assert_eq!(
+            (in_cell.total(), in_cell.lost_count()),
+            (cell.total, cell.lost)
+        );
         for job in (0..JOBS).map(job) {
-            assert_eq!(of_rack.of_job(&job), rack.of_job(&job));
-            assert_eq!(of_cell.of_job(&job), cell.of_job(&job));
-            let by_rack = rack.clears(OF_RACK, &job);
-            let by_cell = cell.clears(OF_CELL, &job);
-            assert_eq!(together.clears(&job), by_rack || by_cell);
-            self.seen.by_rack += u32::from(by_rack && !by_cell);
-            self.seen.by_cell += u32::from(by_cell);
-            self.seen.by_none += u32::from(!by_rack && !by_cell && rack.lost.max(cell.lost) > 3);
+            assert_eq!(in_rack.starting(&job), rack.starting(&job));
+            assert_eq!(in_cell.starting(&job), cell.starting(&job));
+            let by_rack = rack.rules_out(RACK_PERCENT, &job);
+            let by_cell = cell.rules_out(CELL_PERCENT, &job);
+            assert_eq!(correlation.rules_out(&job), by_rack || by_cell);
+            self.verdicts.by_rack += u32::from(by_rack && !by_cell);
+            self.verdicts.by_cell += u32::from(by_cell);
+            self.verdicts.by_neither +=
+                u32::from(!by_rack && !by_cell && rack.lost.max(cell.lost) > 3);
         }
     }
 }
 
-/// The verdicts are those of a look at each worker and each loss, whatever comes between two of them.
+/// After any sequence of changes the index gives the same verdicts as a full scan.
 #[test]
-fn clears_what_a_look_at_each_clears() {
-    let mut seen = Seen::default();
+fn correlation_matches_full_scan() {
+    let mut verdicts = Verdicts::default();
     for seed in 0..40 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..1_000 {
-            world.act();
-            world.compare();
+            simulation.step();
+            simulation.compare();
         }
-        seen.by_rack += world.seen.by_rack;
-        seen.by_cell += world.seen.by_cell;
-        seen.by_none += world.seen.by_none;
+        verdicts.by_rack += simulation.verdicts.by_rack;
+        verdicts.by_cell += simulation.verdicts.by_cell;
+        verdicts.by_neither += simulation.verdicts.by_neither;
     }
-    println!("{seen:?}");
-    let least = seen.by_rack.min(seen.by_cell).min(seen.by_none);
-    assert!(least > 1_000, "{seen:?}");
+    println!("{verdicts:?}");
+    let least = verdicts
+        .by_rack
+        .min(verdicts.by_cell)
+        .min(verdicts.by_neither);
+    assert!(least > 1_000, "{verdicts:?}");
 }
 
-/// Silences are counted as by a comparison with each, also after some were taken out.
+/// Overlaps are counted as by a comparison with each outage, also after removals.
 #[test]
-fn meeting_counts_each() {
+fn count_overlapping_matches_pairwise_check() {
     let mut random = fastrand::Rng::with_seed(5);
-    let mut silence = || {
+    let mut outage = || {
         let from = random.u64(0..30);
         let until = from + random.u64(0..8);
-        Silence { from, until }
+        Outage { from, until }
     };
     for _ in 0..200 {
-        let mut silences = Silences::default();
-        let mut all = Vec::new();
+        let mut outages = Outages::default();
+        let mut added = Vec::new();
         for _ in 0..20 {
-            let one = silence();
-            silences.add(one);
-            all.push(one);
+            let outage = outage();
+            outages.add(outage);
+            added.push(outage);
         }
         for _ in 0..20 {
-            let own = silence();
-            let met = all.iter().filter(|one| one.meets(own)).count();
-            assert_eq!(silences.meeting(own), met);
-            silences.remove(all.swap_remove(0));
+            let own = outage();
+            let overlapping = added.iter().filter(|other| other.overlaps(own)).count();
+            assert_eq!(outages.count_overlapping(own), overlapping);
+            outages.remove(added.swap_remove(0));
         }
-        assert!(silences.is_empty());
+        assert!(outages.is_empty());
     }
 }
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -1,4 +1,4 @@
-//! How a task that may crash its worker is tried again.
+//! Trials: how a task suspected of crashing its worker is started again.
 
 use {
     crate::{
@@ -9,83 +9,88 @@
     std::sync::Arc,
 };
 
-/// A task is tried alone from so many early crashes in a row on: by then one that was just beside another has been
-/// told apart from it, since suspects are never tried together. With six tasks that crash their workers, on 66 workers, 18
-/// runs of others are lost in place of 33 where nothing is tried alone, and 36 where suspects are tried together.
-const ALONE_FROM: u32 = 2;
-/// The same for crashes of any kind, where one of them was early. Late ones by themselves hold no task back: a trial, which is
-/// over after 1 s, cannot show them. After three losses of power in 24 s, with 180 lasting tasks on 66 workers, the last of
-/// them ran again 91 s after the third where each was tried alone, and within 8 s where none is.
-const ALONE_FROM_ALL: u32 = 3;
-/// Suspects of one job that are tried at one time, and as many for each whose trial went well. Tasks of a step are alike:
-/// where one crashes its workers, others may too, and each costs a worker; where some do not, the others need not wait
-/// for their turn. Of 30 lasting tasks that were lost as they had just started, 20 ran after 9 s with four at a time, 12 where
-/// workers held their polls, and all do with more for each survivor.
-const OF_JOB: usize = 4;
-/// The same of those that are tried alone.
-const OF_JOB_ALONE: usize = 1;
-/// One worker in so many, and one besides, tries a suspect alone at a time: the room that is kept free for it is
-/// missing for others. The callers of the six tasks are told after 10.6 s; after 16.9 s with one at a time in the cell, and
-/// after 8.5 s with one worker in 16, which loses three more runs of others.
-const WORKERS_EACH: usize = 50;
-/// Another run that may still be lost with its worker for having just started counts as much, in thousandths of a core,
-/// where a suspect is to be tried alone: it would be suspected as well.
-const NEWCOMER: u64 = 100_000;
-
-/// How much a task is suspected of crashing its worker.
+/// Consecutive early crashes from which a task is tried in isolation. By then a task that merely
+/// ran beside the cause has been told apart, since suspects are never tried together. With six
+/// crashing tasks on 66 workers 18 runs of other tasks are lost, compared with 33 without isolation
+/// and 36 where suspects share a worker.
+const ISOLATE_AFTER_EARLY: u32 = 2;
+/// Consecutive crashes of any kind, at least one of them early, from which a task is tried in
+/// isolation. Late crashes alone do not delay a task, since a trial of 1 s cannot reproduce them.
+/// After three power failures in 24 s, with 180 long-running tasks on 66 workers, all of them run
+/// again within 8 s; isolating each of them took 91 s.
+const ISOLATE_AFTER: u32 = 3;
+/// Concurrent trials of a job, and how many each passed trial adds. The tasks of a step are alike:
+/// if one crashes its worker, others may too, and each costs a worker; if some do not, the others
+/// should not wait for a trial. Of 30 long-running tasks lost just after their start, 20 were
+/// running after 9 s with a fixed limit of four, 12 where workers held their polls; with the
+/// increase all were.
+const JOB_TRIALS: usize = 4;
+/// Concurrent isolated trials of a job.
+const ISOLATED_JOB_TRIALS: usize = 1;
+/// Workers per additional isolated trial in the cell; one is always allowed. The capacity reserved
+/// for a trial is not available to others. With six crashing tasks the callers are notified after
+/// 10.6 s, compared with 16.9 s with a single trial in the cell, and 8.5 s with one trial per 16
+/// workers, which loses three more runs of other tasks.
+const WORKERS_PER_TRIAL: usize = 50;
+/// Cost of another new run on the worker of an isolated trial, in millicores: a crash would make
+/// its task a suspect as well.
+const NEW_RUN_COST: u64 = 100_000;
+
+/// How strongly a task is suspected of crashing its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Suspicion {
-    /// Not at all.
+    /// Not suspected.
     None,
-    /// Workers have crashed under it again and again, but not as it started: it goes where the least is lost.
+    /// Several workers crashed under it, but not at its start: it is placed where a crash costs
+    /// least.
     Late,
-    /// It is not tried beside another suspect.
+    /// It is not tried on a worker with another suspect.
     Shared,
-    /// It is tried where the least is lost, and nothing else starts there meanwhile.
+    /// It is tried where a crash costs least, and nothing else starts on that worker.
     Alone,
 }
 
 impl Suspicion {
-    /// True for a task whose next run is a trial.
+    /// True if the task's next run is a trial.
     pub const fn needs_trial(self) -> bool {
         matches!(self, Suspicion::Shared | Suspicion::Alone)
     }
 
-    /// True for a task that has cost several workers, and goes where the least is lost if the next one crashes.
+    /// True if several workers crashed under the task: it is placed where a crash costs least.
     pub const fn is_risky(self) -> bool {
         matches!(self, Suspicion::Late | Suspicion::Alone)
     }
 }
 
-/// A suspect that runs, and has not been listed for long enough.
+/// A run of a suspected task that has not been reported for long enough.
 #[derive(Debug)]
 pub(super) struct Trial {
     key: Key,
     run: u64,
     suspicion: Suspicion,
-    /// When its start was decided, on our clock.
+    /// When the start was decided, on the owner's clock.
     since: u64,
 }
 
 impl Cell {
-    /// How much a task is suspected.
+    /// How strongly a task is suspected.
     pub(crate) fn suspicion(&self, id: &Id, place: usize) -> Suspicion {
         let Some(job) = self.jobs.get(id) else {
             return Suspicion::None;
         };
         let crashes = job.progress.tasks[place].crashes;
-        if crashes.early == 0 && crashes.all >= ALONE_FROM_ALL {
+        if crashes.early == 0 && crashes.all >= ISOLATE_AFTER {
             Suspicion::Late
         } else if crashes.early == 0 {
             Suspicion::None
-        } else if crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL {
+        } else if crashes.early >= ISOLATE_AFTER_EARLY || crashes.all >= ISOLATE_AFTER {
             Suspicion::Alone
         } else {
             Suspicion::Shared
         }
     }
 
-    /// True for a suspect that may not be tried yet.
+    /// True if the task may not start yet, because of its crashes or the trials of its job.
     pub(crate) fn is_start_blocked(&self, id: &Id, place: usize) -> bool {
         if self.has_task_over_limit(id) {
             return true;
@@ -94,32 +99,34 @@
         if !suspicion.needs_trial() {
             return self.has_unpersisted_crashes(id, place);
         }
-        let of_job = self.job_trials(id);
+        let running_trials = self.job_trials(id);
         if suspicion == Suspicion::Shared {
-            return of_job >= self.max_job_trials(id) || self.has_isolated_suspect(id);
+            return running_trials >= self.max_job_trials(id) || self.has_isolated_suspect(id);
         }
         let trials = self.crashes.trials.values();
-        let alone = trials.filter(|trial| trial.suspicion == Suspicion::Alone);
-        let most = 1 + self.workers.len() / WORKERS_EACH;
-        self.has_unpersisted_crashes(id, place) || of_job >= OF_JOB_ALONE || alone.count() >= most
+        let isolated = trials.filter(|trial| trial.suspicion == Suspicion::Alone);
+        let limit = 1 + self.workers.len() / WORKERS_PER_TRIAL;
+        self.has_unpersisted_crashes(id, place)
+            || running_trials >= ISOLATED_JOB_TRIALS
+            || isolated.count() >= limit
     }
 
-    /// True for a task under which several workers have crashed, as long as that is not written down: the next owner is to
-    /// know of these crashes before the next one.
+    /// True if several workers crashed under a task and the crashes are not persisted yet. The task
+    /// must not start before: the next owner has to know about these crashes.
     pub(crate) fn has_unpersisted_crashes(&self, id: &Id, place: usize) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let crashes = job.progress.tasks[place].crashes;
-            job.unkept && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
+            job.unkept && (crashes.early >= ISOLATE_AFTER_EARLY || crashes.all >= ISOLATE_AFTER)
         })
     }
 
-    /// How many tasks of a job are being tried.
+    /// Number of tasks of a job in a trial.
     pub(crate) fn job_trials(&self, id: &Id) -> usize {
         let trials = self.crashes.trials.values();
         trials.filter(|trial| trial.key.job == *id).count()
     }
 
-    /// How many suspected tasks are being tried, and for how long the oldest trial has gone on, in milliseconds.
+    /// Number of tasks in a trial, and the age of the oldest trial in milliseconds.
     pub(crate) fn trials(&self, now: u64) -> (usize, u64) {
         let trials = self.crashes.trials.values();
         let oldest = trials.map(|trial| trial.since).min();
@@ -127,8 +134,9 @@
         (self.crashes.trials.len(), age)
     }
 
-    /// True for a job with a task that is tried alone: that goes first, since it may end the job before others of its
-    /// tasks take a worker each. One that no worker will do for holds nothing up: its rack may be gone for good.
+    /// True if a task of the job needs an isolated trial. It goes first, since it may fail the job
+    /// before other tasks cost a worker each. Tasks that no worker can take do not count: their
+    /// rack may be gone for good.
     fn has_isolated_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let mut places = job.suspects.difference(&job.stranded);
@@ -136,31 +144,31 @@
         })
     }
 
-    /// Notes that there is no worker for a task that is tried alone.
+    /// Notes that no worker can take a task that needs an isolated trial.
     pub(crate) fn mark_unplaceable(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stranded.insert(place);
         }
     }
 
-    /// True when a task that is so much suspected may start on a worker: not beside another suspect.
+    /// True if a task with this suspicion may start on a worker, which must not run another trial.
     pub(crate) fn allows_trial(&self, id: &Arc<str>, suspicion: Suspicion) -> bool {
         !suspicion.needs_trial() || !self.crashes.trials.contains_key(id)
     }
 
-    /// True when nothing else may start on a worker for now.
+    /// True if a worker is reserved for an isolated trial, so that nothing else may start there.
     pub(crate) fn is_reserved_for_trial(&self, id: &Arc<str>) -> bool {
         let trial = self.crashes.trials.get(id);
         trial.is_some_and(|trial| trial.suspicion == Suspicion::Alone)
     }
 
-    /// Notes that a task starts on a worker, which is a trial where it is suspected.
+    /// Begins a trial if the task that starts on the worker is suspected.
     pub(crate) fn begin_trial(&mut self, id: &Arc<str>, key: Key, run: u64, now: u64) {
         let suspicion = self.suspicion(&key.job, key.place);
         if !suspicion.needs_trial() {
             return;
         }
-        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run, suspicion:? = suspicion; "A suspected task is tried.");
+        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run, suspicion:? = suspicion; "Trial of a suspected task has started.");
         let trial = Trial {
             key,
             run,
@@ -170,13 +178,13 @@
         self.crashes.trials.insert(id.clone(), trial);
     }
 
-    /// Ends the trial of a task on a worker. False where there was none.
+    /// Ends the trial of a task on a worker. Returns false if there was none.
     pub(super) fn end_trial(&mut self, id: &Arc<str>, key: &Key) -> bool {
         let trial = self.crashes.trials.get(id);
         if trial.is_none_or(|trial| trial.key != *key) {
             return false;
         }
-        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id; "The trial of a suspected task is over.");
+        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id; "Trial of a suspected task has ended.");
         self.crashes.trials.remove(id);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.changed = true;
@@ -184,7 +192,8 @@
         true
     }
 
-    /// Ends the trial of a task on a worker, which is alive; others of its job are trusted the more for it.
+    /// Ends the trial of a task whose worker survived. Each such trial allows more trials of the
+    /// job.
     pub(crate) fn complete_trial(&mut self, id: &Arc<str>, key: &Key) {
         if !self.end_trial(id, key) {
             return;
@@ -194,31 +203,31 @@
         }
     }
 
-    /// How many suspects of a job may be tried at one time.
+    /// Maximum number of concurrent trials of a job.
     fn max_job_trials(&self, id: &Id) -> usize {
         let survivors = self.jobs.get(id).map_or(0, |job| job.survivors);
-        OF_JOB * (1 + survivors)
+        JOB_TRIALS * (1 + survivors)
     }
 
-    /// Ends the trials whose run is over, or whose worker is gone.
+    /// Ends trials whose run has ended or whose worker is gone.
     pub(crate) fn end_stale_trials(&mut self) {
         let trials = &self.crashes.trials;
-        let is_over = |(id, trial): &(&Arc<str>, &Trial)| {
+        let is_stale = |(id, trial): &(&Arc<str>, &Trial)| {
             let slot = self.slot(id, &trial.key);
             slot.is_none_or(|slot| slot.run != trial.run)
         };
-        let over = trials.iter().filter(is_over);
-        let over: Vec<_> = over
+        let stale = trials.iter().filter(is_stale);
+        let stale: Vec<_> = stale
             .map(|(id, trial)| (id.clone(), trial.key.clone()))
             .collect();
-        for (id, key) in over {
+        for (id, key) in stale {
             self.end_trial(&id, &key);
         }
     }
 }
 
-/// What is lost if a worker crashes, in thousandths of a core.
+/// Cost of a crash of the worker, in millicores.
 pub(crate) fn crash_cost(worker: &Worker) -> u64 {
-    let new = worker.slots.values().filter(|slot| worker.is_early(slot));
-    worker.firm.cpu + worker.filling + new.count() as u64 * NEWCOMER
+    let new_runs = worker.slots.values().filter(|slot| worker.is_early(slot));
+    worker.firm.cpu + worker.filling + new_runs.count() as u64 * NEW_RUN_COST
 }
--- a/components/cell/src/interference/regression.rs
+++ b/components/cell/src/interference/regression.rs
@@ -1,51 +1,52 @@
-//! Least squares with a prior, kept as running sums.
+//! Regularized least squares on running sums.
 
 use {
     super::HARMFUL_WEIGHT,
     serde::{Deserialize, Serialize},
 };
 
-/// How strongly the prior holds, as the sum of squares of shares that weighs as much: the variance
-/// of a reading (0.05 squared, doubled for what the model leaves out) over that of weights (0.5).
-const HOLD: f64 = 0.01;
-/// What remains of old samples each time the sums are solved: half after about a minute and a half.
-const KEEP: f64 = 0.996;
-/// A weight counts as known from this sum of squares of shares on: five times what holds the prior.
-const SEEN: f64 = 5.0 * HOLD;
-/// One in so many columns must be known of two images that are compared.
-const KNOWN_OF: usize = 2;
+/// Strength of the prior, as the sum of squared shares of equal weight: the variance of a reading
+/// (0.05 squared, doubled for model error) over that of the weights (0.5).
+const PRIOR_STRENGTH: f64 = 0.01;
+/// Decay of old samples per solution: half of their weight remains after about a minute and a half.
+const DECAY: f64 = 0.996;
+/// Sum of squared shares from which a weight counts as known: five times the strength of the prior.
+const KNOWN_MIN: f64 = 5.0 * PRIOR_STRENGTH;
+/// Two images are comparable if at least one in this many columns is known for both.
+const KNOWN_ONE_IN: usize = 2;
 
-/// Steps of a sum that are told apart where it is written down. An error of half a step in each of 30 columns is
-/// far below what holds the prior.
-const STEPS: f64 = 10_000.0;
+/// Quantization steps per unit in the serialized form. An error of half a step in each of 30
+/// columns is far below the strength of the prior.
+const STEPS_PER_UNIT: f64 = 10_000.0;
 
-/// Sums as they are written down: in whole steps, which take 1 to 3 bytes where a number takes 9, and of pairs of
-/// columns just one half. 16 serving and 30 filling images are 20 KB so, and 62 KB in full.
+/// Serialized form: integers of 1 to 3 bytes in place of floats of 9 bytes, and only the upper
+/// triangle of the matrix. 16 serving and 30 best-effort images take 20 KB, compared with 62 KB in
+/// full.
 #[derive(Serialize, Deserialize)]
 struct Packed {
-    /// Row by row, from the diagonal on.
+    /// Row by row, starting at the diagonal.
     square: Vec<i64>,
     result: Vec<i64>,
 }
 
-impl From<Sums> for Packed {
-    fn from(sums: Sums) -> Self {
-        let steps = |sum: &f64| (sum * STEPS).round() as i64;
-        let rows = sums.square.iter().enumerate();
+impl From<Regression> for Packed {
+    fn from(regression: Regression) -> Self {
+        let steps = |sum: &f64| (sum * STEPS_PER_UNIT).round() as i64;
+        let rows = regression.square.iter().enumerate();
         Packed {
             square: rows
                 .flat_map(|(row, sums)| sums[row..].iter().map(steps))
                 .collect(),
-            result: sums.result.iter().map(steps).collect(),
+            result: regression.result.iter().map(steps).collect(),
         }
     }
 }
 
-impl From<Packed> for Sums {
-    /// Rows that are cut short count as nothing learned.
+impl From<Packed> for Regression {
+    /// Missing trailing values of truncated rows count as zero.
     fn from(packed: Packed) -> Self {
         let width = packed.result.len();
-        let sum = |steps: &i64| *steps as f64 / STEPS;
+        let sum = |steps: &i64| *steps as f64 / STEPS_PER_UNIT;
         let mut square = vec![vec![0.0; width]; width];
         let mut rest = packed.square.iter().map(sum);
         let pairs = (0..width).flat_map(|row| (row..width).map(move |column| (row, column)));
@@ -54,70 +55,71 @@
             square[row][column] = sum;
             square[column][row] = sum;
         }
-        Sums {
+        Regression {
             square,
             result: packed.result.iter().map(sum).collect(),
             weights: Vec::new(),
-            fresh: true,
+            dirty: true,
         }
     }
 }
 
-/// Sums of one serving image.
+/// The regression of one serving image.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(from = "Packed", into = "Packed")]
-pub struct Sums {
-    /// Products of shares, by pair of columns.
+pub struct Regression {
+    /// Sums of products of shares, by pair of columns.
     square: Vec<Vec<f64>>,
-    /// Products of shares and loads.
+    /// Sums of products of shares and loads.
     result: Vec<f64>,
-    /// The solution.
+    /// The solution, by column.
     weights: Vec<f64>,
-    /// Samples have come since the last solution.
-    fresh: bool,
+    /// Samples were added since the last solution.
+    dirty: bool,
 }
 
-impl Sums {
-    /// Adds one reading with this weight.
+impl Regression {
+    /// Adds a sample with the weight `trust`.
     pub fn add(&mut self, load: f64, shares: &[f64], trust: f64) {
-        self.widen(shares.len());
-        for (a, x) in shares.iter().enumerate() {
-            if *x == 0.0 {
+        self.grow(shares.len());
+        for (a, share_a) in shares.iter().enumerate() {
+            if *share_a == 0.0 {
                 continue;
             }
-            self.result[a] += trust * x * load;
-            for (b, y) in shares.iter().enumerate() {
-                self.square[a][b] += trust * x * y;
+            self.result[a] += trust * share_a * load;
+            for (b, share_b) in shares.iter().enumerate() {
+                self.square[a][b] += trust * share_a * share_b;
             }
         }
-        self.fresh = true;
+        self.dirty = true;
     }
 
-    /// The weight of a column, once one was solved.
+    /// The weight of a column, if one was solved.
     pub fn weight(&self, column: usize) -> Option<f64> {
         self.weights.get(column).copied()
     }
 
-    /// Solves anew if samples have come.
+    /// Solves the system if samples were added; `prior` is the weight without samples.
     pub fn solve(&mut self, prior: f64) {
-        if !std::mem::take(&mut self.fresh) {
+        if !std::mem::take(&mut self.dirty) {
             return;
         }
         for row in &mut self.square {
-            row.iter_mut().for_each(|sum| *sum *= KEEP);
+            row.iter_mut().for_each(|sum| *sum *= DECAY);
         }
-        self.result.iter_mut().for_each(|sum| *sum *= KEEP);
+        self.result.iter_mut().for_each(|sum| *sum *= DECAY);
         let mut square = self.square.clone();
         let mut result = self.result.clone();
         for column in 0..square.len() {
-            square[column][column] += HOLD;
-            result[column] += HOLD * prior;
+            square[column][column] += PRIOR_STRENGTH;
+            result[column] += PRIOR_STRENGTH * prior;
         }
-        self.weights = eliminate(square, result);
+        self.weights = solve_linear(square, result);
     }
 
-    /// True when the weights of both are known for enough of the columns, and the same ones disturb.
-    pub fn is_like(&self, other: &Sums, width: usize) -> bool {
+    /// True if the weights of both images are known for enough columns and the same columns
+    /// interfere.
+    pub fn has_same_profile(&self, other: &Regression, width: usize) -> bool {
         let mut known = 0;
         for column in 0..width {
             let (Some(a), Some(b)) = (self.known(column), other.known(column)) else {
@@ -128,16 +130,18 @@
             }
             known += 1;
         }
-        known * KNOWN_OF >= width && known > 0
+        known * KNOWN_ONE_IN >= width && known > 0
     }
 
-    /// The weight of a column that was seen enough to be told from the prior.
+    /// The weight of a column with enough samples to tell it from the prior.
     pub fn known(&self, column: usize) -> Option<f64> {
-        let seen = self.square.get(column)?.get(column)?;
-        (*seen >= SEEN).then(|| self.weight(column)).flatten()
+        let strength = self.square.get(column)?.get(column)?;
+        (*strength >= KNOWN_MIN)
+            .then(|| self.weight(column))
+            .flatten()
     }
 
-    fn widen(&mut self, width: usize) {
+    fn grow(&mut self, width: usize) {
         if self.result.len() >= width {
             return;
         }
@@ -149,8 +153,8 @@
     }
 }
 
-/// Solves a symmetric, positive system; a row without any sample gives 0.
-fn eliminate(mut square: Vec<Vec<f64>>, mut result: Vec<f64>) -> Vec<f64> {
+/// Solves a symmetric positive definite system; a row without samples yields 0.
+fn solve_linear(mut square: Vec<Vec<f64>>, mut result: Vec<f64>) -> Vec<f64> {
     let width = result.len();
     for pivot in 0..width {
         if square[pivot][pivot].abs() < f64::EPSILON {
