--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -7,9 +7,9 @@
         callers::Reply,
         core::Node,
         keys,
-        message::Ask,
+        message::PeerRequest,
         peer, spec_text,
-        store::{Applied, Change, MAX_ENTRIES},
+        store::{ApplyResult, Change, MAX_ENTRIES},
         time,
     },
     job::{Id, Submission},
@@ -50,13 +50,13 @@
     if !may_forward {
         return reply;
     }
-    peer::pass_on(node, &Ask::Submit(Box::new(submission)), reply)
+    peer::forward(node, &PeerRequest::Submit(Box::new(submission)), reply)
 }
 
 /// Submits a job through this box. A box that is cut off from the store refuses at once, so that
 /// callers do not wait for an unreachable store.
 fn submit_locally(node: &Node, submission: &Submission) -> Reply {
-    if node.shared.is_cut_off() || node.shared.is_probe_long() {
+    if node.shared.is_store_unreachable() || node.shared.is_probe_slow() {
         return refusal(
             node,
             submission,
@@ -111,8 +111,8 @@
 /// After a failed call, the store is probed before any further write. A write without an answer has
 /// an unknown outcome, while a job that was not sent can be refused with certainty.
 fn accept(node: &Node, mut group: Vec<Pending>) {
-    if node.shared.is_failing()
-        && let Err(failure) = node.shared.probe(&*node.outside.store)
+    if node.shared.is_store_failing()
+        && let Err(failure) = node.shared.probe(&*node.external.store)
     {
         refuse(
             node,
@@ -125,14 +125,14 @@
         if group.is_empty() {
             return;
         }
-        match node.outside.store.apply(&change_for(node, &group)) {
-            Ok(Applied::Done(revision)) => {
+        match node.external.store.apply(&change_for(node, &group)) {
+            Ok(ApplyResult::Done(revision)) => {
                 for pending in &group {
                     confirm(node, pending, revision);
                 }
                 return;
             }
-            Ok(Applied::Conflict(items)) => {
+            Ok(ApplyResult::Conflict(items)) => {
                 let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
                 group.retain(|pending| {
                     let id = &pending.submission.id;
@@ -144,7 +144,7 @@
                     !is_stored
                 });
             }
-            Ok(Applied::NoLease) => break,
+            Ok(ApplyResult::NoLease) => break,
             Err(failure) if failure.verdict == Verdict::NotRun => {
                 refuse(node, &group, &failure.to_string());
                 return;
@@ -184,7 +184,7 @@
     answer(pending, Reply::Accepted);
     let submission = spec_text::for_owner(&node.settings, &pending.submission);
     node.remote
-        .tell(move |core, cx| core.accepted(cx, submission));
+        .tell(move |core, cx| core.handle_accepted(cx, submission));
 }
 
 /// Refuses all jobs of a group.
@@ -198,9 +198,9 @@
 fn resolve_unknown(node: &Node, group: &[Pending]) {
     for pending in group {
         let id = &pending.submission.id;
-        let stored = match node.shared.is_cut_off() {
+        let stored = match node.shared.is_store_unreachable() {
             true => None,
-            false => node.outside.store.get(&keys::job(id)).ok().flatten(),
+            false => node.external.store.get(&keys::job(id)).ok().flatten(),
         };
         log::warn!(target: "accept", job = id.as_str(), stands = stored.is_some(); "The store did not answer the write of a job.");
         match stored {
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -7,11 +7,11 @@
         core::Node,
         group::put,
         keys,
-        message::{Ask, Told},
+        message::{PeerRequest, PeerResponse},
         owner_watch, peer,
         retry_after::MIN_RETRY_AFTER,
-        settings::{TELL_FOR, TELL_GAP},
-        store::{Applied, Change},
+        settings::{NOTIFY_INTERVAL, NOTIFY_TIMEOUT_MS},
+        store::{ApplyResult, Change},
         time,
     },
     job::Id,
@@ -36,16 +36,18 @@
 pub fn cancel(node: &Node, id: &Id, may_forward: bool) -> Reply {
     let reply = cancel_locally(node, id);
     match reply {
-        Reply::Busy(_) if may_forward => peer::pass_on(node, &Ask::Cancel(id.clone()), reply),
+        Reply::Busy(_) if may_forward => {
+            peer::forward(node, &PeerRequest::Cancel(id.clone()), reply)
+        }
         _ => reply,
     }
 }
 
 fn cancel_locally(node: &Node, id: &Id) -> Reply {
-    if node.shared.is_cut_off() {
+    if node.shared.is_store_unreachable() {
         return Reply::Busy(MIN_RETRY_AFTER);
     }
-    let store = &node.outside.store;
+    let store = &node.external.store;
     let job = match store.get(&keys::job(id)) {
         Ok(Some(item)) => item,
         Ok(None) => return cancel_ended(node, id),
@@ -57,13 +59,13 @@
         remove: Vec::new(),
     };
     match store.apply(&change) {
-        Ok(Applied::Done(_)) => {
+        Ok(ApplyResult::Done(_)) => {
             log::info!(target: "cancel", job = id.as_str(); "A job was cancelled.");
             notify_owner(node, id);
             Reply::Cancelled
         }
-        Ok(Applied::Conflict(_)) => cancel_ended(node, id),
-        Ok(Applied::NoLease) => Reply::Unsure,
+        Ok(ApplyResult::Conflict(_)) => cancel_ended(node, id),
+        Ok(ApplyResult::NoLease) => Reply::Unsure,
         Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(MIN_RETRY_AFTER),
         Err(_) => Reply::Unsure,
     }
@@ -71,7 +73,7 @@
 
 /// The reply for a job without a stored submission: it has ended or never existed.
 fn cancel_ended(node: &Node, id: &Id) -> Reply {
-    match node.outside.store.get(&keys::state(id)) {
+    match node.external.store.get(&keys::state(id)) {
         Ok(Some(_)) => Reply::Cancelled,
         Ok(None) => Reply::Gone,
         Err(_) => Reply::Busy(MIN_RETRY_AFTER),
@@ -105,8 +107,8 @@
     if record(node, id) {
         return Delivery::Acknowledged;
     }
-    match peer::ask_owner(node, &Ask::Cancelled(id.clone())) {
-        Some(Told::Reply(Reply::Cancelled)) => Delivery::Acknowledged,
+    match peer::call_owner(node, &PeerRequest::Cancelled(id.clone())) {
+        Some(PeerResponse::Reply(Reply::Cancelled)) => Delivery::Acknowledged,
         Some(_) => Delivery::Rejected,
         None => Delivery::Unreachable,
     }
@@ -116,7 +118,7 @@
 /// cell, or has not read the job yet.
 fn record(node: &Node, id: &Id) -> bool {
     let id = id.clone();
-    node.remote.ask(move |core, cx| core.cancelled(cx, &id)) == Ok(true)
+    node.remote.ask(move |core, cx| core.handle_cancel(cx, &id)) == Ok(true)
 }
 
 /// Handles the notification of another box about a stored cancellation. That box retries until the
@@ -148,7 +150,7 @@
         }
         owner_watch::refresh(node);
         pending.round(time::now(), |id| notify(node, id));
-        thread::sleep(TELL_GAP);
+        thread::sleep(NOTIFY_INTERVAL);
     }
 }
 
@@ -172,7 +174,7 @@
             let Some((id, since)) = self.waiting.pop_front() else {
                 return;
             };
-            if now > since + TELL_FOR {
+            if now > since + NOTIFY_TIMEOUT_MS {
                 log::warn!(target: "cancel", job = id.as_str(); "The owner did not acknowledge a cancellation in time; it has to learn of it from its watch of the store.");
                 continue;
             }
@@ -248,10 +250,22 @@
     fn round_drops_expired() {
         let mut pending = pending(1);
         assert_eq!(
-            round(&mut pending, 1_000 + TELL_FOR, Delivery::Unreachable).len(),
+            round(
+                &mut pending,
+                1_000 + NOTIFY_TIMEOUT_MS,
+                Delivery::Unreachable
+            )
+            .len(),
             1
         );
-        assert!(round(&mut pending, 1_001 + TELL_FOR, Delivery::Unreachable).is_empty());
+        assert!(
+            round(
+                &mut pending,
+                1_001 + NOTIFY_TIMEOUT_MS,
+                Delivery::Unreachable
+            )
+            .is_empty()
+        );
         assert!(pending.waiting.is_empty());
     }
 
@@ -260,7 +274,7 @@
     fn add_restarts_retry_period() {
         let mut pending = pending(1);
         pending.add(id(1), 5_000);
-        let sent = round(&mut pending, 5_000 + TELL_FOR, Delivery::Rejected);
+        let sent = round(&mut pending, 5_000 + NOTIFY_TIMEOUT_MS, Delivery::Rejected);
         assert_eq!(sent, [id(1)]);
     }
 }
--- a/components/node/src/config/schedule.rs
+++ b/components/node/src/config/schedule.rs
@@ -1,8 +1,8 @@
 //! Decides whether the next call for the configuration is a read or a watch.
 
 use crate::{
-    outside::Found,
-    settings::{CONFIG_GAP, CONFIG_LARGE, CONFIG_REST, CONFIG_SHARE},
+    external::ConfigSnapshot,
+    settings::{CONFIG_PAUSE_FACTOR, CONFIG_READ_INTERVAL, LARGE_CONFIG, MAX_CONFIG_INTERVAL},
 };
 
 /// The next call.
@@ -38,9 +38,9 @@
     /// Records that a read that started at `begun` has ended, with or without success. The next
     /// read is delayed, so that reads take a bounded share of the time and of the link.
     pub fn read_ended(&mut self, begun: u64, now: u64) {
-        let shortest = CONFIG_GAP.as_millis() as u64;
-        let longest = CONFIG_REST.as_millis() as u64;
-        let delay = (now - begun).saturating_mul(CONFIG_SHARE);
+        let shortest = CONFIG_READ_INTERVAL.as_millis() as u64;
+        let longest = MAX_CONFIG_INTERVAL.as_millis() as u64;
+        let delay = (now - begun).saturating_mul(CONFIG_PAUSE_FACTOR);
         self.due = now + delay.clamp(shortest, longest);
     }
 
@@ -52,11 +52,11 @@
     /// Records a value. After a new large value the next call is a read: further values may have
     /// been written during the transfer, and a watch would transfer each of them, a read only the
     /// newest.
-    pub fn found(&mut self, found: &Found, now: u64) {
+    pub fn found(&mut self, found: &ConfigSnapshot, now: u64) {
         let is_newer = found.revision > self.known;
         self.known = found.revision;
-        self.at = found.at;
-        if is_newer && found.bytes >= CONFIG_LARGE {
+        self.at = found.store_revision;
+        if is_newer && found.bytes >= LARGE_CONFIG {
             self.due = now;
         }
     }
@@ -87,11 +87,11 @@
         test_case::test_case,
     };
 
-    const GAP: u64 = CONFIG_GAP.as_millis() as u64;
-    const REST: u64 = CONFIG_REST.as_millis() as u64;
-    const SMALL: usize = CONFIG_LARGE - 1;
+    const GAP: u64 = CONFIG_READ_INTERVAL.as_millis() as u64;
+    const REST: u64 = MAX_CONFIG_INTERVAL.as_millis() as u64;
+    const SMALL: usize = LARGE_CONFIG - 1;
 
-    fn found(revision: u64, at: u64, bytes: usize) -> Found {
+    fn found(revision: u64, at: u64, bytes: usize) -> ConfigSnapshot {
         let config = Config {
             version: 1,
             queues: Vec::new(),
@@ -103,10 +103,10 @@
                 idle: Duration::ZERO,
             },
         };
-        Found {
+        ConfigSnapshot {
             config,
             revision,
-            at,
+            store_revision: at,
             bytes,
         }
     }
@@ -137,10 +137,10 @@
     /// After a large value, reads are repeated until one finds nothing newer.
     #[test]
     fn step_after_large_value() {
-        let mut schedule = schedule(CONFIG_LARGE);
+        let mut schedule = schedule(LARGE_CONFIG);
         assert_eq!(schedule.step(1_000), Step::Read(5));
         schedule.read_ended(1_000, 1_400);
-        schedule.found(&found(8, 8, CONFIG_LARGE), 1_400);
+        schedule.found(&found(8, 8, LARGE_CONFIG), 1_400);
         assert_eq!(schedule.step(1_400), Step::Read(8));
         schedule.read_ended(1_400, 1_800);
         schedule.confirmed(9);
@@ -150,9 +150,9 @@
     /// A change that is delivered twice does not cause a read.
     #[test]
     fn step_after_same_value() {
-        let mut schedule = schedule(CONFIG_LARGE);
+        let mut schedule = schedule(LARGE_CONFIG);
         schedule.read_ended(1_000, 1_010);
-        schedule.found(&found(5, 7, CONFIG_LARGE), 1_010);
+        schedule.found(&found(5, 7, LARGE_CONFIG), 1_010);
         assert_eq!(schedule.step(1_010), Step::Watch(7));
     }
 
--- a/components/node/src/order_queue.rs
+++ b/components/node/src/order_queue.rs
@@ -5,7 +5,7 @@
 //! a start that is withdrawn because its data hall was closed.
 
 use {
-    crate::settings::START_WAIT,
+    crate::settings::MAX_START_WAIT_MS,
     cell::{Key, Order},
     kernel::sync::lock,
     std::{
@@ -39,7 +39,7 @@
     /// True for a start that has waited for more than [`START_WAIT`] and must not be sent.
     pub fn is_stale(&self, now: u64) -> bool {
         let is_start = matches!(self.order, Order::Start(_));
-        is_start && now.saturating_sub(self.decided) > START_WAIT
+        is_start && now.saturating_sub(self.decided) > MAX_START_WAIT_MS
     }
 }
 
@@ -164,10 +164,10 @@
 
     /// A start must not be sent late: one that had waited 1.3 s behind two unanswered orders was
     /// sent 1.2 s after its task had ended elsewhere. A stop is sent at any time.
-    #[test_case(start(), 0, START_WAIT, false; "start in time")]
-    #[test_case(start(), 0, START_WAIT + 1, true; "start too late")]
-    #[test_case(start(), 400, START_WAIT - 400, false; "start in time after an exchange")]
-    #[test_case(start(), 400, START_WAIT - 399, true; "start too late after an exchange")]
+    #[test_case(start(), 0, MAX_START_WAIT_MS, false; "start in time")]
+    #[test_case(start(), 0, MAX_START_WAIT_MS + 1, true; "start too late")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 400, false; "start in time after an exchange")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 399, true; "start too late after an exchange")]
     #[test_case(stop(), 0, 60_000, false; "stop")]
     fn is_stale_by_wait(order: Order, age: u64, wait: u64, is_stale: bool) {
         let now = 100_000;
--- a/components/node/src/owner_watch.rs
+++ b/components/node/src/owner_watch.rs
@@ -3,12 +3,12 @@
 
 use {
     crate::{
-        claim::{self, Known},
+        claim::{self, KeyState},
         core::Node,
         group::CELL,
         keys,
         message::Owner,
-        settings::{OWNER_PAUSE, OWNER_WAIT, STORE_PAUSE},
+        settings::{OWNER_RETRY_PAUSE, OWNER_WATCH_TIME, STORE_RETRY_PAUSE},
         store::Item,
         time,
     },
@@ -19,7 +19,7 @@
 /// Watches the owner's key until the box stops, and claims the cell when the key is absent or
 /// invalid.
 pub fn run(node: &Node) {
-    let store = &node.outside.store;
+    let store = &node.external.store;
     while !node.shared.is_stopping() {
         if let Some(time) = idle_time(node) {
             node.shared.monitor.owner.wait(time);
@@ -29,33 +29,33 @@
         let item = match store.get(&key) {
             Ok(item) => item,
             Err(_) => {
-                node.shared.probe_until_answer(store.as_ref());
+                node.shared.probe_until_recovered(store.as_ref());
                 continue;
             }
         };
         let owning = node
             .remote
-            .ask(|core, _| core.tenure.as_ref().map(|tenure| tenure.fence));
+            .ask(|core, _| core.ownership.as_ref().map(|ownership| ownership.fence));
         let Ok(owning) = owning else {
             return;
         };
         match (item, owning) {
             (Some(item), None) if is_own(node, &item) => {
-                attempt(node, item.revision, Known::Own);
+                attempt(node, item.revision, KeyState::Own);
             }
             (Some(item), None) if !is_readable(&item) => {
-                attempt(node, item.revision, Known::Nothing);
+                attempt(node, item.revision, KeyState::Unknown);
             }
             (Some(item), Some(fence)) if !is_readable(&item) => {
                 announce(node, fence);
-                thread::sleep(OWNER_PAUSE);
+                thread::sleep(OWNER_RETRY_PAUSE);
             }
             (Some(item), _) => watch(node, &item),
             (None, Some(fence)) => {
                 announce(node, fence);
-                thread::sleep(OWNER_PAUSE);
+                thread::sleep(OWNER_RETRY_PAUSE);
             }
-            (None, None) => attempt(node, 0, Known::Nothing),
+            (None, None) => attempt(node, 0, KeyState::Unknown),
         }
     }
 }
@@ -63,17 +63,17 @@
 /// How long the owner's key need not be read, because a recent heartbeat of the owner is still
 /// valid.
 fn idle_time(node: &Node) -> Option<Duration> {
-    if node.shared.has_cell() {
+    if node.shared.is_owner() {
         return None;
     }
-    let (_, left) = node.shared.monitor.fresh(time::now())?;
+    let (_, left) = node.shared.monitor.valid(time::now())?;
     Some(left)
 }
 
 /// Reads the owner's key once, for a box whose owner does not answer or has dismissed it as a
 /// relay. The watch may have stalled, and a new owner needs its relays at once.
 pub fn refresh(node: &Node) {
-    match node.outside.store.get(&keys::owner(CELL)) {
+    match node.external.store.get(&keys::owner(CELL)) {
         Ok(Some(item)) => record(node, &item),
         Ok(None) => {}
         Err(failure) => {
@@ -85,9 +85,12 @@
 /// Records the owner and waits until its key changes.
 fn watch(node: &Node, item: &Item) {
     record(node, item);
-    let watched = node.outside.store.watch(&item.key, item.at, OWNER_WAIT);
+    let watched = node
+        .external
+        .store
+        .watch(&item.key, item.store_revision, OWNER_WATCH_TIME);
     if watched.is_err() {
-        node.shared.probe_until_answer(&*node.outside.store);
+        node.shared.probe_until_recovered(&*node.external.store);
     }
 }
 
@@ -118,7 +121,7 @@
     owner.is_ok()
 }
 
-/// True if this box wrote the value, in an earlier incarnation or tenure.
+/// True if this box wrote the value, in an earlier incarnation or ownership.
 fn is_own(node: &Node, item: &Item) -> bool {
     let owner: Result<Owner, Failure> = wire::decode(&item.value);
     owner.is_ok_and(|owner| owner.name == node.settings.name)
@@ -128,20 +131,20 @@
 fn announce(node: &Node, fence: u64) {
     log::info!(target: "owner", fence; "The owner's key is missing or invalid and will be written again.");
     node.remote.tell(move |core, cx| {
-        if let Some(tenure) = core.tenure_of(fence) {
-            tenure.announce = true;
+        if let Some(ownership) = core.ownership_of(fence) {
+            ownership.republish = true;
             core.wake_writer(cx);
         }
     });
 }
 
 /// Tries to claim the cell, given the revision of the owner's key; 0 if it is absent.
-fn attempt(node: &Node, revision: u64, known: Known) {
+fn attempt(node: &Node, revision: u64, known: KeyState) {
     match claim::attempt(node, revision, known) {
         Ok(()) => {}
         Err(failure) => {
             log::warn!(target: "owner", error:% = failure; "Failed to claim the cell.");
-            thread::sleep(STORE_PAUSE);
+            thread::sleep(STORE_RETRY_PAUSE);
         }
     }
 }
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -8,13 +8,16 @@
 use {
     crate::{
         core::Node,
+        external::PollError,
         job_cache::JobCache,
-        message::{Begin, Command, Duty, Heard, Offer, Owner},
+        message::{Command, CompactStart, Owner, RelayRequest, RelayResponse, WorkerEvent},
         order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
-        outside::Unheard,
         owner_watch,
         report_delta::ReportDelta,
-        settings::{LOOK_IDLE, LOOK_RELAY, POLL_PAUSE, RELAY_BUSY, RELAY_IDLE, RELAY_TIME},
+        settings::{
+            IDLE_MIN_INTERVAL, IDLE_OWNER_READ_MS, POLL_RETRY_PAUSE, RELAY_MIN_INTERVAL,
+            RELAY_OWNER_READ_MS, RELAY_TIMEOUT,
+        },
         time, worker,
     },
     cell::{Entry, Order, Outcome, Poll, Reason, Report, Run},
@@ -57,7 +60,7 @@
 /// Results from workers for the next offer.
 #[derive(Default)]
 struct Results {
-    queue: Vec<Heard>,
+    queue: Vec<WorkerEvent>,
     /// The last list of runs that was queued for each assigned worker, to which its next report is
     /// the difference.
     baselines: HashMap<Arc<str>, Vec<Run>>,
@@ -65,18 +68,18 @@
 
 impl Results {
     /// Queues the result of a poll, unless the worker is not assigned any more.
-    fn report(&mut self, id: &Arc<str>, at: u64, result: Result<Report, Unheard>) {
+    fn report(&mut self, id: &Arc<str>, at: u64, result: Result<Report, PollError>) {
         let Some(list) = self.baselines.get_mut(id) else {
             return;
         };
         let delta = result.map(|report| ReportDelta::diff(report, list));
-        self.queue.push(Heard::Report(id.clone(), at, delta));
+        self.queue.push(WorkerEvent::Report(id.clone(), at, delta));
     }
 
     /// Reports to the owner that a worker is not assigned any more.
     fn release(&mut self, id: Arc<str>) {
         if self.baselines.remove(&id).is_some() {
-            self.queue.push(Heard::Left(id));
+            self.queue.push(WorkerEvent::Left(id));
         }
     }
 }
@@ -84,15 +87,15 @@
 /// Makes offers to the owner and carries out its duties until the box stops.
 pub fn run(node: &Node) {
     let mut session: Option<Session> = None;
-    let mut unanswered: Option<Offer> = None;
+    let mut unanswered: Option<RelayRequest> = None;
     let mut refresh = OwnerRefresh::default();
     while !node.shared.is_stopping() {
         let owner = node.shared.owner.load_full();
         let Some(owner) = owner.filter(|owner| owner.name != node.settings.name) else {
             session = None;
             unanswered = None;
-            node.shared.monitor.miss();
-            thread::sleep(RELAY_IDLE);
+            node.shared.monitor.clear();
+            thread::sleep(IDLE_MIN_INTERVAL);
             continue;
         };
         let offer = unanswered
@@ -103,19 +106,21 @@
             Ok(duty) => duty,
             Err(failure) => {
                 log::debug!(target: "relay", owner = &*owner.name, error:% = failure; "An exchange with the owner failed.");
-                node.shared.monitor.miss();
+                node.shared.monitor.clear();
                 unanswered = Some(offer);
                 refresh.request(node, session.is_some());
                 thread::sleep(if session.is_some() {
-                    RELAY_BUSY
+                    RELAY_MIN_INTERVAL
                 } else {
-                    RELAY_IDLE
+                    IDLE_MIN_INTERVAL
                 });
                 continue;
             }
         };
-        let idle_pause = Duration::from_millis(duty.pause).max(RELAY_IDLE);
-        node.shared.monitor.hear(duty.heartbeat, asked, idle_pause);
+        let idle_pause = Duration::from_millis(duty.pause).max(IDLE_MIN_INTERVAL);
+        node.shared
+            .monitor
+            .record(duty.heartbeat, asked, idle_pause);
         let had_session = session.is_some();
         session = accept_duty(node, &owner, session, duty, asked);
         if had_session && session.is_none() {
@@ -141,20 +146,24 @@
         if now < self.not_before {
             return;
         }
-        let gap = if is_relay { LOOK_RELAY } else { LOOK_IDLE };
+        let gap = if is_relay {
+            RELAY_OWNER_READ_MS
+        } else {
+            IDLE_OWNER_READ_MS
+        };
         self.not_before = now + gap + fastrand::u64(0..gap);
         owner_watch::refresh(node);
     }
 }
 
 /// Sends an offer to the owner and returns the duty that it answers with.
-fn exchange(node: &Node, owner: &Owner, offer: &Offer) -> Result<Duty, Failure> {
+fn exchange(node: &Node, owner: &Owner, offer: &RelayRequest) -> Result<RelayResponse, Failure> {
     let url = format!("http://{}{PATH}", owner.address);
     let mut body = wire::encode_compact(offer)?;
-    if node.settings.is_narrow() {
+    if node.settings.has_narrow_link() {
         body = wire::pack(body);
     }
-    node.client.post_encoded(&url, &body, RELAY_TIME)
+    node.client.post_encoded(&url, &body, RELAY_TIMEOUT)
 }
 
 /// Carries out a duty, in a new session if the owner has started one. Returns the session; `None`
@@ -163,7 +172,7 @@
     node: &Node,
     owner: &Owner,
     session: Option<Session>,
-    duty: Duty,
+    duty: RelayResponse,
     asked: u64,
 ) -> Option<Session> {
     if duty.session == 0 {
@@ -179,8 +188,8 @@
 }
 
 /// The next offer, with the queued results if there is a session.
-fn offer(node: &Node, session: Option<&mut Session>) -> Offer {
-    let mut offer = Offer {
+fn offer(node: &Node, session: Option<&mut Session>) -> RelayRequest {
+    let mut offer = RelayRequest {
         name: node.settings.name.clone(),
         hall: node.settings.hall.clone(),
         share: node.settings.share,
@@ -201,13 +210,13 @@
 }
 
 impl Session {
-    fn new(duty: &Duty) -> Self {
+    fn new(duty: &RelayResponse) -> Self {
         Session {
             number: duty.session,
             fence: duty.fence,
             last_duty: 0,
             last_offer: 0,
-            pause: RELAY_BUSY,
+            pause: RELAY_MIN_INTERVAL,
             workers: HashMap::new(),
             texts: JobCache::default(),
             results: Arc::default(),
@@ -216,7 +225,7 @@
 
     /// Carries out the commands of a duty, unless it is a repetition. The exchange with the owner
     /// began at `asked`.
-    fn carry_out(&mut self, node: &Node, duty: Duty, asked: u64) {
+    fn carry_out(&mut self, node: &Node, duty: RelayResponse, asked: u64) {
         self.pause = Duration::from_millis(duty.pause);
         if duty.batch <= self.last_duty {
             return;
@@ -274,12 +283,12 @@
         let refused = Outcome::Refused(Reason::NotSent);
         let answers = numbers
             .into_iter()
-            .map(|number| Heard::Answer(number, refused));
+            .map(|number| WorkerEvent::Answer(number, refused));
         lock(&self.results).queue.extend(answers);
     }
 
     /// Queues starts of a job to the tasks of their workers.
-    fn start(&self, job: &Id, begins: Vec<Begin>, age: u64) {
+    fn start(&self, job: &Id, begins: Vec<CompactStart>, age: u64) {
         let Some(text) = self.texts.get(job) else {
             log::error!(target: "relay", job = job.as_str(); "Starts arrived without the specification of their job.");
             self.refuse(begins.iter().map(|begin| begin.number));
@@ -332,10 +341,10 @@
     results: Arc<Mutex<Results>>,
 ) {
     while let Some((at, poll)) = polls.recv().await {
-        let result = node.outside.workers.poll(&entry, fence, poll).await;
-        if let Err(Unheard::Silent(_)) = result {
+        let result = node.external.workers.poll(&entry, fence, poll).await;
+        if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_PAUSE).await;
+            net::sleep(POLL_RETRY_PAUSE).await;
         }
         lock(&results).report(&entry.id, at, result);
     }
@@ -351,8 +360,10 @@
 ) {
     while let Some(queued) = orders.next().await {
         let number = queued.number;
-        let outcome = worker::send_one(&node, fence, &entry, queued, &orders).await;
-        lock(&results).queue.push(Heard::Answer(number, outcome));
+        let outcome = worker::send_order(&node, fence, &entry, queued, &orders).await;
+        lock(&results)
+            .queue
+            .push(WorkerEvent::Answer(number, outcome));
     }
 }
 
@@ -364,7 +375,7 @@
     /// the relay busy.
     #[test]
     fn order_without_worker_task_is_refused() {
-        let session = Session::new(&Duty::default());
+        let session = Session::new(&RelayResponse::default());
         let order = Order::Stop {
             key: Key {
                 job: Id::new("00000000000000a1").unwrap(),
@@ -381,6 +392,6 @@
         session.start(&Id::new("00000000000000a1").unwrap(), Vec::new(), 0);
         let results = std::mem::take(&mut lock(&session.results).queue);
         let refused = Outcome::Refused(Reason::NotSent);
-        assert!(matches!(&results[..], [Heard::Answer(7, outcome)] if *outcome == refused));
+        assert!(matches!(&results[..], [WorkerEvent::Answer(7, outcome)] if *outcome == refused));
     }
 }
--- a/components/node/src/relays/idle_offers.rs
+++ b/components/node/src/relays/idle_offers.rs
@@ -1,12 +1,12 @@
 //! Limits the rate of offers from boxes that are not needed as relays.
 
 use {
-    crate::settings::{IDLE_OFFERS, RELAY_IDLE, RELAY_REST},
+    crate::settings::{IDLE_MAX_INTERVAL_MS, IDLE_MIN_INTERVAL, IDLE_REQUEST_RATE},
     std::{collections::HashSet, sync::Arc},
 };
 
 /// The time over which boxes are counted, in milliseconds.
-const COUNT_WINDOW: u64 = 2 * RELAY_REST;
+const COUNT_WINDOW: u64 = 2 * IDLE_MAX_INTERVAL_MS;
 
 /// Counts the idle boxes that make offers.
 #[derive(Default)]
@@ -31,12 +31,12 @@
         if !self.names.contains(name) {
             self.names.insert(name.into());
         }
-        let least = RELAY_IDLE.as_millis() as u64;
+        let least = IDLE_MIN_INTERVAL.as_millis() as u64;
         if !all_assigned {
             return least;
         }
         let boxes = self.counted.max(self.names.len()) as u64;
-        (boxes * 1_000 / IDLE_OFFERS).clamp(least, RELAY_REST)
+        (boxes * 1_000 / IDLE_REQUEST_RATE).clamp(least, IDLE_MAX_INTERVAL_MS)
     }
 }
 
@@ -70,6 +70,9 @@
         for number in 0..587 {
             idle.pause(&format!("b{number}"), true, 0);
         }
-        assert_eq!(idle.pause("b1", false, 1), RELAY_IDLE.as_millis() as u64);
+        assert_eq!(
+            idle.pause("b1", false, 1),
+            IDLE_MIN_INTERVAL.as_millis() as u64
+        );
     }
 }
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -12,11 +12,11 @@
         text_budget::TextBudget,
     },
     crate::{
+        external::PollError,
         job_cache::JobCache,
-        message::{Command, Duty, Offer},
-        outside::Unheard,
+        message::{Command, RelayRequest, RelayResponse},
         report_delta::ReportDelta,
-        settings::{AHEAD, RELAY_BUSY, RELAY_SLOW},
+        settings::{MAX_IN_FLIGHT_MS, RELAY_MAX_INTERVAL_MS, RELAY_MIN_INTERVAL},
     },
     cell::{Entry, Order, Poll, Report},
     std::{
@@ -29,7 +29,7 @@
 const STRONG_SHARE: u32 = 300;
 /// A relay without an offer for this long, in milliseconds, is removed. Exchanges are 25 ms apart,
 /// and leases of workers of 4.5 s leave enough time for another relay to take over.
-const RELAY_TIMEOUT: u64 = 1_200;
+const SILENCE_TIMEOUT: u64 = 1_200;
 /// Checks for expired relays are 100 ms apart. After a gap longer than this, in milliseconds, the
 /// owner itself was delayed.
 const MAX_CHECK_GAP: u64 = 400;
@@ -58,7 +58,7 @@
     Short,
 }
 
-/// All relays of one tenure of the owner.
+/// All relays during one ownership of the cell.
 #[derive(Default)]
 pub struct Relays {
     by_name: HashMap<Arc<str>, Relay>,
@@ -166,7 +166,7 @@
     /// could not overtake it.
     pub fn start_budget(&self, link: u64) -> usize {
         let unacked: usize = self.by_name.values().map(|relay| relay.unacked_bytes).sum();
-        let room = ((link * AHEAD) as usize).saturating_sub(unacked);
+        let room = ((link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(unacked);
         // On average every fourth start needs a text.
         let by_owner = room / (START_BYTES + TEXT_BYTES / 4);
         if self.by_name.is_empty() {
@@ -178,9 +178,9 @@
 
     /// Refills the budget for specification texts, for an owner with this link. It is unlimited
     /// while the store, from which relays would read the texts otherwise, fails.
-    pub fn refill_text_budget(&mut self, link: u64, is_failing: bool, now: u64) {
+    pub fn refill_text_budget(&mut self, link: u64, is_store_failing: bool, now: u64) {
         self.text_budget.refill(link, now);
-        self.text_budget.is_unlimited = is_failing;
+        self.text_budget.is_unlimited = is_store_failing;
     }
 
     /// The workers of relays whose links cannot carry further starts at present.
@@ -196,8 +196,8 @@
         &mut self,
         name: &str,
         id: &Arc<str>,
-        result: Result<ReportDelta, Unheard>,
-    ) -> Result<Report, Unheard> {
+        result: Result<ReportDelta, PollError>,
+    ) -> Result<Report, PollError> {
         let delta = result?;
         let mut unknown = Vec::new();
         let list = self.by_name.get_mut(name).map_or(&mut unknown, |relay| {
@@ -229,7 +229,7 @@
 
     /// Records the offer of a relay. True if it belongs to the current session and was not
     /// processed before.
-    pub fn accept_offer(&mut self, offer: &Offer, now: u64) -> bool {
+    pub fn accept_offer(&mut self, offer: &RelayRequest, now: u64) -> bool {
         let Some(relay) = self.by_name.get_mut(&offer.name) else {
             return false;
         };
@@ -250,7 +250,7 @@
     /// while a worker of its hall has no relay, or a worker of any hall has had none for long, or
     /// the owner talks to some itself. Returns the workers of its former session, which have to be
     /// assigned again; `None` if nothing has changed.
-    pub fn join(&mut self, offer: &Offer, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
+    pub fn join(&mut self, offer: &RelayRequest, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
         let former = match self.by_name.get(&offer.name) {
             Some(relay) if relay.session == offer.session => return None,
             Some(_) => self.remove(&offer.name),
@@ -261,7 +261,7 @@
         }
         self.sessions += 1;
         let relay = Relay {
-            // The clock makes the number unique among the tenures of this box.
+            // The clock makes the number unique among the ownerships of this box.
             session: now * 1_000 + self.sessions,
             hall: offer.hall.clone(),
             share: offer.share,
@@ -283,7 +283,7 @@
     }
 
     /// True if the box is needed as a relay.
-    fn is_needed(&self, offer: &Offer, need: Need, now: u64) -> bool {
+    fn is_needed(&self, offer: &RelayRequest, need: Need, now: u64) -> bool {
         if need == Need::None {
             return false;
         }
@@ -298,29 +298,29 @@
     /// The time that relays wait between two exchanges with an owner of this link, in milliseconds.
     /// It bounds the share of the link that the overhead of all exchanges takes.
     pub fn exchange_interval(&self, link: u64) -> u64 {
-        let least = RELAY_BUSY.as_millis() as u64;
+        let least = RELAY_MIN_INTERVAL.as_millis() as u64;
         let count = self.by_name.len() as u64;
         let interval = count * EXCHANGE_BYTES * EXCHANGE_FRACTION / link.max(1);
-        interval.clamp(least, RELAY_SLOW)
+        interval.clamp(least, RELAY_MAX_INTERVAL_MS)
     }
 
     /// The next message to a box, from an owner with this link. A relay receives unacknowledged
     /// commands again.
-    pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> Duty {
+    pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> RelayResponse {
         let interval = self.exchange_interval(link);
         let Some(relay) = self.by_name.get_mut(name) else {
-            return Duty {
+            return RelayResponse {
                 pause: self
                     .idle_offers
                     .pause(name, self.unassigned.is_empty(), now),
-                ..Duty::default()
+                ..RelayResponse::default()
             };
         };
         if relay.sent.is_empty() && !relay.next.is_empty() {
             relay.sent = std::mem::take(&mut relay.next);
             relay.batch += 1;
         }
-        Duty {
+        RelayResponse {
             session: relay.session,
             fence,
             batch: relay.batch,
@@ -344,7 +344,7 @@
             }
         }
         let expired = self.by_name.iter();
-        let expired = expired.filter(|(_, relay)| now > relay.last_seen + RELAY_TIMEOUT);
+        let expired = expired.filter(|(_, relay)| now > relay.last_seen + SILENCE_TIMEOUT);
         let names: Vec<Arc<str>> = expired.map(|(name, _)| name.clone()).collect();
         let mut workers = Vec::new();
         for name in names {
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -4,8 +4,8 @@
     super::text_budget::TextBudget,
     crate::{
         job_cache::JobCache,
-        message::{Begin, Command},
-        settings::{AHEAD, Settings},
+        message::{Command, CompactStart},
+        settings::{MAX_IN_FLIGHT_MS, Settings},
     },
     cell::{Order, Run, Start},
     std::{
@@ -58,7 +58,7 @@
 impl Relay {
     /// The most workers that can be assigned to it.
     pub fn max_workers(&self) -> usize {
-        Settings::most_workers(self.share, self.link).max(1)
+        Settings::max_workers(self.share, self.link).max(1)
     }
 
     /// True if another worker can be assigned to it.
@@ -68,12 +68,12 @@
 
     /// True if it has as many starts to send as its link carries within [`AHEAD`] milliseconds.
     pub fn is_busy(&self) -> bool {
-        self.starting_bytes as u64 >= self.link * AHEAD
+        self.starting_bytes as u64 >= self.link * MAX_IN_FLIGHT_MS
     }
 
     /// The number of further starts that its link can carry within [`AHEAD`] milliseconds.
     pub fn start_budget(&self) -> usize {
-        let room = ((self.link * AHEAD) as usize).saturating_sub(self.starting_bytes);
+        let room = ((self.link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(self.starting_bytes);
         room.div_ceil(TEXT_BYTES + REQUEST_BYTES)
     }
 
@@ -86,7 +86,7 @@
     /// Queues a start. Consecutive starts of one job that were decided at the same time share one
     /// command.
     pub fn start(&mut self, worker: &Arc<str>, number: u64, now: u64, start: &Start) {
-        let begin = Begin::new(worker.clone(), number, start);
+        let begin = CompactStart::new(worker.clone(), number, start);
         let job = &start.key.job;
         if let Some(Command::Starts(last, at, begins)) = self.next.last_mut()
             && last == job
--- a/components/node/src/relays/text_budget.rs
+++ b/components/node/src/relays/text_budget.rs
@@ -1,6 +1,6 @@
 //! Limits the share of the owner's link that specification texts take.
 
-use crate::settings::AHEAD;
+use crate::settings::MAX_IN_FLIGHT_MS;
 
 /// Texts may take one part in this many of the owner's link.
 const LINK_FRACTION: u64 = 4;
@@ -24,7 +24,7 @@
     pub fn refill(&mut self, link: u64, now: u64) {
         let rate = link / LINK_FRACTION;
         let since = now.saturating_sub(self.refilled);
-        self.available = (self.available + since * rate).min(rate * AHEAD);
+        self.available = (self.available + since * rate).min(rate * MAX_IN_FLIGHT_MS);
         self.refilled = now;
     }
 
--- a/components/node/src/spec_text.rs
+++ b/components/node/src/spec_text.rs
@@ -1,6 +1,6 @@
 //! Storage of the specification texts of jobs, and a cache of texts read from the store.
 //!
-//! On slow links a job is stored as two values: the part that placement needs, which the owner
+//! On narrow links a job is stored as two values: the part that placement needs, which the owner
 //! receives for every job and a new owner reads for all jobs; and the specification text, which
 //! only senders of start orders need. With the texts included, an owner of 235 workers received 85
 //! KB of jobs per second, and a new owner read 1 MB in 5 s, while its lease expired after 2 s.
@@ -75,19 +75,19 @@
     Ok(submission.spec.text)
 }
 
-/// The submission as it is sent to the owner by a box with these settings. On a slow link the
+/// The submission as it is sent to the owner by a box with these settings. On a narrow link the
 /// specification text is empty and has to be read from the store on demand.
 pub fn for_owner(settings: &Settings, submission: &Submission) -> Submission {
     let mut sent = submission.clone();
-    if settings.is_narrow() {
+    if settings.has_narrow_link() {
         sent.spec.text = "".into();
     }
     sent
 }
 
-/// The writes that store a submission: one value, or two on a slow link.
+/// The writes that store a submission: one value, or two on a narrow link.
 pub fn writes(settings: &Settings, submission: &Submission) -> Vec<Put> {
-    let value = |message: Vec<u8>| match settings.is_narrow() {
+    let value = |message: Vec<u8>| match settings.has_narrow_link() {
         true => wire::pack(message),
         false => message,
     };
@@ -117,7 +117,7 @@
 mod tests {
     use {
         super::*,
-        crate::store::{Applied, Change, Item, Page, Watched},
+        crate::store::{ApplyResult, Change, Item, Page, WatchResult},
         std::{
             sync::atomic::{AtomicU32, Ordering},
             time::Duration,
@@ -145,7 +145,7 @@
                 key: key.to_owned(),
                 value: wire::encode(&"text").unwrap(),
                 revision: 5,
-                at: 5,
+                store_revision: 5,
             })
         }
     }
@@ -169,11 +169,11 @@
             unsupported()
         }
 
-        fn watch(&self, _: &str, _: u64, _: Duration) -> Result<Watched, Failure> {
+        fn watch(&self, _: &str, _: u64, _: Duration) -> Result<WatchResult, Failure> {
             unsupported()
         }
 
-        fn apply(&self, _: &Change) -> Result<Applied, Failure> {
+        fn apply(&self, _: &Change) -> Result<ApplyResult, Failure> {
             unsupported()
         }
 
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -1,8 +1,8 @@
-//! Overload of a cell whose relays have slow links, on a simulated clock.
+//! Overload of a cell whose relays have narrow links, on a simulated clock.
 //!
 //! The cell and the registry of relays are the real ones; links and workers are simulated. Each
 //! link carries a fixed number of bytes per millisecond, one transfer after the other, and a start
-//! that waited for longer than [`START_WAIT`] is not sent.
+//! that waited for longer than [`MAX_START_WAIT_MS`] is not sent.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -11,9 +11,9 @@
     job::{Id, Queue, Spec, Step, Submission, spec::Size},
     kernel::wire,
     magpie_node::{
-        message::{Begin, Command, Offer},
+        message::{Command, CompactStart, RelayRequest},
         relays::{Need, Relays},
-        settings::START_WAIT,
+        settings::MAX_START_WAIT_MS,
     },
     std::{collections::BTreeMap, sync::Arc},
 };
@@ -39,11 +39,11 @@
     /// An offer of a relay reaches the owner, with answers to orders.
     Offer(usize, Vec<(u64, Outcome)>),
     /// A duty reaches a relay.
-    Duty(usize, Vec<(u64, Begin, Id)>, u64),
+    Duty(usize, Vec<(u64, CompactStart, Id)>, u64),
     /// A start has been sent by the relay, or refused as too late.
-    Sent(usize, Begin, Id, bool),
+    Sent(usize, CompactStart, Id, bool),
     /// A run has completed.
-    Done(Arc<str>, Id, Begin),
+    Done(Arc<str>, Id, CompactStart),
 }
 
 /// The state of a relay.
@@ -176,10 +176,10 @@
         self.events.insert((time, self.numbers), event);
     }
 
-    fn offer(&mut self, relay: usize) -> Offer {
+    fn offer(&mut self, relay: usize) -> RelayRequest {
         let session = &mut self.sessions[relay];
         session.last_offer += 1;
-        Offer {
+        RelayRequest {
             name: name(relay).into(),
             hall: "h1".into(),
             share: 500,
@@ -192,7 +192,7 @@
     }
 
     /// A report of a worker, with a completed run if there is one.
-    fn report(&mut self, id: &Arc<str>, done: Option<(Id, Begin)>) {
+    fn report(&mut self, id: &Arc<str>, done: Option<(Id, CompactStart)>) {
         let number = self.ended.entry(id.clone()).or_default();
         let ended = done.map(|(job, begin)| {
             *number += 1;
@@ -264,7 +264,7 @@
             Event::Duty(relay, starts, pause) => {
                 for (at, begin, job) in starts {
                     let free = self.link_free.1[relay].max(self.now);
-                    let is_sent = free - at <= START_WAIT;
+                    let is_sent = free - at <= MAX_START_WAIT_MS;
                     let spent = if is_sent { (TEXT + HEADERS) / LINK } else { 0 };
                     self.link_free.1[relay] = free + spent;
                     self.schedule(free + spent, Event::Sent(relay, begin, job, is_sent));
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -7,8 +7,8 @@
     cell::{Entry, Order, Poll, Reason, Report, Run, Start},
     job::{Address, Id, spec::Size},
     magpie_node::{
-        message::{Command, Offer},
-        outside::Unheard,
+        external::PollError,
+        message::{Command, RelayRequest},
         relays::{Need, Relays},
         report_delta::ReportDelta,
     },
@@ -17,9 +17,9 @@
 
 const FENCE: u64 = 9;
 /// A link of 200 Mbit/s, in bytes per millisecond.
-const FAST: u64 = 25_000;
+const WIDE_LINK: u64 = 25_000;
 /// A link of 2 Mbit/s, in bytes per millisecond.
-const SLOW: u64 = 250;
+const NARROW_LINK: u64 = 250;
 
 fn entry(id: &str) -> Entry {
     Entry {
@@ -37,12 +37,12 @@
     }
 }
 
-fn offer(name: &str, share: u32) -> Offer {
-    Offer {
+fn offer(name: &str, share: u32) -> RelayRequest {
+    RelayRequest {
         name: name.into(),
         hall: "h1".into(),
         share,
-        link: FAST,
+        link: WIDE_LINK,
         session: 0,
         batch: 0,
         ack: 0,
@@ -51,11 +51,11 @@
 }
 
 /// A registry with one strong relay, and the next offer of that relay.
-fn joined() -> (Relays, Offer) {
+fn joined() -> (Relays, RelayRequest) {
     let mut relays = Relays::default();
     let mut offer = offer("b1", 500);
     assert!(relays.join(&offer, Need::Large, 1).unwrap().is_empty());
-    offer.session = relays.duty("b1", FENCE, FAST, 1).session;
+    offer.session = relays.duty("b1", FENCE, WIDE_LINK, 1).session;
     offer.batch = 1;
     (relays, offer)
 }
@@ -102,16 +102,16 @@
 fn duty_repeated_until_acknowledged() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let first = relays.duty("b1", FENCE, FAST, 1);
+    let first = relays.duty("b1", FENCE, WIDE_LINK, 1);
     assert_eq!((first.fence, first.commands.len()), (FENCE, 1));
     relays.order("b1", &"w1".into(), 1, stop());
     assert!(relays.accept_offer(&offer, 2));
-    let again = relays.duty("b1", FENCE, FAST, 1);
+    let again = relays.duty("b1", FENCE, WIDE_LINK, 1);
     assert_eq!((again.batch, again.commands.len()), (first.batch, 1));
     offer.ack = first.batch;
     offer.batch = 2;
     assert!(relays.accept_offer(&offer, 3));
-    let second = relays.duty("b1", FENCE, FAST, 1);
+    let second = relays.duty("b1", FENCE, WIDE_LINK, 1);
     assert_eq!(second.batch, first.batch + 1);
     assert!(matches!(second.commands[..], [Command::Order(..)]));
 }
@@ -149,7 +149,7 @@
         assert!(relays.expire_silent(now).is_empty());
     }
     assert_eq!(relays.expire_silent(1_301), ["w1".into()]);
-    assert_eq!(relays.duty("b1", FENCE, FAST, 1).session, 0);
+    assert_eq!(relays.duty("b1", FENCE, WIDE_LINK, 1).session, 0);
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     relays.order("b1", &"w1".into(), 1, stop());
-    let duty = relays.duty("b1", FENCE, FAST, 1);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 1);
     let Command::Order(_, number, _, _) = duty.commands[1] else {
         panic!("{:?}", duty.commands);
     };
@@ -187,7 +187,7 @@
         wait: 0,
     };
     relays.poll("b1", &"w1".into(), 77, poll);
-    let duty = relays.duty("b1", FENCE, FAST, 1);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 1);
     assert!(
         matches!(&duty.commands[1], Command::Poll(id, 77, own) if &**id == "w1" && *own == poll)
     );
@@ -250,11 +250,11 @@
 fn order_sends_text_once() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.refill_text_budget(FAST, false, 5);
+    relays.refill_text_budget(WIDE_LINK, false, 5);
     for place in 0..3 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, "text"));
     }
-    let duty = relays.duty("b1", FENCE, FAST, 5);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
     let [
         Command::Tend(_),
         Command::Text(job, text),
@@ -271,7 +271,7 @@
     offer.ack = duty.batch;
     assert!(relays.accept_offer(&offer, 6));
     relays.order("b1", &"w1".into(), 7, start(JOB, 3, "text"));
-    let duty = relays.duty("b1", FENCE, FAST, 7);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 7);
     assert!(matches!(&duty.commands[..], [Command::Starts(_, 7, begins)] if begins.len() == 1));
 }
 
@@ -281,7 +281,7 @@
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     relays.order("b1", &"w1".into(), 5, start(JOB, 2, "text"));
-    let duty = relays.duty("b1", FENCE, FAST, 5);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
     let Some(Command::Starts(job, _, begins)) = duty.commands.last().cloned() else {
         panic!("{:?}", duty.commands);
     };
@@ -298,7 +298,7 @@
     relays.order("b1", &"w1".into(), 5, stop());
     relays.order("b1", &"w1".into(), 5, start(JOB, 1, "text"));
     relays.order("b1", &"w1".into(), 5, start(OTHER, 0, "other"));
-    let duty = relays.duty("b1", FENCE, FAST, 5);
+    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
     assert!(matches!(
         &duty.commands[1..],
         [
@@ -332,9 +332,9 @@
 #[test]
 fn assign_limited_by_link() {
     let mut relays = Relays::default();
-    let mut slow = offer("b1", 500);
-    slow.link = SLOW;
-    relays.join(&slow, Need::Large, 1);
+    let mut narrow = offer("b1", 500);
+    narrow.link = NARROW_LINK;
+    relays.join(&narrow, Need::Large, 1);
     let assigned =
         (0..90).filter(|number| relays.assign(entry(&format!("w{number}")), 1).is_some());
     assert_eq!(assigned.count(), 20);
@@ -372,8 +372,8 @@
     for number in 0..17 {
         relays.join(&offer(&format!("b{number}"), 500), Need::Large, 1);
     }
-    assert_eq!(relays.exchange_interval(FAST), 25);
-    assert_eq!(relays.exchange_interval(SLOW), 100);
+    assert_eq!(relays.exchange_interval(WIDE_LINK), 25);
+    assert_eq!(relays.exchange_interval(NARROW_LINK), 100);
     assert_eq!(relays.exchange_interval(2_500), 25);
 }
 
@@ -382,20 +382,20 @@
 fn start_budget_by_unacknowledged_commands() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.start_budget(SLOW);
+    let before = relays.start_budget(NARROW_LINK);
     assert!((100..300).contains(&before), "{before}");
     let text = "t".repeat(4_000);
-    relays.refill_text_budget(SLOW, true, 5);
+    relays.refill_text_budget(NARROW_LINK, true, 5);
     for number in 0..20 {
         let job = format!("{number:016x}");
         relays.order("b1", &"w1".into(), 5, start(&job, 0, &text));
     }
-    assert_eq!(relays.start_budget(SLOW), 0);
-    assert!(relays.start_budget(FAST) > 4_000);
-    let duty = relays.duty("b1", FENCE, SLOW, 5);
+    assert_eq!(relays.start_budget(NARROW_LINK), 0);
+    assert!(relays.start_budget(WIDE_LINK) > 4_000);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 5);
     offer.ack = duty.batch;
     relays.accept_offer(&offer, 6);
-    assert_eq!(relays.start_budget(SLOW), before);
+    assert_eq!(relays.start_budget(NARROW_LINK), before);
 }
 
 /// The links of the relays limit the starts, however fast the link of the owner is.
@@ -403,26 +403,26 @@
 fn start_budget_by_links_of_relays() {
     let mut relays = Relays::default();
     for name in ["b1", "b2"] {
-        let mut slow = offer(name, 500);
-        slow.link = SLOW;
-        relays.join(&slow, Need::Large, 1);
+        let mut narrow = offer(name, 500);
+        narrow.link = NARROW_LINK;
+        relays.join(&narrow, Need::Large, 1);
     }
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.start_budget(FAST);
+    let before = relays.start_budget(WIDE_LINK);
     assert!((60..100).contains(&before), "{before}");
     for place in 0..10 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, &"t".repeat(1_200)));
     }
-    assert_eq!(relays.start_budget(FAST), before - 10);
+    assert_eq!(relays.start_budget(WIDE_LINK), before - 10);
 }
 
 /// A relay whose link is saturated with starts gets no more until workers have answered.
 #[test]
 fn busy_workers_until_answered() {
     let mut relays = Relays::default();
-    let mut slow = offer("b1", 500);
-    slow.link = SLOW;
-    relays.join(&slow, Need::Large, 1);
+    let mut narrow = offer("b1", 500);
+    narrow.link = NARROW_LINK;
+    relays.join(&narrow, Need::Large, 1);
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_200);
     for place in 0..50 {
@@ -475,7 +475,7 @@
     relays.reset_baseline("b1", &id);
     let delta = ReportDelta::diff(first.clone(), &mut Vec::new());
     assert_eq!(relays.decode_report("b1", &id, Ok(delta)).unwrap(), first);
-    let refused = Err(Unheard::Refused(Reason::Fence));
+    let refused = Err(PollError::Refused(Reason::Fence));
     assert!(relays.decode_report("b1", &id, refused).is_err());
 }
 
@@ -484,11 +484,11 @@
 /// short checks were seconds late.
 #[test_case(false, 15; "the store answers")]
 #[test_case(true, 50; "the store fails")]
-fn texts_limited_by_budget(is_failing: bool, sent: usize) {
+fn texts_limited_by_budget(is_store_failing: bool, sent: usize) {
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_000);
-    relays.refill_text_budget(SLOW, is_failing, 1_000);
+    relays.refill_text_budget(NARROW_LINK, is_store_failing, 1_000);
     for number in 0..50 {
         relays.order(
             "b1",
@@ -497,7 +497,7 @@
             start(&format!("{number:016x}"), 0, &text),
         );
     }
-    let duty = relays.duty("b1", FENCE, SLOW, 1_000);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 1_000);
     let texts = duty
         .commands
         .iter()
@@ -514,11 +514,11 @@
 #[test]
 fn join_with_unbounded_link() {
     let mut relays = Relays::default();
-    let offer = Offer {
+    let offer = RelayRequest {
         link: u64::MAX,
         ..offer("b1", 500)
     };
     assert!(relays.join(&offer, Need::Large, 1).is_some());
     relays.assign(entry("w1"), 1).unwrap();
-    assert!(relays.start_budget(FAST) > 0);
+    assert!(relays.start_budget(WIDE_LINK) > 0);
 }
