--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -53,7 +53,7 @@
     peer::forward(node, &PeerRequest::Submit(Box::new(submission)), reply)
 }
 
-/// Submits a job through this box. A box that is cut off from the store refuses at once, so that
+/// Submits a job through this box. A box that cannot reach the store refuses at once, so that
 /// callers do not wait for an unreachable store.
 fn submit_locally(node: &Node, submission: &Submission) -> Reply {
     if node.shared.is_store_unreachable() || node.shared.is_probe_slow() {
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -59,8 +59,8 @@
 
 impl Follower<'_> {
     /// How long to wait if a valid heartbeat of the owner states that the known value is the
-    /// newest. The store is probed periodically, so that the box notices when it is cut off from
-    /// the store.
+    /// newest. The store is probed periodically, so that the box notices when it cannot reach the
+    /// store.
     fn idle_time(&mut self, now: u64) -> Option<Duration> {
         let shared = &self.node.shared;
         if shared.is_owner() || shared.is_config_unverified() {
@@ -140,8 +140,8 @@
 ///
 /// # Errors
 ///
-/// The configuration could not be read, or the box is cut off from the store and the read was not
-/// attempted.
+/// The configuration could not be read, or the store has been unreachable for so long that the
+/// read was not attempted.
 pub fn revalidate(node: &Node) -> Result<(), Failure> {
     if !node.shared.is_config_unverified() {
         return Ok(());
--- a/components/node/src/owner_watch.rs
+++ b/components/node/src/owner_watch.rs
@@ -127,7 +127,7 @@
     owner.is_ok_and(|owner| owner.name == node.settings.name)
 }
 
-/// Has the owner's key written again by the tenure with this fence.
+/// Has the owner's key written again by the ownership with this fence.
 fn announce(node: &Node, fence: u64) {
     log::info!(target: "owner", fence; "The owner's key is missing or invalid and will be written again.");
     node.remote.tell(move |core, cx| {
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -98,7 +98,7 @@
         if self
             .ownership
             .as_mut()
-            .is_some_and(|ownership| ownership.relays.accept_offer(&offer, now))
+            .is_some_and(|ownership| ownership.relays.accept_request(&offer, now))
         {
             for heard in offer.heard {
                 self.hear(cx, fence, &offer.name, heard);
@@ -108,7 +108,9 @@
         self.ownership
             .as_mut()
             .map_or(RelayResponse::default(), |ownership| {
-                ownership.relays.duty(&offer.name, fence, link, time::now())
+                ownership
+                    .relays
+                    .respond(&offer.name, fence, link, time::now())
             })
     }
 
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -45,10 +45,10 @@
 struct Session {
     number: u64,
     fence: u64,
-    /// The number of the last duty that was carried out.
-    last_duty: u64,
-    /// The number of the last offer that was made.
-    last_offer: u64,
+    /// The number of the last response whose commands were executed.
+    last_response: u64,
+    /// The number of the last request.
+    last_request: u64,
     /// The time between two exchanges.
     pause: Duration,
     workers: HashMap<Arc<str>, WorkerQueues>,
@@ -57,7 +57,7 @@
     results: Arc<Mutex<Results>>,
 }
 
-/// Results from workers for the next offer.
+/// Results from workers for the next request.
 #[derive(Default)]
 struct Results {
     queue: Vec<WorkerEvent>,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Makes offers to the owner and carries out its duties until the box stops.
+/// Sends requests to the owner and executes the commands in its responses until the box stops.
 pub fn run(node: &Node) {
     let mut session: Option<Session> = None;
     let mut unanswered: Option<RelayRequest> = None;
@@ -98,17 +98,17 @@
             thread::sleep(IDLE_MIN_INTERVAL);
             continue;
         };
-        let offer = unanswered
+        let request = unanswered
             .take()
-            .unwrap_or_else(|| offer(node, session.as_mut()));
+            .unwrap_or_else(|| next_request(node, session.as_mut()));
         let asked = time::now();
-        let duty = match exchange(node, &owner, &offer) {
-            Ok(duty) => duty,
+        let response = match exchange(node, &owner, &request) {
+            Ok(response) => response,
             Err(failure) => {
                 log::debug!(target: "relay", owner = &*owner.name, error:% = failure; "An exchange with the owner failed.");
                 node.shared.monitor.clear();
-                unanswered = Some(offer);
-                refresh.request(node, session.is_some());
+                unanswered = Some(request);
+                refresh.try_refresh(node, session.is_some());
                 thread::sleep(if session.is_some() {
                     RELAY_MIN_INTERVAL
                 } else {
@@ -117,14 +117,14 @@
                 continue;
             }
         };
-        let idle_pause = Duration::from_millis(duty.pause).max(IDLE_MIN_INTERVAL);
+        let idle_pause = Duration::from_millis(response.pause).max(IDLE_MIN_INTERVAL);
         node.shared
             .monitor
-            .record(duty.heartbeat, asked, idle_pause);
+            .record(response.heartbeat, asked, idle_pause);
         let had_session = session.is_some();
-        session = accept_duty(node, &owner, session, duty, asked);
+        session = apply_response(node, &owner, session, response, asked);
         if had_session && session.is_none() {
-            refresh.request(node, true);
+            refresh.try_refresh(node, true);
         }
         thread::sleep(session.as_ref().map_or(idle_pause, |own| own.pause));
     }
@@ -141,7 +141,7 @@
     /// Reads the owner's key, unless the last read was a short time ago. All boxes of a fleet
     /// notice the loss of an owner at once. If each of them read the key at every attempt, the load
     /// on the store would delay the box that claims the cell. The time between reads is randomised.
-    fn request(&mut self, node: &Node, is_relay: bool) {
+    fn try_refresh(&mut self, node: &Node, is_relay: bool) {
         let now = time::now();
         if now < self.not_before {
             return;
@@ -156,40 +156,40 @@
     }
 }
 
-/// Sends an offer to the owner and returns the duty that it answers with.
-fn exchange(node: &Node, owner: &Owner, offer: &RelayRequest) -> Result<RelayResponse, Failure> {
+/// Sends a request to the owner and returns the response.
+fn exchange(node: &Node, owner: &Owner, request: &RelayRequest) -> Result<RelayResponse, Failure> {
     let url = format!("http://{}{PATH}", owner.address);
-    let mut body = wire::encode_compact(offer)?;
+    let mut body = wire::encode_compact(request)?;
     if node.settings.has_narrow_link() {
         body = wire::pack(body);
     }
     node.client.post_encoded(&url, &body, RELAY_TIMEOUT)
 }
 
-/// Carries out a duty, in a new session if the owner has started one. Returns the session; `None`
+/// Handles a response, in a new session if the owner has started one. Returns the session; `None`
 /// if the owner does not need this box.
-fn accept_duty(
+fn apply_response(
     node: &Node,
     owner: &Owner,
     session: Option<Session>,
-    duty: RelayResponse,
+    response: RelayResponse,
     asked: u64,
 ) -> Option<Session> {
-    if duty.session == 0 {
+    if response.session == 0 {
         return None;
     }
-    let known = session.filter(|own| own.number == duty.session);
+    let known = session.filter(|own| own.number == response.session);
     let mut session = known.unwrap_or_else(|| {
-        log::info!(target: "relay", owner = &*owner.name, session = duty.session, fence = duty.fence; "This box is a relay of the owner.");
-        Session::new(&duty)
+        log::info!(target: "relay", owner = &*owner.name, session = response.session, fence = response.fence; "This box is a relay of the owner.");
+        Session::new(&response)
     });
-    session.carry_out(node, duty, asked);
+    session.execute(node, response, asked);
     Some(session)
 }
 
-/// The next offer, with the queued results if there is a session.
-fn offer(node: &Node, session: Option<&mut Session>) -> RelayRequest {
-    let mut offer = RelayRequest {
+/// The next request, with the queued results if there is a session.
+fn next_request(node: &Node, session: Option<&mut Session>) -> RelayRequest {
+    let mut request = RelayRequest {
         name: node.settings.name.clone(),
         hall: node.settings.hall.clone(),
         share: node.settings.share,
@@ -200,22 +200,22 @@
         heard: Vec::new(),
     };
     if let Some(session) = session {
-        session.last_offer += 1;
-        offer.session = session.number;
-        offer.batch = session.last_offer;
-        offer.ack = session.last_duty;
-        offer.heard = std::mem::take(&mut lock(&session.results).queue);
+        session.last_request += 1;
+        request.session = session.number;
+        request.batch = session.last_request;
+        request.ack = session.last_response;
+        request.heard = std::mem::take(&mut lock(&session.results).queue);
     }
-    offer
+    request
 }
 
 impl Session {
-    fn new(duty: &RelayResponse) -> Self {
+    fn new(response: &RelayResponse) -> Self {
         Session {
-            number: duty.session,
-            fence: duty.fence,
-            last_duty: 0,
-            last_offer: 0,
+            number: response.session,
+            fence: response.fence,
+            last_response: 0,
+            last_request: 0,
             pause: RELAY_MIN_INTERVAL,
             workers: HashMap::new(),
             texts: JobCache::default(),
@@ -223,18 +223,18 @@
         }
     }
 
-    /// Carries out the commands of a duty, unless it is a repetition. The exchange with the owner
+    /// Executes the commands of a response, unless it is a repetition. The exchange with the owner
     /// began at `asked`.
-    fn carry_out(&mut self, node: &Node, duty: RelayResponse, asked: u64) {
-        self.pause = Duration::from_millis(duty.pause);
-        if duty.batch <= self.last_duty {
+    fn execute(&mut self, node: &Node, response: RelayResponse, asked: u64) {
+        self.pause = Duration::from_millis(response.pause);
+        if response.batch <= self.last_response {
             return;
         }
-        self.last_duty = duty.batch;
+        self.last_response = response.batch;
         let transit = time::now().saturating_sub(asked);
-        let age = |at: u64| duty.now.saturating_sub(at) + transit;
-        self.revoke_starts(&duty.commands);
-        for command in duty.commands {
+        let age = |at: u64| response.now.saturating_sub(at) + transit;
+        self.revoke_starts(&response.commands);
+        for command in response.commands {
             match command {
                 Command::Tend(member) => self.assign(node, member.into()),
                 Command::Leave(id) => {
@@ -251,7 +251,7 @@
                 Command::Order(id, number, at, order) => {
                     self.order(&id, number, order, age(at));
                 }
-                Command::Starts(job, at, begins) => self.start(&job, begins, age(at)),
+                Command::Starts(job, at, starts) => self.start(&job, starts, age(at)),
             }
         }
     }
@@ -288,15 +288,15 @@
     }
 
     /// Queues starts of a job to the tasks of their workers.
-    fn start(&self, job: &Id, begins: Vec<CompactStart>, age: u64) {
+    fn start(&self, job: &Id, starts: Vec<CompactStart>, age: u64) {
         let Some(text) = self.texts.get(job) else {
             log::error!(target: "relay", job = job.as_str(); "Starts arrived without the specification of their job.");
-            self.refuse(begins.iter().map(|begin| begin.number));
+            self.refuse(starts.iter().map(|start| start.number));
             return;
         };
-        for begin in begins {
-            let (id, number) = (begin.worker.clone(), begin.number);
-            let order = Order::Start(begin.start(job.clone(), text.clone()));
+        for start in starts {
+            let (id, number) = (start.worker.clone(), start.number);
+            let order = Order::Start(start.start(job.clone(), text.clone()));
             self.order(&id, number, order, age);
         }
     }
--- a/components/node/src/relays/idle_offers.rs
+++ b/components/node/src/relays/idle_requests.rs
@@ -1,4 +1,4 @@
-//! Limits the rate of offers from boxes that are not needed as relays.
+//! Limits the rate of requests from boxes that are not needed as relays.
 
 use {
     crate::settings::{IDLE_MAX_INTERVAL_MS, IDLE_MIN_INTERVAL, IDLE_REQUEST_RATE},
@@ -8,19 +8,19 @@
 /// The time over which boxes are counted, in milliseconds.
 const COUNT_WINDOW: u64 = 2 * IDLE_MAX_INTERVAL_MS;
 
-/// Counts the idle boxes that make offers.
+/// Counts the idle boxes that send requests.
 #[derive(Default)]
-pub struct IdleOffers {
-    /// Boxes that made an offer since `since`.
+pub struct IdleRequests {
+    /// Boxes that made a request since `since`.
     names: HashSet<Arc<str>>,
     since: u64,
     /// The number of boxes in the last full window.
     counted: usize,
 }
 
-impl IdleOffers {
-    /// The time until the next offer of a box, in milliseconds. It grows with the number of boxes,
-    /// so that offers take a bounded share of the owner's processor time. It is the shortest
+impl IdleRequests {
+    /// The time until the next request of a box, in milliseconds. It grows with the number of boxes,
+    /// so that requests take a bounded share of the owner's processor time. It is the shortest
     /// allowed unless `all_assigned`, that is while workers wait for a relay.
     pub fn pause(&mut self, name: &str, all_assigned: bool, now: u64) -> u64 {
         if now >= self.since + COUNT_WINDOW {
@@ -44,13 +44,13 @@
 mod tests {
     use {super::*, test_case::test_case};
 
-    /// The rate of offers is bounded: without a limit, 1,174 boxes made 2,935 offers per second.
+    /// The rate of requests is bounded: without a limit, 1,174 boxes made 2,935 requests per second.
     #[test_case(6, 15; "few")]
     #[test_case(587, 1_468; "hundreds")]
     #[test_case(1_174, 1_500; "twice as many")]
     #[test_case(2_348, 1_500; "four times as many")]
-    fn pause_bounds_offer_rate(boxes: u64, offers: u64) {
-        let mut idle = IdleOffers::default();
+    fn pause_bounds_request_rate(boxes: u64, requests: u64) {
+        let mut idle = IdleRequests::default();
         let mut made = 0;
         let mut due: Vec<u64> = (0..boxes).collect();
         for now in 0..20_000 {
@@ -61,12 +61,12 @@
                 }
             }
         }
-        assert!(made <= offers * 10 + boxes, "{made}");
+        assert!(made <= requests * 10 + boxes, "{made}");
     }
 
     #[test]
     fn pause_shortest_while_workers_wait() {
-        let mut idle = IdleOffers::default();
+        let mut idle = IdleRequests::default();
         for number in 0..587 {
             idle.pause(&format!("b{number}"), true, 0);
         }
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -1,13 +1,13 @@
 //! The owner's registry of relays: which box talks to which worker, and the commands and orders in
 //! flight.
 
-mod idle_offers;
+mod idle_requests;
 mod relay;
 mod text_budget;
 
 use {
     self::{
-        idle_offers::IdleOffers,
+        idle_requests::IdleRequests,
         relay::{Relay, START_BYTES, TEXT_BYTES, command_bytes, request_bytes},
         text_budget::TextBudget,
     },
@@ -27,17 +27,17 @@
 
 /// A box with at least this share of a core, in thousandths, is preferred as a relay.
 const STRONG_SHARE: u32 = 300;
-/// A relay without an offer for this long, in milliseconds, is removed. Exchanges are 25 ms apart,
+/// A relay without a request for this long, in milliseconds, is removed. Exchanges are 25 ms apart,
 /// and leases of workers of 4.5 s leave enough time for another relay to take over.
 const SILENCE_TIMEOUT: u64 = 1_200;
 /// Checks for expired relays are 100 ms apart. After a gap longer than this, in milliseconds, the
 /// owner itself was delayed.
 const MAX_CHECK_GAP: u64 = 400;
 /// After this time, in milliseconds, a worker may be assigned to a weak box of another hall: boxes
-/// of its own hall make offers every 0.4 s.
+/// of its own hall send requests every 0.4 s.
 const REMOTE_HALL_DELAY: u64 = 900;
 /// After this time, in milliseconds, the owner itself talks to a worker that no relay has capacity
-/// for: boxes make offers every 0.4 s.
+/// for: boxes send requests every 0.4 s.
 const UNASSIGNED_TIMEOUT: u64 = 1_500;
 
 /// Overhead of an exchange on the owner's link, in bytes each way: headers of HTTP and of the
@@ -74,12 +74,12 @@
     unassigned: Vec<(Entry, u64)>,
     /// Limits the specification texts that are sent.
     text_budget: TextBudget,
-    /// Limits the offers of boxes that are not needed.
-    idle_offers: IdleOffers,
+    /// Limits the requests of boxes that are not needed.
+    idle_requests: IdleRequests,
 }
 
-/// The highest link capacity that is accepted from an offer, in bytes per millisecond: 100 Gbit/s.
-/// It keeps calculations with invalid offers from overflowing.
+/// The highest link capacity that is accepted from a request, in bytes per millisecond: 100 Gbit/s.
+/// It keeps calculations with invalid requests from overflowing.
 const MAX_LINK: u64 = 12_500_000;
 
 impl Relays {
@@ -227,22 +227,22 @@
         self.orders.retain(|_, (worker, _)| worker != id);
     }
 
-    /// Records the offer of a relay. True if it belongs to the current session and was not
+    /// Records the request of a relay. True if it belongs to the current session and was not
     /// processed before.
-    pub fn accept_offer(&mut self, offer: &RelayRequest, now: u64) -> bool {
-        let Some(relay) = self.by_name.get_mut(&offer.name) else {
+    pub fn accept_request(&mut self, request: &RelayRequest, now: u64) -> bool {
+        let Some(relay) = self.by_name.get_mut(&request.name) else {
             return false;
         };
-        if relay.session != offer.session {
+        if relay.session != request.session {
             return false;
         }
         relay.last_seen = now;
-        if offer.ack == relay.batch && !relay.sent.is_empty() {
+        if request.ack == relay.batch && !relay.sent.is_empty() {
             relay.sent.clear();
             relay.unacked_bytes = relay.next.iter().map(command_bytes).sum();
         }
-        let is_new = offer.batch > relay.last_offer;
-        relay.last_offer = relay.last_offer.max(offer.batch);
+        let is_new = request.batch > relay.last_request;
+        relay.last_request = relay.last_request.max(request.batch);
         is_new
     }
 
@@ -250,49 +250,49 @@
     /// while a worker of its hall has no relay, or a worker of any hall has had none for long, or
     /// the owner talks to some itself. Returns the workers of its former session, which have to be
     /// assigned again; `None` if nothing has changed.
-    pub fn join(&mut self, offer: &RelayRequest, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
-        let former = match self.by_name.get(&offer.name) {
-            Some(relay) if relay.session == offer.session => return None,
-            Some(_) => self.remove(&offer.name),
+    pub fn join(&mut self, request: &RelayRequest, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
+        let former = match self.by_name.get(&request.name) {
+            Some(relay) if relay.session == request.session => return None,
+            Some(_) => self.remove(&request.name),
             None => Vec::new(),
         };
-        if !self.is_needed(offer, need, now) {
+        if !self.is_needed(request, need, now) {
             return (!former.is_empty()).then_some(former);
         }
         self.sessions += 1;
         let relay = Relay {
             // The clock makes the number unique among the ownerships of this box.
             session: now * 1_000 + self.sessions,
-            hall: offer.hall.clone(),
-            share: offer.share,
-            link: offer.link.min(MAX_LINK),
+            hall: request.hall.clone(),
+            share: request.share,
+            link: request.link.min(MAX_LINK),
             texts: JobCache::default(),
             unacked_bytes: 0,
             starting_bytes: 0,
             baselines: HashMap::new(),
             last_seen: now,
-            last_offer: 0,
+            last_request: 0,
             batch: 0,
             sent: Vec::new(),
             next: Vec::new(),
             workers: HashSet::new(),
         };
-        log::info!(target: "relay", relay = &*offer.name, share = offer.share; "A relay has joined.");
-        self.by_name.insert(offer.name.clone(), relay);
+        log::info!(target: "relay", relay = &*request.name, share = request.share; "A relay has joined.");
+        self.by_name.insert(request.name.clone(), relay);
         Some(former)
     }
 
     /// True if the box is needed as a relay.
-    fn is_needed(&self, offer: &RelayRequest, need: Need, now: u64) -> bool {
+    fn is_needed(&self, request: &RelayRequest, need: Need, now: u64) -> bool {
         if need == Need::None {
             return false;
         }
         let is_short = need == Need::Short && !self.has_capacity();
-        if offer.share >= STRONG_SHARE || is_short {
+        if request.share >= STRONG_SHARE || is_short {
             return true;
         }
         let mut waiting = self.unassigned.iter();
-        waiting.any(|(entry, since)| entry.hall == offer.hall || now >= since + REMOTE_HALL_DELAY)
+        waiting.any(|(entry, since)| entry.hall == request.hall || now >= since + REMOTE_HALL_DELAY)
     }
 
     /// The time that relays wait between two exchanges with an owner of this link, in milliseconds.
@@ -306,12 +306,12 @@
 
     /// The next message to a box, from an owner with this link. A relay receives unacknowledged
     /// commands again.
-    pub fn duty(&mut self, name: &str, fence: u64, link: u64, now: u64) -> RelayResponse {
+    pub fn respond(&mut self, name: &str, fence: u64, link: u64, now: u64) -> RelayResponse {
         let interval = self.exchange_interval(link);
         let Some(relay) = self.by_name.get_mut(name) else {
             return RelayResponse {
                 pause: self
-                    .idle_offers
+                    .idle_requests
                     .pause(name, self.unassigned.is_empty(), now),
                 ..RelayResponse::default()
             };
@@ -334,7 +334,7 @@
     /// Removes the relays that have been unreachable for too long, and returns their workers.
     ///
     /// After a delay of the owner itself no relay is removed, since the owner has not yet read the
-    /// offers that arrived in the meantime.
+    /// requests that arrived in the meantime.
     pub fn expire_silent(&mut self, now: u64) -> Vec<Arc<str>> {
         let is_late = now > self.last_check + MAX_CHECK_GAP;
         self.last_check = now;
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -42,15 +42,15 @@
     pub session: u64,
     /// The share of a core that it has, in thousandths.
     pub share: u32,
-    /// The time of its last offer, in milliseconds.
+    /// The time of its last request, in milliseconds.
     pub last_seen: u64,
-    /// The number of the last offer that was processed.
-    pub last_offer: u64,
-    /// The number of the last duty.
+    /// The number of the last request that was processed.
+    pub last_request: u64,
+    /// The number of the last response.
     pub batch: u64,
-    /// Commands of the last duty, until they are acknowledged.
+    /// Commands of the last response, until they are acknowledged.
     pub sent: Vec<Command>,
-    /// Commands of the next duty.
+    /// Commands of the next response.
     pub next: Vec<Command>,
     pub workers: HashSet<Arc<str>>,
 }
@@ -77,7 +77,7 @@
         room.div_ceil(TEXT_BYTES + REQUEST_BYTES)
     }
 
-    /// Queues a command for the next duty.
+    /// Queues a command for the next response.
     pub fn push(&mut self, command: Command) {
         self.unacked_bytes += command_bytes(&command);
         self.next.push(command);
@@ -86,17 +86,17 @@
     /// Queues a start. Consecutive starts of one job that were decided at the same time share one
     /// command.
     pub fn start(&mut self, worker: &Arc<str>, number: u64, now: u64, start: &Start) {
-        let begin = CompactStart::new(worker.clone(), number, start);
+        let compact = CompactStart::new(worker.clone(), number, start);
         let job = &start.key.job;
-        if let Some(Command::Starts(last, at, begins)) = self.next.last_mut()
+        if let Some(Command::Starts(last, at, starts)) = self.next.last_mut()
             && last == job
             && *at == now
         {
-            begins.push(begin);
+            starts.push(compact);
             self.unacked_bytes += START_BYTES;
             return;
         }
-        self.push(Command::Starts(job.clone(), now, vec![begin]));
+        self.push(Command::Starts(job.clone(), now, vec![compact]));
     }
 
     /// Queues the specification text for a start, unless it was sent before. Beyond the budget the
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -36,10 +36,10 @@
 
 /// A simulated event.
 enum Event {
-    /// An offer of a relay reaches the owner, with answers to orders.
-    Offer(usize, Vec<(u64, Outcome)>),
-    /// A duty reaches a relay.
-    Duty(usize, Vec<(u64, CompactStart, Id)>, u64),
+    /// A request of a relay reaches the owner, with answers to orders.
+    Request(usize, Vec<(u64, Outcome)>),
+    /// A response reaches a relay.
+    Response(usize, Vec<(u64, CompactStart, Id)>, u64),
     /// A start has been sent by the relay, or refused as too late.
     Sent(usize, CompactStart, Id, bool),
     /// A run has completed.
@@ -50,11 +50,11 @@
 #[derive(Default)]
 struct Session {
     number: u64,
-    /// The last duty that it carried out.
-    last_duty: u64,
-    /// The last offer that it made.
-    last_offer: u64,
-    /// Answers for the next offer.
+    /// The number of the last response that it received.
+    last_response: u64,
+    /// The number of the last request that it sent.
+    last_request: u64,
+    /// Answers for the next request.
     answers: Vec<(u64, Outcome)>,
 }
 
@@ -153,11 +153,16 @@
             refused: 0,
         };
         for relay in 0..RELAYS {
-            let offer = simulation.offer(relay);
-            simulation.relays.join(&offer, Need::Large, 1_000).unwrap();
-            simulation.sessions[relay].number =
-                simulation.relays.duty(&name(relay), 9, LINK, 1_000).session;
-            simulation.schedule(simulation.now, Event::Offer(relay, Vec::new()));
+            let request = simulation.request(relay);
+            simulation
+                .relays
+                .join(&request, Need::Large, 1_000)
+                .unwrap();
+            simulation.sessions[relay].number = simulation
+                .relays
+                .respond(&name(relay), 9, LINK, 1_000)
+                .session;
+            simulation.schedule(simulation.now, Event::Request(relay, Vec::new()));
         }
         let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
         for entry in simulation.cell.list(entries, 1_000) {
@@ -176,17 +181,17 @@
         self.events.insert((time, self.numbers), event);
     }
 
-    fn offer(&mut self, relay: usize) -> RelayRequest {
+    fn request(&mut self, relay: usize) -> RelayRequest {
         let session = &mut self.sessions[relay];
-        session.last_offer += 1;
+        session.last_request += 1;
         RelayRequest {
             name: name(relay).into(),
             hall: "h1".into(),
             share: 500,
             link: LINK,
             session: session.number,
-            batch: session.last_offer,
-            ack: session.last_duty,
+            batch: session.last_request,
+            ack: session.last_response,
             heard: Vec::new(),
         }
     }
@@ -194,13 +199,13 @@
     /// A report of a worker, with a completed run if there is one.
     fn report(&mut self, id: &Arc<str>, done: Option<(Id, CompactStart)>) {
         let number = self.ended.entry(id.clone()).or_default();
-        let ended = done.map(|(job, begin)| {
+        let ended = done.map(|(job, start)| {
             *number += 1;
             End {
                 number: *number,
                 job,
-                address: begin.address,
-                run: begin.run,
+                address: start.address,
+                run: start.run,
                 how: How::Done,
                 saved: None,
             }
@@ -228,10 +233,10 @@
         }
     }
 
-    /// An exchange: processes the offer of a relay and sends its duty.
+    /// An exchange: processes the request of a relay and sends the response.
     fn exchange(&mut self, relay: usize, answers: Vec<(u64, Outcome)>) {
-        let offer = self.offer(relay);
-        self.relays.accept_offer(&offer, self.now);
+        let request = self.request(relay);
+        self.relays.accept_request(&request, self.now);
         for (number, outcome) in answers {
             let Some((id, order)) = self.relays.complete_order(&name(relay), number) else {
                 continue;
@@ -240,52 +245,55 @@
             self.cell.answered(&id, &order, outcome, self.now);
         }
         self.pass();
-        let duty = self.relays.duty(&name(relay), 9, LINK, self.now);
-        let bytes = wire::encode_compact(&duty).unwrap().len() as u64 + HEADERS;
+        let response = self.relays.respond(&name(relay), 9, LINK, self.now);
+        let bytes = wire::encode_compact(&response).unwrap().len() as u64 + HEADERS;
         self.link_free.0 = self.link_free.0.max(self.now) + bytes / LINK;
-        let begins = duty
+        let batches = response
             .commands
             .into_iter()
             .filter_map(|command| match command {
-                Command::Starts(job, at, begins) => Some((job, at, begins)),
+                Command::Starts(job, at, batch) => Some((job, at, batch)),
                 _ => None,
             });
         let mut starts = Vec::new();
-        for (job, at, begins) in begins {
-            starts.extend(begins.into_iter().map(|begin| (at, begin, job.clone())));
+        for (job, at, batch) in batches {
+            starts.extend(batch.into_iter().map(|start| (at, start, job.clone())));
         }
-        self.sessions[relay].last_duty = duty.batch;
-        self.schedule(self.link_free.0, Event::Duty(relay, starts, duty.pause));
+        self.sessions[relay].last_response = response.batch;
+        self.schedule(
+            self.link_free.0,
+            Event::Response(relay, starts, response.pause),
+        );
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Offer(relay, answers) => self.exchange(relay, answers),
-            Event::Duty(relay, starts, pause) => {
-                for (at, begin, job) in starts {
+            Event::Request(relay, answers) => self.exchange(relay, answers),
+            Event::Response(relay, starts, pause) => {
+                for (at, start, job) in starts {
                     let free = self.link_free.1[relay].max(self.now);
                     let is_sent = free - at <= MAX_START_WAIT_MS;
                     let spent = if is_sent { (TEXT + HEADERS) / LINK } else { 0 };
                     self.link_free.1[relay] = free + spent;
-                    self.schedule(free + spent, Event::Sent(relay, begin, job, is_sent));
+                    self.schedule(free + spent, Event::Sent(relay, start, job, is_sent));
                 }
                 let answers = std::mem::take(&mut self.sessions[relay].answers);
-                self.schedule(self.now + pause, Event::Offer(relay, answers));
+                self.schedule(self.now + pause, Event::Request(relay, answers));
             }
-            Event::Sent(relay, begin, job, is_sent) => {
+            Event::Sent(relay, start, job, is_sent) => {
                 let outcome = match is_sent {
                     true => Outcome::Done,
                     false => Outcome::Refused(Reason::NotSent),
                 };
-                self.sessions[relay].answers.push((begin.number, outcome));
+                self.sessions[relay].answers.push((start.number, outcome));
                 if is_sent {
-                    let id = begin.worker.clone();
-                    self.schedule(self.now + RUN_TIME, Event::Done(id, job, begin));
+                    let id = start.worker.clone();
+                    self.schedule(self.now + RUN_TIME, Event::Done(id, job, start));
                 }
             }
-            Event::Done(id, job, begin) => {
+            Event::Done(id, job, start) => {
                 self.done += 1;
-                self.report(&id, Some((job, begin)));
+                self.report(&id, Some((job, start)));
             }
         }
     }
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -37,7 +37,7 @@
     }
 }
 
-fn offer(name: &str, share: u32) -> RelayRequest {
+fn request(name: &str, share: u32) -> RelayRequest {
     RelayRequest {
         name: name.into(),
         hall: "h1".into(),
@@ -50,14 +50,14 @@
     }
 }
 
-/// A registry with one strong relay, and the next offer of that relay.
+/// A registry with one strong relay, and the next request of that relay.
 fn joined() -> (Relays, RelayRequest) {
     let mut relays = Relays::default();
-    let mut offer = offer("b1", 500);
-    assert!(relays.join(&offer, Need::Large, 1).unwrap().is_empty());
-    offer.session = relays.duty("b1", FENCE, WIDE_LINK, 1).session;
-    offer.batch = 1;
-    (relays, offer)
+    let mut request = request("b1", 500);
+    assert!(relays.join(&request, Need::Large, 1).unwrap().is_empty());
+    request.session = relays.respond("b1", FENCE, WIDE_LINK, 1).session;
+    request.batch = 1;
+    (relays, request)
 }
 
 fn stop() -> Order {
@@ -78,10 +78,10 @@
 #[test]
 fn join_only_when_needed() {
     let mut relays = Relays::default();
-    assert!(relays.join(&offer("b1", 500), Need::None, 1).is_none());
-    assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_none());
+    assert!(relays.join(&request("b1", 500), Need::None, 1).is_none());
+    assert!(relays.join(&request("weak", 120), Need::Large, 1).is_none());
     assert!(relays.assign(entry("w1"), 1).is_none());
-    assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_some());
+    assert!(relays.join(&request("weak", 120), Need::Large, 1).is_some());
     assert_eq!(relays.take_unassigned().len(), 1);
 }
 
@@ -90,7 +90,7 @@
 fn has_capacity_until_full() {
     let mut relays = Relays::default();
     assert!(!relays.has_capacity());
-    relays.join(&offer("b1", 500), Need::Large, 1);
+    relays.join(&request("b1", 500), Need::Large, 1);
     for number in 0..90 {
         assert!(relays.has_capacity());
         relays.assign(entry(&format!("w{number}")), 1).unwrap();
@@ -99,36 +99,36 @@
 }
 
 #[test]
-fn duty_repeated_until_acknowledged() {
-    let (mut relays, mut offer) = joined();
+fn response_repeated_until_acknowledged() {
+    let (mut relays, mut request) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let first = relays.duty("b1", FENCE, WIDE_LINK, 1);
+    let first = relays.respond("b1", FENCE, WIDE_LINK, 1);
     assert_eq!((first.fence, first.commands.len()), (FENCE, 1));
     relays.order("b1", &"w1".into(), 1, stop());
-    assert!(relays.accept_offer(&offer, 2));
-    let again = relays.duty("b1", FENCE, WIDE_LINK, 1);
+    assert!(relays.accept_request(&request, 2));
+    let again = relays.respond("b1", FENCE, WIDE_LINK, 1);
     assert_eq!((again.batch, again.commands.len()), (first.batch, 1));
-    offer.ack = first.batch;
-    offer.batch = 2;
-    assert!(relays.accept_offer(&offer, 3));
-    let second = relays.duty("b1", FENCE, WIDE_LINK, 1);
+    request.ack = first.batch;
+    request.batch = 2;
+    assert!(relays.accept_request(&request, 3));
+    let second = relays.respond("b1", FENCE, WIDE_LINK, 1);
     assert_eq!(second.batch, first.batch + 1);
     assert!(matches!(second.commands[..], [Command::Order(..)]));
 }
 
 #[test]
-fn repeated_offer_is_not_new() {
-    let (mut relays, offer) = joined();
-    assert!(relays.accept_offer(&offer, 2));
-    assert!(!relays.accept_offer(&offer, 3));
+fn repeated_request_is_not_new() {
+    let (mut relays, request) = joined();
+    assert!(relays.accept_request(&request, 2));
+    assert!(!relays.accept_request(&request, 3));
 }
 
 #[test]
-fn offer_of_other_session_is_not_accepted() {
-    let (mut relays, mut offer) = joined();
-    offer.session += 1;
-    offer.batch = 7;
-    assert!(!relays.accept_offer(&offer, 2));
+fn request_of_other_session_is_not_accepted() {
+    let (mut relays, mut request) = joined();
+    request.session += 1;
+    request.batch = 7;
+    assert!(!relays.accept_request(&request, 2));
 }
 
 /// A restarted relay has lost the tasks of its workers: they have to be assigned again.
@@ -136,20 +136,20 @@
 fn join_again_returns_workers() {
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let former = relays.join(&offer("b1", 500), Need::Large, 2).unwrap();
+    let former = relays.join(&request("b1", 500), Need::Large, 2).unwrap();
     assert_eq!(former, ["w1".into()]);
 }
 
 #[test]
 fn expire_silent_returns_workers() {
-    let (mut relays, offer) = joined();
+    let (mut relays, request) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.accept_offer(&offer, 100);
+    relays.accept_request(&request, 100);
     for now in (200..=1_300).step_by(100) {
         assert!(relays.expire_silent(now).is_empty());
     }
     assert_eq!(relays.expire_silent(1_301), ["w1".into()]);
-    assert_eq!(relays.duty("b1", FENCE, WIDE_LINK, 1).session, 0);
+    assert_eq!(relays.respond("b1", FENCE, WIDE_LINK, 1).session, 0);
 }
 
 #[test]
@@ -157,9 +157,9 @@
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     relays.order("b1", &"w1".into(), 1, stop());
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 1);
-    let Command::Order(_, number, _, _) = duty.commands[1] else {
-        panic!("{:?}", duty.commands);
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 1);
+    let Command::Order(_, number, _, _) = response.commands[1] else {
+        panic!("{:?}", response.commands);
     };
     assert_eq!(relays.complete_order("b1", number).unwrap().1, stop());
     assert!(relays.complete_order("b1", number).is_none());
@@ -187,19 +187,19 @@
         wait: 0,
     };
     relays.poll("b1", &"w1".into(), 77, poll);
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 1);
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 1);
     assert!(
-        matches!(&duty.commands[1], Command::Poll(id, 77, own) if &**id == "w1" && *own == poll)
+        matches!(&response.commands[1], Command::Poll(id, 77, own) if &**id == "w1" && *own == poll)
     );
 }
 
 /// An owner that a burst of load delayed by seconds must not remove its relays: it has not read
-/// their offers yet.
+/// their requests yet.
 #[test]
 fn expire_silent_after_delay_of_owner() {
-    let (mut relays, offer) = joined();
+    let (mut relays, request) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.accept_offer(&offer, 100);
+    relays.accept_request(&request, 100);
     assert!(relays.expire_silent(200).is_empty());
     assert!(relays.expire_silent(2_500).is_empty());
     for now in (2_600..=3_700).step_by(100) {
@@ -248,44 +248,44 @@
 /// A specification text is sent to a relay once, for any number of tasks of its job.
 #[test]
 fn order_sends_text_once() {
-    let (mut relays, mut offer) = joined();
+    let (mut relays, mut request) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     relays.refill_text_budget(WIDE_LINK, false, 5);
     for place in 0..3 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, "text"));
     }
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 5);
     let [
         Command::Tend(_),
         Command::Text(job, text),
-        Command::Starts(of, 5, begins),
-    ] = &duty.commands[..]
+        Command::Starts(of, 5, starts),
+    ] = &response.commands[..]
     else {
-        panic!("{:?}", duty.commands);
+        panic!("{:?}", response.commands);
     };
     assert_eq!(
         (job.as_str(), text.as_deref(), of),
         (JOB, Some("text"), job)
     );
-    assert_eq!(begins.len(), 3);
-    offer.ack = duty.batch;
-    assert!(relays.accept_offer(&offer, 6));
+    assert_eq!(starts.len(), 3);
+    request.ack = response.batch;
+    assert!(relays.accept_request(&request, 6));
     relays.order("b1", &"w1".into(), 7, start(JOB, 3, "text"));
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 7);
-    assert!(matches!(&duty.commands[..], [Command::Starts(_, 7, begins)] if begins.len() == 1));
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 7);
+    assert!(matches!(&response.commands[..], [Command::Starts(_, 7, starts)] if starts.len() == 1));
 }
 
 /// A start that is restored from its grouped form equals the one that was ordered.
 #[test]
-fn begin_restores_start() {
+fn compact_start_restores_start() {
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     relays.order("b1", &"w1".into(), 5, start(JOB, 2, "text"));
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
-    let Some(Command::Starts(job, _, begins)) = duty.commands.last().cloned() else {
-        panic!("{:?}", duty.commands);
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 5);
+    let Some(Command::Starts(job, _, starts)) = response.commands.last().cloned() else {
+        panic!("{:?}", response.commands);
     };
-    let again = begins[0].clone().start(job, "text".into());
+    let again = starts[0].clone().start(job, "text".into());
     assert_eq!(Order::Start(again), start(JOB, 2, "text"));
 }
 
@@ -298,9 +298,9 @@
     relays.order("b1", &"w1".into(), 5, stop());
     relays.order("b1", &"w1".into(), 5, start(JOB, 1, "text"));
     relays.order("b1", &"w1".into(), 5, start(OTHER, 0, "other"));
-    let duty = relays.duty("b1", FENCE, WIDE_LINK, 5);
+    let response = relays.respond("b1", FENCE, WIDE_LINK, 5);
     assert!(matches!(
-        &duty.commands[1..],
+        &response.commands[1..],
         [
             Command::Text(..),
             Command::Starts(..),
@@ -317,10 +317,10 @@
 #[test]
 fn assign_prefers_own_hall() {
     let mut relays = Relays::default();
-    let mut remote = offer("a1", 500);
+    let mut remote = request("a1", 500);
     remote.hall = "h2".into();
     relays.join(&remote, Need::Large, 1);
-    relays.join(&offer("b1", 500), Need::Large, 1);
+    relays.join(&request("b1", 500), Need::Large, 1);
     for number in 0..90 {
         let chosen = relays.assign(entry(&format!("w{number}")), 1).unwrap();
         assert_eq!(&*chosen, "b1");
@@ -332,7 +332,7 @@
 #[test]
 fn assign_limited_by_link() {
     let mut relays = Relays::default();
-    let mut narrow = offer("b1", 500);
+    let mut narrow = request("b1", 500);
     narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     let assigned =
@@ -346,10 +346,10 @@
 fn join_of_weak_box_for_its_hall() {
     let mut relays = Relays::default();
     assert!(relays.assign(entry("w1"), 100).is_none());
-    let mut remote = offer("a1", 120);
+    let mut remote = request("a1", 120);
     remote.hall = "h2".into();
     assert!(relays.join(&remote, Need::Large, 500).is_none());
-    assert!(relays.join(&offer("b1", 120), Need::Large, 500).is_some());
+    assert!(relays.join(&request("b1", 120), Need::Large, 500).is_some());
     let mut other = Relays::default();
     assert!(other.assign(entry("w1"), 100).is_none());
     assert!(other.join(&remote, Need::Large, 1_000).is_some());
@@ -360,9 +360,9 @@
 #[test]
 fn join_of_weak_box_for_workers_of_owner() {
     let mut relays = Relays::default();
-    assert!(relays.join(&offer("b1", 120), Need::Large, 1).is_none());
-    assert!(relays.join(&offer("b1", 120), Need::Short, 1).is_some());
-    assert!(relays.join(&offer("b2", 120), Need::Short, 1).is_none());
+    assert!(relays.join(&request("b1", 120), Need::Large, 1).is_none());
+    assert!(relays.join(&request("b1", 120), Need::Short, 1).is_some());
+    assert!(relays.join(&request("b2", 120), Need::Short, 1).is_none());
 }
 
 /// 17 relays at intervals of 25 ms would take two thirds of 2 Mbit/s for headers alone.
@@ -370,7 +370,7 @@
 fn exchange_interval_by_relays_and_link() {
     let mut relays = Relays::default();
     for number in 0..17 {
-        relays.join(&offer(&format!("b{number}"), 500), Need::Large, 1);
+        relays.join(&request(&format!("b{number}"), 500), Need::Large, 1);
     }
     assert_eq!(relays.exchange_interval(WIDE_LINK), 25);
     assert_eq!(relays.exchange_interval(NARROW_LINK), 100);
@@ -380,7 +380,7 @@
 /// Commands that relays have not acknowledged reduce the number of further starts.
 #[test]
 fn start_budget_by_unacknowledged_commands() {
-    let (mut relays, mut offer) = joined();
+    let (mut relays, mut request) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     let before = relays.start_budget(NARROW_LINK);
     assert!((100..300).contains(&before), "{before}");
@@ -392,9 +392,9 @@
     }
     assert_eq!(relays.start_budget(NARROW_LINK), 0);
     assert!(relays.start_budget(WIDE_LINK) > 4_000);
-    let duty = relays.duty("b1", FENCE, NARROW_LINK, 5);
-    offer.ack = duty.batch;
-    relays.accept_offer(&offer, 6);
+    let response = relays.respond("b1", FENCE, NARROW_LINK, 5);
+    request.ack = response.batch;
+    relays.accept_request(&request, 6);
     assert_eq!(relays.start_budget(NARROW_LINK), before);
 }
 
@@ -403,7 +403,7 @@
 fn start_budget_by_links_of_relays() {
     let mut relays = Relays::default();
     for name in ["b1", "b2"] {
-        let mut narrow = offer(name, 500);
+        let mut narrow = request(name, 500);
         narrow.link = NARROW_LINK;
         relays.join(&narrow, Need::Large, 1);
     }
@@ -420,7 +420,7 @@
 #[test]
 fn busy_workers_until_answered() {
     let mut relays = Relays::default();
-    let mut narrow = offer("b1", 500);
+    let mut narrow = request("b1", 500);
     narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     relays.assign(entry("w1"), 1).unwrap();
@@ -497,28 +497,28 @@
             start(&format!("{number:016x}"), 0, &text),
         );
     }
-    let duty = relays.duty("b1", FENCE, NARROW_LINK, 1_000);
-    let texts = duty
+    let response = relays.respond("b1", FENCE, NARROW_LINK, 1_000);
+    let texts = response
         .commands
         .iter()
         .filter(|command| matches!(command, Command::Text(_, Some(_))));
     assert_eq!(texts.count(), sent);
-    let commands = duty
+    let commands = response
         .commands
         .iter()
         .filter(|command| matches!(command, Command::Text(..)));
     assert_eq!(commands.count(), 50);
 }
 
-/// A link capacity in an offer that would overflow calculations is capped.
+/// A link capacity in a request that would overflow calculations is capped.
 #[test]
 fn join_with_unbounded_link() {
     let mut relays = Relays::default();
-    let offer = RelayRequest {
+    let request = RelayRequest {
         link: u64::MAX,
-        ..offer("b1", 500)
+        ..request("b1", 500)
     };
-    assert!(relays.join(&offer, Need::Large, 1).is_some());
+    assert!(relays.join(&request, Need::Large, 1).is_some());
     relays.assign(entry("w1"), 1).unwrap();
     assert!(relays.start_budget(WIDE_LINK) > 0);
 }
