--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -43,7 +43,7 @@
 /// The reply to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The job is stored and will run.
+    /// The job is accepted and stored.
     Accepted,
     /// The state of a job.
     State(State),
--- a/components/node/src/job_cache.rs
+++ b/components/node/src/job_cache.rs
@@ -1,10 +1,10 @@
-//! A bounded map from jobs to values with eviction in order of insertion. It records which
-//! specification texts a relay has.
+//! A bounded map from jobs to values with eviction in order of insertion, used for specification
+//! texts.
 //!
 //! All tasks of a job have the same specification text, 1 to 4 KB. The owner sends it to a relay
 //! once, before the first order that needs it: with the text in each order, an owner of 144 workers
 //! sent 560 KB per second to its relays, and about 35 KB without. The owner and the relay insert
-//! the same jobs in the same order, so both evict the same cache.
+//! the same jobs in the same order, so both evict the same texts.
 
 use {
     job::Id,
--- a/components/node/src/order_queue.rs
+++ b/components/node/src/order_queue.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// True for a start that has waited for more than [`START_WAIT`] and must not be sent.
+    /// True for a start that has waited for more than [`MAX_START_WAIT_MS`] and must not be sent.
     pub fn is_stale(&self, now: u64) -> bool {
         let is_start = matches!(self.order, Order::Start(_));
         is_start && now.saturating_sub(self.decided) > MAX_START_WAIT_MS
--- a/components/node/src/owner_watch.rs
+++ b/components/node/src/owner_watch.rs
@@ -41,21 +41,21 @@
         };
         match (item, owning) {
             (Some(item), None) if is_own(node, &item) => {
-                attempt(node, item.revision, KeyState::Own);
+                try_claim(node, item.revision, KeyState::Own);
             }
-            (Some(item), None) if !is_readable(&item) => {
-                attempt(node, item.revision, KeyState::Unknown);
+            (Some(item), None) if !is_valid(&item) => {
+                try_claim(node, item.revision, KeyState::Unknown);
             }
-            (Some(item), Some(fence)) if !is_readable(&item) => {
-                announce(node, fence);
+            (Some(item), Some(fence)) if !is_valid(&item) => {
+                republish(node, fence);
                 thread::sleep(OWNER_RETRY_PAUSE);
             }
             (Some(item), _) => watch(node, &item),
             (None, Some(fence)) => {
-                announce(node, fence);
+                republish(node, fence);
                 thread::sleep(OWNER_RETRY_PAUSE);
             }
-            (None, None) => attempt(node, 0, KeyState::Unknown),
+            (None, None) => try_claim(node, 0, KeyState::Unknown),
         }
     }
 }
@@ -112,7 +112,7 @@
 }
 
 /// True if the value names an owner. A value that another program wrote there gives no ownership.
-fn is_readable(item: &Item) -> bool {
+fn is_valid(item: &Item) -> bool {
     let owner: Result<Owner, Failure> = wire::decode(&item.value);
     if let Err(error) = &owner {
         metrics::counter!("magpie_unreadable_total").increment(1);
@@ -128,7 +128,7 @@
 }
 
 /// Has the owner's key written again by the ownership with this fence.
-fn announce(node: &Node, fence: u64) {
+fn republish(node: &Node, fence: u64) {
     log::info!(target: "owner", fence; "The owner's key is missing or invalid and will be written again.");
     node.remote.tell(move |core, cx| {
         if let Some(ownership) = core.ownership_of(fence) {
@@ -139,7 +139,7 @@
 }
 
 /// Tries to claim the cell, given the revision of the owner's key; 0 if it is absent.
-fn attempt(node: &Node, revision: u64, known: KeyState) {
+fn try_claim(node: &Node, revision: u64, known: KeyState) {
     match claim::attempt(node, revision, known) {
         Ok(()) => {}
         Err(failure) => {
--- a/components/node/src/relays/idle_requests.rs
+++ b/components/node/src/relays/idle_requests.rs
@@ -11,7 +11,7 @@
 /// Counts the idle boxes that send requests.
 #[derive(Default)]
 pub struct IdleRequests {
-    /// Boxes that made a request since `since`.
+    /// Boxes that sent a request since `since`.
     names: HashSet<Arc<str>>,
     since: u64,
     /// The number of boxes in the last full window.
@@ -44,7 +44,7 @@
 mod tests {
     use {super::*, test_case::test_case};
 
-    /// The rate of requests is bounded: without a limit, 1,174 boxes made 2,935 requests per second.
+    /// The rate of requests is bounded: without a limit, 1,174 boxes sent 2,935 requests per second.
     #[test_case(6, 15; "few")]
     #[test_case(587, 1_468; "hundreds")]
     #[test_case(1_174, 1_500; "twice as many")]
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -113,7 +113,7 @@
         std::mem::take(&mut self.unassigned)
     }
 
-    /// Removes and returns the workers that have waited for longer than [`UNASSIGNED_TIMEOUT`].
+    /// Removes and returns the workers that have waited for longer than `UNASSIGNED_TIMEOUT`.
     pub fn take_overdue(&mut self, now: u64) -> Vec<Entry> {
         let mut overdue = Vec::new();
         for (entry, since) in std::mem::take(&mut self.unassigned) {
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -25,7 +25,7 @@
 /// punctuation of the body.
 pub(super) const REQUEST_BYTES: usize = 330;
 
-/// One relay.
+/// The owner's state of one relay.
 pub(super) struct Relay {
     pub hall: Arc<str>,
     /// The capacity of its link, in bytes per millisecond.
@@ -66,12 +66,14 @@
         self.workers.len() < self.max_workers()
     }
 
-    /// True if it has as many starts to send as its link carries within [`AHEAD`] milliseconds.
+    /// True if it has as many starts to send as its link carries within [`MAX_IN_FLIGHT_MS`]
+    /// milliseconds.
     pub fn is_busy(&self) -> bool {
         self.starting_bytes as u64 >= self.link * MAX_IN_FLIGHT_MS
     }
 
-    /// The number of further starts that its link can carry within [`AHEAD`] milliseconds.
+    /// The number of further starts that its link can carry within [`MAX_IN_FLIGHT_MS`]
+    /// milliseconds.
     pub fn start_budget(&self) -> usize {
         let room = ((self.link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(self.starting_bytes);
         room.div_ceil(TEXT_BYTES + REQUEST_BYTES)
