--- a/components/cell/src/advise.rs
+++ b/components/cell/src/advice.rs
@@ -29,7 +29,7 @@
 
 /// Which of these workers may run a step?
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct AdviceQuery {
     /// The job.
     pub job: Id,
     /// The time and the step; the number within the step is 0.
@@ -42,14 +42,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Advice {
     /// The life of a worker, and its ticket.
-    pub good: Vec<(Arc<str>, Arc<str>)>,
+    pub tickets: Vec<(Arc<str>, Arc<str>)>,
     /// See above.
-    pub valid: u64,
+    pub valid_for: u64,
 }
 
 /// What is known of one step at one of its times.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct StepAdvice {
     asked: HashSet<Arc<str>>,
     tickets: HashMap<Arc<str>, (Arc<str>, u64)>,
     /// No question before this time: one is on its way, or failed just now.
@@ -57,7 +57,7 @@
 }
 
 impl Job {
-    fn known(&self, step: Address) -> Option<&Known> {
+    fn known(&self, step: Address) -> Option<&StepAdvice> {
         self.advice.get(&(step.time, step.step))
     }
 
@@ -75,12 +75,12 @@
 
 impl Cell {
     /// Questions that were decided on since the last call.
-    pub fn take_questions(&mut self) -> Vec<Question> {
-        std::mem::take(&mut self.questions)
+    pub fn take_advice_queries(&mut self) -> Vec<AdviceQuery> {
+        std::mem::take(&mut self.advice_queries)
     }
 
     /// Asks about workers that have room for a step and whose advice is not known.
-    pub(crate) fn ask(&mut self, rank: &Rank, address: Address, step: &Step, now: u64) {
+    pub(crate) fn request_advice(&mut self, rank: &Rank, address: Address, step: &Step, now: u64) {
         let Some(job) = self.jobs.get(&rank.id) else {
             return;
         };
@@ -95,7 +95,7 @@
         let mut found = Vec::new();
         for (id, worker) in &self.workers {
             let is_asked = known.is_some_and(|known| known.asked.contains(id));
-            if is_asked || !self.suits(job, address, image, worker, 0, now) {
+            if is_asked || !self.is_feasible(job, address, image, worker, 0, now) {
                 continue;
             }
             let candidate = Candidate {
@@ -111,7 +111,7 @@
             (cost, &one.id).cmp(&(other_cost, &other.id))
         });
         found.truncate(ASKED_AT_ONCE);
-        let question = Question {
+        let question = AdviceQuery {
             job: rank.id.clone(),
             step: Address {
                 index: 0,
@@ -124,11 +124,11 @@
             // Until the answer comes, whenever that is, nothing more is asked.
             job.advice.entry(key).or_default().quiet = u64::MAX;
         }
-        self.questions.push(question);
+        self.advice_queries.push(question);
     }
 
     /// Takes in the answer to a question; `None` when there was none.
-    pub fn advised(&mut self, question: &Question, advice: Option<Advice>, now: u64) {
+    pub fn handle_advice(&mut self, question: &AdviceQuery, advice: Option<Advice>, now: u64) {
         let Some(job) = self.jobs.get_mut(&question.job) else {
             return;
         };
@@ -141,9 +141,9 @@
         known.quiet = now;
         let asked = question.workers.iter().map(|own| own.id.clone());
         known.asked.extend(asked);
-        let until = now + advice.valid;
-        log::info!(target: "cell", job = question.job.as_str(), step = key.1, asked = question.workers.len(), good = advice.good.len(), valid = advice.valid; "Advice has come.");
-        for (worker, ticket) in advice.good {
+        let until = now + advice.valid_for;
+        log::info!(target: "cell", job = question.job.as_str(), step = key.1, asked = question.workers.len(), good = advice.tickets.len(), valid = advice.valid_for; "Advice has come.");
+        for (worker, ticket) in advice.tickets {
             known.tickets.insert(worker, (ticket, until));
         }
     }
--- a/components/cell/src/room.rs
+++ b/components/cell/src/capacity.rs
@@ -8,7 +8,7 @@
     crate::{
         cell::Cell,
         slot::{Slot, Stage},
-        worker::{Entry, Key, Worker},
+        worker::{Entry, TaskKey, Worker},
     },
     job::spec::Size,
     std::{collections::HashSet, sync::Arc},
@@ -21,27 +21,27 @@
 
 impl Cell {
     /// Names the pools whose workers start whatever they are told.
-    pub fn set_unguarded(&mut self, pools: HashSet<Arc<str>>) {
-        self.unguarded = pools;
+    pub fn set_overcommitting(&mut self, pools: HashSet<Arc<str>>) {
+        self.overcommitting = pools;
     }
 
     /// True for a worker that starts whatever it is told.
     pub(crate) fn is_unguarded(&self, worker: &Worker) -> bool {
-        !self.unguarded.is_empty() && self.unguarded.contains(&worker.entry.pool)
+        !self.overcommitting.is_empty() && self.overcommitting.contains(&worker.entry.pool)
     }
 
     /// True when it is known lately enough how much room a worker has.
     pub(crate) fn is_room_known(&self, worker: &Worker, now: u64) -> bool {
-        now <= self.listed + TOLD_FOR || !self.is_unguarded(worker)
+        now <= self.last_listing + TOLD_FOR || !self.is_unguarded(worker)
     }
 
     /// Has work look at the workers again whose room was not known for a while, and now is.
     pub(crate) fn regain(&mut self, now: u64) {
-        if self.unguarded.is_empty() || now <= self.listed + TOLD_FOR {
+        if self.overcommitting.is_empty() || now <= self.last_listing + TOLD_FOR {
             return;
         }
         for worker in self.workers.values_mut() {
-            worker.changed |= self.unguarded.contains(&worker.entry.pool);
+            worker.changed |= self.overcommitting.contains(&worker.entry.pool);
         }
     }
 
@@ -68,7 +68,7 @@
         if before == size {
             return;
         }
-        log::info!(target: "cell", worker = &*id, cpu = size.cpu, memory = size.memory, gpus = size.gpus, before = before.cpu, taken = worker.firm.cpu; "The room of a worker has changed.");
+        log::info!(target: "cell", worker = &*id, cpu = size.cpu, memory = size.memory, gpus = size.gpus, before = before.cpu, taken = worker.reserved.cpu; "The room of a worker has changed.");
         let is_less = !before.fits(size);
         if is_less
             && self
@@ -85,13 +85,13 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let mut sent: Vec<(u64, Key, Size)> = worker
+        let mut sent: Vec<(u64, TaskKey, Size)> = worker
             .slots
             .iter()
-            .filter_map(|(key, slot)| Some((revocable(slot)?, key.clone(), slot.firm())))
+            .filter_map(|(key, slot)| Some((revocable(slot)?, key.clone(), slot.reserved())))
             .collect();
         sent.sort_by(|one, other| (one.0, &one.1).cmp(&(other.0, &other.1)));
-        let (room, mut taken) = (worker.entry.size, worker.firm);
+        let (room, mut taken) = (worker.entry.size, worker.reserved);
         while !taken.fits(room)
             && let Some((_, key, size)) = sent.pop()
         {
--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -2,18 +2,18 @@
 
 use {
     crate::{
-        advise::{Known, Question},
+        advice::{AdviceQuery, StepAdvice},
         crashes,
         disturb::{Disturbance, level::Levels},
+        maintenance,
         order::Order,
-        place::Stuck,
+        place::Unplaceable,
+        run_log::FinishedRun,
         slot::Slot,
         takeover::{Pending, Recovery},
         timing::{self, Timing},
-        told::Done,
-        turns::Turns,
-        wave,
-        worker::{Clock, Entry, Key, Worker},
+        worker::{Clock, Entry, TaskKey, Worker},
+        write_queue::WriteQueue,
     },
     job::{Id, Phase, Progress, State},
     serde::{Deserialize, Serialize},
@@ -30,32 +30,32 @@
     /// Tasks that may start, by place.
     pub ready: BTreeSet<usize>,
     /// For each step of each time: its tasks were made ready.
-    pub opened: Vec<bool>,
+    pub steps_ready: Vec<bool>,
     /// The state that is written down and may be shown.
-    pub shown: State,
+    pub written_state: State,
     /// Some task has begun.
-    pub began: bool,
+    pub started: bool,
     /// Read at a takeover: its tasks may run on workers that have not answered.
-    pub unsure: bool,
+    pub unconfirmed: bool,
     /// Where it stands in line.
     pub rank: Rank,
     /// Since when tasks of it that last wait for room, in milliseconds since 1970.
-    pub lined: Option<u64>,
+    pub waiting_since: Option<u64>,
     /// Tasks of it that last have waited for long: they may also go to workers that are set aside, since
     /// they may fail as often as they like.
-    pub pressed: bool,
+    pub overdue: bool,
     /// Tasks under which workers crashed, by place.
     pub suspects: BTreeSet<usize>,
     /// Those of them for which there was no worker when it was last looked for one.
-    pub stranded: BTreeSet<usize>,
+    pub untried: BTreeSet<usize>,
     /// Trials of its tasks that went well since the last early crash under one of them.
-    pub survivors: usize,
+    pub passed_trials: usize,
     /// A crash that was counted against a task of it is not written down yet.
-    pub unkept: bool,
+    pub crash_unwritten: bool,
     /// It is about to miss its objective: its filling tasks may also go where they disturb.
-    pub hurried: bool,
+    pub urgent: bool,
     /// What is known of which workers may run its steps, by time and step.
-    pub advice: HashMap<(u32, u16), Known>,
+    pub advice: HashMap<(u32, u16), StepAdvice>,
 }
 
 /// Order of jobs in line: the lowest first.
@@ -89,11 +89,11 @@
 
 /// How many workers are reached. One whose poll is held, and that has not answered for long, is neither heard nor silent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// Those that have answered lately.
-    pub heard: usize,
+    pub reachable: usize,
     /// Those that have left a poll without an answer.
-    pub silent: usize,
+    pub unreachable: usize,
 }
 
 /// One cell of workers and its jobs.
@@ -101,37 +101,37 @@
     pub(crate) timing: Timing,
     pub(crate) jobs: HashMap<Id, Job>,
     /// Jobs that have ended, and when, in milliseconds since 1970.
-    pub(crate) closed: HashMap<Id, (State, u64)>,
+    pub(crate) ended_jobs: HashMap<Id, (State, u64)>,
     pub(crate) workers: BTreeMap<Arc<str>, Worker>,
     /// Lives of workers that are proven to be over and are still listed.
-    pub(crate) over: HashSet<Arc<str>>,
+    pub(crate) ended_incarnations: HashSet<Arc<str>>,
     /// How many lives were known of each name, where lives tell when they began.
     pub(crate) generations: HashMap<Arc<str>, u32>,
     /// Names and addresses of which more than one life is known.
-    pub(crate) shared: HashSet<Arc<str>>,
+    pub(crate) ambiguous: HashSet<Arc<str>>,
     /// Workers that were forgotten and that somebody may still talk to.
-    pub(crate) gone: Vec<Arc<str>>,
+    pub(crate) removed: Vec<Arc<str>>,
     /// Jobs with tasks that may start.
-    pub(crate) line: BTreeSet<Rank>,
+    pub(crate) ready_jobs: BTreeSet<Rank>,
     /// Jobs whose record is to be written.
-    pub(crate) dirty: Turns,
+    pub(crate) dirty: WriteQueue,
     /// Jobs with a timetable, whose next time is to come.
-    pub(crate) timed: HashSet<Id>,
+    pub(crate) timetabled: HashSet<Id>,
     /// When the workers were last listed.
-    pub(crate) listed: u64,
+    pub(crate) last_listing: u64,
     /// Since when listings have come without a gap.
-    pub(crate) steady: u64,
+    pub(crate) listings_since: u64,
     /// The list of workers is to be written.
     pub(crate) fleet_dirty: bool,
     /// What was learned of disturbance is to be written.
-    pub(crate) learned_due: bool,
+    pub(crate) disturbance_due: bool,
     /// Orders to send, by worker.
     pub(crate) orders: Vec<(Arc<str>, Order)>,
     /// Questions to the advising service.
-    pub(crate) questions: Vec<Question>,
+    pub(crate) advice_queries: Vec<AdviceQuery>,
     /// How often all workers were looked through for a task.
-    pub(crate) tried: u64,
-    pub(crate) waves: BTreeMap<u64, wave::Progress>,
+    pub(crate) full_scans: u64,
+    pub(crate) waves: BTreeMap<u64, maintenance::Progress>,
     /// What a takeover still waits for.
     pub(crate) recovery: Option<Recovery>,
     /// What runs of jobs that are not known yet, from a takeover until they were read once more.
@@ -141,29 +141,29 @@
     /// The load of serving jobs.
     pub(crate) levels: Levels,
     /// More filling work waits than runs.
-    pub(crate) crowded: bool,
+    pub(crate) backlogged: bool,
     /// Needs that found no room when all workers were looked through.
-    pub(crate) stuck: Vec<Stuck>,
+    pub(crate) unplaceable: Vec<Unplaceable>,
     /// Jobs that are not known and of which workers hold runs that must not be.
-    pub(crate) unknown: HashSet<Id>,
+    pub(crate) unknown_jobs: HashSet<Id>,
     /// What the present pass has placed of a job: place, run and worker.
     pub(crate) placed: Vec<(usize, u64, Arc<str>)>,
     /// How many more tasks the present pass may place.
-    pub(crate) room: usize,
+    pub(crate) placements_left: usize,
     /// Looks at single workers that the present pass has taken.
-    pub(crate) looks: usize,
+    pub(crate) worker_checks: usize,
     /// From which worker on the next part of them is looked at.
-    pub(crate) around: Arc<str>,
-    /// Workers that get no work for now, see [`Cell::hold_back`].
-    pub(crate) held: HashSet<Arc<str>>,
+    pub(crate) scan_start: Arc<str>,
+    /// Workers that get no work for now, see [`Cell::set_backpressured`].
+    pub(crate) backpressured: HashSet<Arc<str>>,
     /// Data halls in which nothing may start.
-    pub(crate) shut: HashSet<Arc<str>>,
+    pub(crate) shut_halls: HashSet<Arc<str>>,
     /// Runs that are done and were not told yet.
-    pub(crate) done: Vec<Done>,
+    pub(crate) finished_runs: Vec<FinishedRun>,
     /// Pools whose workers start whatever they are told.
-    pub(crate) unguarded: HashSet<Arc<str>>,
+    pub(crate) overcommitting: HashSet<Arc<str>>,
     /// No lease of a worker may go on: another owner may reckon it over.
-    pub(crate) keeps_leases: bool,
+    pub(crate) leases_frozen: bool,
     /// Which tasks are suspected of crashing their workers, and which workers were lost.
     pub(crate) crashes: crashes::State,
 }
@@ -175,39 +175,39 @@
         Cell {
             timing: Timing { lease, ..timing },
             jobs: HashMap::new(),
-            closed: HashMap::new(),
+            ended_jobs: HashMap::new(),
             workers: BTreeMap::new(),
-            over: HashSet::new(),
+            ended_incarnations: HashSet::new(),
             generations: HashMap::new(),
-            shared: HashSet::new(),
-            gone: Vec::new(),
-            line: BTreeSet::new(),
-            dirty: Turns::default(),
-            timed: HashSet::new(),
-            listed: 0,
-            steady: 0,
+            ambiguous: HashSet::new(),
+            removed: Vec::new(),
+            ready_jobs: BTreeSet::new(),
+            dirty: WriteQueue::default(),
+            timetabled: HashSet::new(),
+            last_listing: 0,
+            listings_since: 0,
             fleet_dirty: false,
-            learned_due: false,
+            disturbance_due: false,
             orders: Vec::new(),
-            questions: Vec::new(),
-            tried: 0,
+            advice_queries: Vec::new(),
+            full_scans: 0,
             waves: BTreeMap::new(),
             recovery: None,
             pending: None,
             disturbance: Disturbance::default(),
             levels: Levels::default(),
-            crowded: false,
-            stuck: Vec::new(),
-            unknown: HashSet::new(),
+            backlogged: false,
+            unplaceable: Vec::new(),
+            unknown_jobs: HashSet::new(),
             placed: Vec::new(),
-            room: 0,
-            looks: 0,
-            around: "".into(),
-            held: HashSet::new(),
-            shut: HashSet::new(),
-            done: Vec::new(),
-            unguarded: HashSet::new(),
-            keeps_leases: false,
+            placements_left: 0,
+            worker_checks: 0,
+            scan_start: "".into(),
+            backpressured: HashSet::new(),
+            shut_halls: HashSet::new(),
+            finished_runs: Vec::new(),
+            overcommitting: HashSet::new(),
+            leases_frozen: false,
             crashes: crashes::State::default(),
         }
     }
@@ -218,101 +218,104 @@
     }
 
     /// Goes on from what a former owner knew of disturbance.
-    pub fn recall(&mut self, learned: Disturbance) {
+    pub fn restore_disturbance(&mut self, learned: Disturbance) {
         self.disturbance = learned;
     }
 
     /// The state of a job that may be shown; `None` when it is not known here.
     pub fn state(&self, id: &Id) -> Option<State> {
-        if let Some(&(state, _)) = self.closed.get(id) {
+        if let Some(&(state, _)) = self.ended_jobs.get(id) {
             return Some(state);
         }
         let job = self.jobs.get(id)?;
-        match job.shown {
-            State::Queued if job.began => Some(State::Running),
+        match job.written_state {
+            State::Queued if job.started => Some(State::Running),
             shown => Some(shown),
         }
     }
 
     /// The jobs of a queue none of whose tasks has begun; those with a timetable do not count.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn queued_jobs(&self, queue: &str) -> usize {
         let is_waiting = |job: &&Job| {
             let submission = &job.progress.submission;
-            &*submission.queue.name == queue && submission.spec.timetable.is_none() && !job.began
+            &*submission.queue.name == queue && submission.spec.timetable.is_none() && !job.started
         };
         self.jobs.values().filter(is_waiting).count()
     }
 
     /// Jobs that ended before this time, in milliseconds since 1970; so many at most.
-    pub fn outdated(&self, before: u64, most: usize) -> Vec<Id> {
-        let old = self.closed.iter().filter(|(_, (_, ended))| *ended < before);
+    pub fn ended_before(&self, before: u64, most: usize) -> Vec<Id> {
+        let old = self
+            .ended_jobs
+            .iter()
+            .filter(|(_, (_, ended))| *ended < before);
         old.map(|(id, _)| id.clone()).take(most).collect()
     }
 
     /// Forgets jobs that have ended.
-    pub fn forget(&mut self, ids: &[Id]) {
+    pub fn remove_ended(&mut self, ids: &[Id]) {
         for id in ids {
-            self.closed.remove(id);
-            self.unknown.remove(id);
+            self.ended_jobs.remove(id);
+            self.unknown_jobs.remove(id);
         }
     }
 
     /// What to ask a worker next; `None` when it is not known any more.
-    pub fn poll(&mut self, id: &str, now: u64) -> Option<Poll> {
+    pub fn next_poll(&mut self, id: &str, now: u64) -> Option<Poll> {
         let lease = self.timing.lease;
         let worker = self.workers.get_mut(id)?;
         // Without an answer to the last poll the lease is not extended: the worker may have got
         // it, and each try would put off the moment at which all its leases are surely over.
         let deadline = match worker.clock_at(now) {
-            Some(_) if self.keeps_leases => 0,
-            Some(clock) if worker.heard => clock + lease,
-            Some(_) => worker.granted,
+            Some(_) if self.leases_frozen => 0,
+            Some(clock) if worker.poll_answered => clock + lease,
+            Some(_) => worker.max_deadline,
             None => 0,
         };
-        worker.granted = worker.granted.max(deadline);
-        let was_heard = std::mem::take(&mut worker.heard);
+        worker.max_deadline = worker.max_deadline.max(deadline);
+        let was_heard = std::mem::take(&mut worker.poll_answered);
         let wait = if worker.clock.is_none() || !was_heard {
             0
         } else {
             worker.poll_wait()
         };
-        worker.due = Some(now + wait + timing::POLL_LATE);
+        worker.answer_due = Some(now + wait + timing::POLL_LATE);
         Some(Poll {
             deadline,
-            seen: worker.kept,
+            seen: worker.ends_written,
             wait,
         })
     }
 
     /// Lets the leases of workers go on no longer than they were granted, or lets them go on again.
-    pub fn keep_leases(&mut self, keeps: bool) {
-        self.keeps_leases = keeps;
+    pub fn freeze_leases(&mut self, keeps: bool) {
+        self.leases_frozen = keeps;
     }
 
     /// True when ends of the worker were taken in and are not written down yet, or are left for later:
     /// asked now, it would list them again at once.
-    pub fn is_unwritten(&self, id: &str) -> bool {
+    pub fn has_unwritten_ends(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
-        worker.is_some_and(|worker| worker.is_unwritten() || worker.left)
+        worker.is_some_and(|worker| worker.has_unwritten_ends() || worker.ends_deferred)
     }
 
     /// How many workers are reached now, and how many are not.
-    pub fn reach(&self, now: u64) -> Reach {
-        let mut reach = Reach::default();
+    pub fn reachability(&self, now: u64) -> Reachability {
+        let mut reach = Reachability::default();
         for worker in self.workers.values() {
-            let is_overdue = worker.due.is_some_and(|due| now > due);
+            let is_overdue = worker.answer_due.is_some_and(|due| now > due);
             let is_fresh = |clock: Clock| now <= clock.at + timing::HEARD_WITHIN;
-            if worker.is_silent() || is_overdue {
-                reach.silent += 1;
+            if worker.is_unreachable() || is_overdue {
+                reach.unreachable += 1;
             } else if worker.clock.is_some_and(is_fresh) {
-                reach.heard += 1;
+                reach.reachable += 1;
             }
         }
         reach
     }
 
     /// How many workers are known.
-    pub fn size(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
@@ -322,8 +325,8 @@
     }
 
     /// How often all workers were looked through for a task, as a measure of work.
-    pub fn tried(&self) -> u64 {
-        self.tried
+    pub fn full_scans(&self) -> u64 {
+        self.full_scans
     }
 
     /// A worker, as listed.
@@ -332,7 +335,7 @@
     }
 
     /// Makes a task wait again that was placed, unless its job is over.
-    pub(crate) fn free(&mut self, key: &Key) {
+    pub(crate) fn requeue(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -341,16 +344,16 @@
         }
         job.progress.tasks[key.place].phase = Phase::Waiting;
         job.ready.insert(key.place);
-        self.line.insert(job.rank.clone());
+        self.ready_jobs.insert(job.rank.clone());
     }
 
     /// What a worker holds for a task.
-    pub(crate) fn slot(&self, id: &str, key: &Key) -> Option<&Slot> {
+    pub(crate) fn slot(&self, id: &str, key: &TaskKey) -> Option<&Slot> {
         self.workers.get(id)?.slots.get(key)
     }
 
     /// Orders a run to stop.
-    pub(crate) fn stop(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    pub(crate) fn stop(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         let Some(slot) = self
             .workers
             .get_mut(id)
--- a/components/cell/src/choose.rs
+++ b/components/cell/src/choose.rs
@@ -5,8 +5,8 @@
         cell::{Cell, Job, Rank},
         crashes::{Suspicion, harm},
         disturb::Image,
-        waits::Obstacle,
-        worker::{Key, Worker},
+        overdue::Obstacle,
+        worker::{TaskKey, Worker},
     },
     job::{Address, Step},
     std::sync::Arc,
@@ -36,7 +36,7 @@
 
 /// What is known of a task's earlier runs.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Past {
+pub(crate) struct History {
     /// How often it has failed.
     pub failures: u32,
     /// Whether it may crash its worker.
@@ -45,7 +45,7 @@
 
 /// Which workers are looked at for a task.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Among<'a> {
+pub(crate) enum Scope<'a> {
     /// All of them.
     All,
     /// So many in the order of their names, from this one on and round.
@@ -56,8 +56,8 @@
 
 impl Cell {
     /// What is known of a task's earlier runs.
-    pub(crate) fn past(&self, rank: &Rank, place: usize) -> Past {
-        Past {
+    pub(crate) fn history(&self, rank: &Rank, place: usize) -> History {
+        History {
             failures: self.failures(rank, place),
             suspicion: self.suspicion(&rank.id, place),
         }
@@ -76,17 +76,17 @@
         &self,
         rank: &Rank,
         address: Address,
-        past: Past,
-        among: Among<'_>,
+        past: History,
+        among: Scope<'_>,
         now: u64,
     ) -> Option<Arc<str>> {
         let job = self.jobs.get(&rank.id)?;
         let step = &job.progress.submission.spec.steps[address.step as usize];
         let image = self.image(step);
         let will_do = |_: &Arc<str>, worker: &Worker| {
-            self.suits(job, address, image, worker, 0, now)
+            self.is_feasible(job, address, image, worker, 0, now)
                 && self
-                    .obstacle_of_past(job, address, worker, past, now)
+                    .history_obstacle(job, address, worker, past, now)
                     .is_none()
         };
         let cost = |worker: &Worker| {
@@ -98,17 +98,17 @@
         };
         let among = match past.suspicion {
             // The one that suits it best may not be among those that have changed.
-            Suspicion::Alone => Among::All,
+            Suspicion::Alone => Scope::All,
             Suspicion::None | Suspicion::Late | Suspicion::Shared => among,
         };
         match among {
-            Among::All => cheapest(self.workers.iter(), will_do, cost),
-            Among::From(id, count) => {
+            Scope::All => cheapest(self.workers.iter(), will_do, cost),
+            Scope::From(id, count) => {
                 let before = self.workers.range(..id.clone());
                 let round = self.workers.range(id.clone()..).chain(before);
                 cheapest(round.take(count), will_do, cost)
             }
-            Among::These(ids) => {
+            Scope::These(ids) => {
                 let known = ids.iter().filter_map(|id| self.workers.get_key_value(id));
                 cheapest(known, will_do, cost)
             }
@@ -122,7 +122,7 @@
 
     /// True when a task of the step, which has this image, may run on the worker, beside `before`
     /// others of it that are not started yet.
-    pub(crate) fn suits(
+    pub(crate) fn is_feasible(
         &self,
         job: &Job,
         address: Address,
@@ -135,7 +135,7 @@
             .is_none()
     }
 
-    /// What keeps a task of the step from running on the worker; see [`Cell::suits`].
+    /// What keeps a task of the step from running on the worker; see [`Cell::is_feasible`].
     pub(crate) fn obstacle(
         &self,
         job: &Job,
@@ -150,11 +150,11 @@
         if !has_room(step, worker, before) {
             return Some(Obstacle::Room);
         }
-        let is_open = worker.is_open(now) || (job.pressed && worker.is_set_aside());
+        let is_open = worker.is_schedulable(now) || (job.overdue && worker.is_quarantined());
         if !is_open {
             return Some(Obstacle::Closed);
         }
-        if worker.held {
+        if worker.backpressured {
             return Some(Obstacle::Held);
         }
         if self.is_shut(worker) {
@@ -170,14 +170,14 @@
             return Some(Obstacle::Pool);
         }
         if let Some(label) = &step.label
-            && !worker.entry.bears(label)
+            && !worker.entry.has_label(label)
         {
             return Some(Obstacle::Label);
         }
         if step.fills
             && !self
-                .effect(step, image, worker, before + 1)
-                .is_bearable(self.press(job))
+                .impact(step, image, worker, before + 1)
+                .is_acceptable(self.urgency(job))
         {
             return Some(Obstacle::Disturbs);
         }
@@ -187,18 +187,18 @@
     }
 
     /// What keeps a task that has failed so often and is so much suspected from running on a worker that suits it.
-    pub(crate) fn obstacle_of_past(
+    pub(crate) fn history_obstacle(
         &self,
         job: &Job,
         address: Address,
         worker: &Worker,
-        past: Past,
+        past: History,
         now: u64,
     ) -> Option<Obstacle> {
         let id = &worker.entry.id;
         let step = &job.progress.submission.spec.steps[address.step as usize];
-        let is_trusted = if step.lasting && job.pressed {
-            worker.is_trusted_by_pressed()
+        let is_trusted = if step.lasting && job.overdue {
+            worker.accepts_overdue()
         } else {
             let failures = if step.lasting { 0 } else { past.failures };
             worker.is_trusted(failures, now)
@@ -217,20 +217,20 @@
     pub(crate) fn cost(&self, step: &Step, image: Image, worker: &Worker) -> u64 {
         let mut cost = 0;
         if let Some(rack) = &step.rack
-            && !worker.entry.bears(rack)
+            && !worker.entry.has_label(rack)
         {
             cost += FAR;
         }
         if step.fills {
-            let effect = self.effect(step, image, worker, 1);
+            let effect = self.impact(step, image, worker, 1);
             cost += (effect.excess() * EXCESS) as u64;
             if effect.harms {
                 cost += HARMS;
             }
-            if worker.serving > 0 {
+            if worker.serving_cpu > 0 {
                 cost += BESIDE;
             }
-            return cost + worker.entry.size.cpu.saturating_sub(worker.unused());
+            return cost + worker.entry.size.cpu.saturating_sub(worker.idle_cpu());
         }
         if step.target > 0 {
             cost += self.mixing(image, worker);
@@ -240,11 +240,11 @@
 
     /// What a serving task of an image costs by the company that it has on a worker.
     fn mixing(&self, image: Image, worker: &Worker) -> u64 {
-        let images = worker.serve_images.keys();
+        let images = worker.serving_images.keys();
         let unlike = images
             .filter(|own| !self.disturbance.is_alike(**own, image))
             .count();
-        let has_alike = worker.serve_images.len() > unlike;
+        let has_alike = worker.serving_images.len() > unlike;
         match (has_alike, unlike) {
             (true, 0) => 0,
             (true, _) => MIXED_ALIKE,
@@ -258,7 +258,7 @@
     fn held(&self, job: &Job, address: Address, worker: &Worker) -> u64 {
         let submission = &job.progress.submission;
         let places = job.progress.places(address.time, address.step);
-        let is_one = |key: &&Key| key.job == submission.id && places.contains(&key.place);
+        let is_one = |key: &&TaskKey| key.job == submission.id && places.contains(&key.place);
         worker.slots.keys().filter(is_one).count() as u64
     }
 }
@@ -294,8 +294,8 @@
     if !step.fills {
         return size.fits(free);
     }
-    if size.memory > free.memory || size.gpus > free.gpus || worker.over_since.is_some() {
+    if size.memory > free.memory || size.gpus > free.gpus || worker.over_target_since.is_some() {
         return false;
     }
-    worker.unused() >= size.cpu * (before + 1)
+    worker.idle_cpu() >= size.cpu * (before + 1)
 }
--- a/components/cell/src/crashes/index.rs
+++ b/components/cell/src/crashes/index.rs
@@ -107,7 +107,7 @@
 
     /// Adds a worker if it cannot be reached.
     pub fn miss(&mut self, worker: &Worker) {
-        let (Some(since), Some(_)) = (worker.silent, worker.clock) else {
+        let (Some(since), Some(_)) = (worker.unreachable_since, worker.clock) else {
             return;
         };
         let loss = Loss::of(worker, since);
--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -25,9 +25,9 @@
 use {
     crate::{
         cell::Cell,
+        run_log::RUNS_PER_LINE,
         slot::{Slot, Stage},
-        told::TOGETHER,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     job::Id,
     std::{collections::HashMap, sync::Arc},
@@ -60,7 +60,7 @@
     /// What was counted against tasks for workers that may come back, by worker.
     doubted: HashMap<Arc<str>, Doubted>,
     /// Tasks that are to be given up.
-    condemned: Vec<Key>,
+    condemned: Vec<TaskKey>,
 }
 
 /// Crashes that were counted for a worker which may be alive.
@@ -69,7 +69,7 @@
     /// When they were counted.
     at: u64,
     /// The tasks, and whether the crash was an early one.
-    tasks: Vec<(Key, bool)>,
+    tasks: Vec<(TaskKey, bool)>,
 }
 
 impl Cell {
@@ -82,7 +82,7 @@
     /// The same for a worker that cannot be reached and whose leases are over, as long as it does not come back.
     pub(crate) fn suspect_lapsed(&mut self, id: &Arc<str>, now: u64) {
         // Where this owner was late to ask, nothing speaks for a crash.
-        if !self.workers.get(id).is_some_and(Worker::is_silent) {
+        if !self.workers.get(id).is_some_and(Worker::is_unreachable) {
             return;
         }
         let tasks = self.suspect(id, now);
@@ -93,7 +93,7 @@
     }
 
     /// Counts a crash against what a worker holds. Returns the tasks, and for which of them it was an early one.
-    fn suspect(&mut self, id: &Arc<str>, now: u64) -> Vec<(Key, bool)> {
+    fn suspect(&mut self, id: &Arc<str>, now: u64) -> Vec<(TaskKey, bool)> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
         };
@@ -120,11 +120,11 @@
 
     /// Of the tasks that a worker held, and for which of them the crash was an early one, leaves those that may have caused
     /// it.
-    fn clear_bystanders(&self, held: &mut Vec<(Key, bool)>) {
-        let is_strong = |(key, is_early): &(Key, bool)| {
+    fn clear_bystanders(&self, held: &mut Vec<(TaskKey, bool)>) {
+        let is_strong = |(key, is_early): &(TaskKey, bool)| {
             *is_early && self.suspicion(&key.job, key.place) == Suspicion::Alone
         };
-        let explains = |(key, is_early): &(Key, bool)| *is_early && self.is_suspect(key);
+        let explains = |(key, is_early): &(TaskKey, bool)| *is_early && self.is_suspect(key);
         if held.iter().any(is_strong) {
             // What was tried alone explains it, also to what had started there a moment before. With workers that report
             // each 2 s a lasting task on one of two workers was given up after five crashes under others' suspects.
@@ -137,12 +137,12 @@
     }
 
     /// True for a task that was suspected before.
-    fn is_suspect(&self, key: &Key) -> bool {
+    fn is_suspect(&self, key: &TaskKey) -> bool {
         self.suspicion(&key.job, key.place) != Suspicion::None
     }
 
     /// Counts one crash against a task. False when its job is not known or over.
-    fn count(&mut self, key: &Key, is_early: bool) -> bool {
+    fn count(&mut self, key: &TaskKey, is_early: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
         };
@@ -155,9 +155,9 @@
         task.crashes.early += u32::from(is_early);
         task.crashes.all += 1;
         job.suspects.insert(key.place);
-        job.unkept = true;
+        job.crash_unwritten = true;
         if is_early {
-            job.survivors = 0;
+            job.passed_trials = 0;
             log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "A worker crashed under a task that had just started.");
         }
         self.dirty.insert(key.job.clone());
@@ -192,7 +192,7 @@
     /// Its trial is over with that, whatever the task is suspected of by now. A trial that went on would hold back other
     /// suspects of the job, and whatever waits for its worker, for as long as the run: one of nine lasting tasks stood
     /// still for 39 s beside four trials whose suspicion had been taken back.
-    pub(crate) fn survived(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    pub(crate) fn survived(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         let is_suspected = self
             .jobs
             .get(&key.job)
@@ -216,7 +216,7 @@
     }
 
     /// A run has outlived the time in which it is suspected for having just started.
-    fn clear_early(&mut self, key: &Key) {
+    fn clear_early(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -229,7 +229,7 @@
     }
 
     /// A task has run without crashing its worker.
-    pub(crate) fn absolve(&mut self, key: &Key) {
+    pub(crate) fn absolve(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -262,7 +262,7 @@
         };
         for &place in &job.suspects {
             let job = id.clone();
-            let key = Key { job, place };
+            let key = TaskKey { job, place };
             if self.is_hopeless(&key) {
                 self.crashes.condemned.push(key);
             }
@@ -275,7 +275,7 @@
     }
 
     /// True for a task under which workers have crashed as often as it may.
-    fn is_hopeless(&self, key: &Key) -> bool {
+    fn is_hopeless(&self, key: &TaskKey) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let crashes = job.progress.tasks[key.place].crashes;
             crashes.early >= GIVE_UP_EARLY || crashes.all >= GIVE_UP_ALL
@@ -317,15 +317,15 @@
             .map(|(key, slot)| tell_held(worker, key, slot))
             .collect();
         held.sort();
-        held.truncate(TOGETHER);
+        held.truncate(RUNS_PER_LINE);
         let tasks = held.join(" ");
-        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_silent(), count = worker.slots.len(), tasks = tasks.as_str(); "A worker is lost with its tasks.");
+        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_unreachable(), count = worker.slots.len(), tasks = tasks.as_str(); "A worker is lost with its tasks.");
     }
 }
 
 /// A run on a worker as `JOB/PLACE.RUN:AGE`: for how long it was known to run when the worker was last heard, in
 /// milliseconds, or `new` where it was not known to run.
-fn tell_held(worker: &Worker, key: &Key, slot: &Slot) -> String {
+fn tell_held(worker: &Worker, key: &TaskKey, slot: &Slot) -> String {
     let age = match worker.known_to_run(slot) {
         Some(age) => age.to_string(),
         None => "new".to_owned(),
@@ -348,9 +348,9 @@
     /// on after its entry had gone.
     fn has_left(&self) -> bool {
         let served_on = self
-            .vanished
+            .unlisted_since
             .zip(self.clock)
             .is_some_and(|(since, clock)| clock.at > since);
-        self.entry.leaving || self.closing || served_on
+        self.entry.leaving || self.draining || served_on
     }
 }
--- a/components/cell/src/crashes/silence.rs
+++ b/components/cell/src/crashes/silence.rs
@@ -12,7 +12,7 @@
 
 impl Silence {
     pub fn of(worker: &Worker, now: u64) -> Self {
-        let until = worker.silent.unwrap_or(now);
+        let until = worker.unreachable_since.unwrap_or(now);
         let from = worker.clock.map_or(until, |clock| clock.at);
         Silence {
             from: from.min(until),
--- a/components/cell/src/crashes/tests.rs
+++ b/components/cell/src/crashes/tests.rs
@@ -7,10 +7,10 @@
     },
     crate::{
         cell::Cell,
-        order::{Order, Outcome, Reason, Report, Run, Start},
+        order::{Order, Outcome, Refusal, Report, Run, Start},
         slot::{Slot, Stage},
         timing::Timing,
-        worker::{Entry, Key, Worker},
+        worker::{Entry, TaskKey, Worker},
     },
     job::{Address, Id, Step, spec::Size},
     std::{collections::HashMap, sync::Arc},
@@ -61,7 +61,7 @@
     }
     let mut unreached = Vec::new();
     for (other, worker) in &cell.workers {
-        let is_silent = worker.silent.is_some() && worker.clock.is_some();
+        let is_silent = worker.unreachable_since.is_some() && worker.clock.is_some();
         if is_silent && other != id && !recent.contains_key(other) {
             unreached.push(Loss::of(worker, now));
         }
@@ -134,7 +134,7 @@
         Entry {
             id: name.clone(),
             name,
-            born: None,
+            started: None,
             generation: 0,
             pool: "pool".into(),
             address: format!("10.0.0.1:{machine}").as_str().into(),
@@ -149,7 +149,7 @@
     fn list(&mut self) {
         let mut entries = self.entries.clone();
         entries.retain(|_| self.random.u32(0..40) > 0);
-        self.cell.list(entries, self.now);
+        self.cell.handle_listing(entries, self.now);
     }
 
     fn machine(&mut self) -> usize {
@@ -183,14 +183,14 @@
             ended: Vec::new(),
         };
         self.cell.report(&id, report, self.now, self.now, 1);
-        self.cell.poll(&id, self.now);
+        self.cell.next_poll(&id, self.now);
     }
 
     /// Something starts on a worker; on one that is silent, as what is adopted late does.
     fn start(&mut self, machine: usize) {
         let id = self.id(machine);
         let index = self.random.u32(0..1_000);
-        let key = Key {
+        let key = TaskKey {
             job: job(self.random.u32(0..JOBS)),
             place: index as usize,
         };
@@ -205,7 +205,7 @@
             ..Slot::new(&Step::default(), address, 0, 1, stage)
         };
         if let Some(worker) = self.cell.workers.get_mut(&id) {
-            worker.hold(key, slot);
+            worker.add_slot(key, slot);
         }
         self.cell.renew_loss(&id);
     }
@@ -227,9 +227,9 @@
             deadline: u64::MAX,
             ticket: None,
         });
-        let outcomes = [Outcome::Done, Outcome::Refused(Reason::Room)];
+        let outcomes = [Outcome::Done, Outcome::Refused(Refusal::Room)];
         let outcome = outcomes[self.random.usize(0..2)];
-        self.cell.answered(&id, &order, outcome, self.now);
+        self.cell.handle_outcome(&id, &order, outcome, self.now);
     }
 
     /// Some workers fall silent: those of a rack, a part of the cell, or one.
@@ -245,7 +245,7 @@
             };
             if is_cut {
                 let id = self.id(machine);
-                self.cell.unheard(&id, self.now);
+                self.cell.poll_failed(&id, self.now);
             }
         }
     }
@@ -255,7 +255,7 @@
         let former = self.id(machine);
         self.entries[machine] = self.life(machine);
         if self.random.bool() {
-            self.cell.end_life(&former, "test", self.now);
+            self.cell.end_incarnation(&former, "test", self.now);
             return;
         }
         self.list();
@@ -268,7 +268,7 @@
         self.now += self.random.u64(0..4_000);
         for machine in 0..MACHINES {
             let worker = self.cell.workers.get(&self.id(machine));
-            let is_reached = worker.is_some_and(|worker| worker.silent.is_none());
+            let is_reached = worker.is_some_and(|worker| worker.unreachable_since.is_none());
             if is_reached && self.random.u32(0..8) > 0 {
                 self.report(machine);
             }
@@ -283,7 +283,7 @@
             70..76 => self.answer(machine),
             76..79 => self.cut(),
             79..81 => self.crash(machine),
-            81..89 => self.cell.lapse(self.now),
+            81..89 => self.cell.expire_leases(self.now),
             89..92 => self.list(),
             92 => {
                 let rack = format!("r{}", self.random.usize(0..RACKS));
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::Cell,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     job::Id,
     std::sync::Arc,
@@ -60,7 +60,7 @@
 /// A suspect that runs, and has not been listed for long enough.
 #[derive(Debug)]
 pub(super) struct Trial {
-    key: Key,
+    key: TaskKey,
     run: u64,
     suspicion: Suspicion,
     /// When its start was decided, on our clock.
@@ -109,7 +109,7 @@
     pub(crate) fn is_unkept(&self, id: &Id, place: usize) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let crashes = job.progress.tasks[place].crashes;
-            job.unkept && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
+            job.crash_unwritten && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
         })
     }
 
@@ -131,7 +131,7 @@
     /// tasks take a worker each. One that no worker will do for holds nothing up: its rack may be gone for good.
     fn has_strong_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            let mut places = job.suspects.difference(&job.stranded);
+            let mut places = job.suspects.difference(&job.untried);
             places.any(|&place| self.suspicion(id, place) == Suspicion::Alone)
         })
     }
@@ -139,7 +139,7 @@
     /// Notes that there is no worker for a task that is tried alone.
     pub(crate) fn strand(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.stranded.insert(place);
+            job.untried.insert(place);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Notes that a task starts on a worker, which is a trial where it is suspected.
-    pub(crate) fn try_out(&mut self, id: &Arc<str>, key: Key, run: u64, now: u64) {
+    pub(crate) fn try_out(&mut self, id: &Arc<str>, key: TaskKey, run: u64, now: u64) {
         let suspicion = self.suspicion(&key.job, key.place);
         if !suspicion.is_tried() {
             return;
@@ -171,7 +171,7 @@
     }
 
     /// Ends the trial of a task on a worker. False where there was none.
-    pub(super) fn end_trial(&mut self, id: &Arc<str>, key: &Key) -> bool {
+    pub(super) fn end_trial(&mut self, id: &Arc<str>, key: &TaskKey) -> bool {
         let trial = self.crashes.trials.get(id);
         if trial.is_none_or(|trial| trial.key != *key) {
             return false;
@@ -185,18 +185,18 @@
     }
 
     /// Ends the trial of a task on a worker, which is alive; others of its job are trusted the more for it.
-    pub(crate) fn pass_trial(&mut self, id: &Arc<str>, key: &Key) {
+    pub(crate) fn pass_trial(&mut self, id: &Arc<str>, key: &TaskKey) {
         if !self.end_trial(id, key) {
             return;
         }
         if let Some(job) = self.jobs.get_mut(&key.job) {
-            job.survivors += 1;
+            job.passed_trials += 1;
         }
     }
 
     /// How many suspects of a job may be tried at one time.
     fn most_of_job(&self, id: &Id) -> usize {
-        let survivors = self.jobs.get(id).map_or(0, |job| job.survivors);
+        let survivors = self.jobs.get(id).map_or(0, |job| job.passed_trials);
         OF_JOB * (1 + survivors)
     }
 
@@ -220,5 +220,5 @@
 /// What is lost if a worker crashes, in thousandths of a core.
 pub(crate) fn harm(worker: &Worker) -> u64 {
     let new = worker.slots.values().filter(|slot| worker.is_early(slot));
-    worker.firm.cpu + worker.filling + new.count() as u64 * NEWCOMER
+    worker.reserved.cpu + worker.filling_cpu + new.count() as u64 * NEWCOMER
 }
--- a/components/cell/src/drain.rs
+++ b/components/cell/src/drain.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::Cell,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     job::Phase,
     std::sync::Arc,
@@ -35,9 +35,9 @@
     /// store are back soon after it.
     fn is_to_empty(&self, worker: &Worker, now: u64) -> bool {
         let is_gone = worker
-            .vanished
-            .is_some_and(|since| now >= since.max(self.steady + BACK_AFTER));
-        worker.entry.leaving || worker.closing || is_gone
+            .unlisted_since
+            .is_some_and(|since| now >= since.max(self.listings_since + BACK_AFTER));
+        worker.entry.leaving || worker.draining || is_gone
     }
 
     /// Stops tasks of a leaving worker that can go on elsewhere, a few at a time.
@@ -69,7 +69,7 @@
     }
 
     /// True when stopping the task loses no work, and does not take too many of its step away.
-    fn is_movable(&self, key: &Key) -> bool {
+    fn is_movable(&self, key: &TaskKey) -> bool {
         let Some(job) = self.jobs.get(&key.job) else {
             return false;
         };
@@ -92,14 +92,14 @@
     }
 
     /// True when a task is not known to be at work at full speed.
-    fn is_away(&self, key: &Key, place: usize) -> bool {
+    fn is_away(&self, key: &TaskKey, place: usize) -> bool {
         let Some(job) = self.jobs.get(&key.job) else {
             return true;
         };
         let Phase::Placed(at) = &job.progress.tasks[place].phase else {
             return true;
         };
-        let key = Key {
+        let key = TaskKey {
             job: key.job.clone(),
             place,
         };
--- a/components/cell/src/gang.rs
+++ b/components/cell/src/gang.rs
@@ -52,7 +52,7 @@
             }
             return;
         }
-        self.ask(rank, address, step, now);
+        self.request_advice(rank, address, step, now);
     }
 
     /// All members must go on from the same checkpoint; any member's is good.
@@ -121,7 +121,7 @@
                     && is_alone
                     && self.may_try(id, suspicion)
                     && job.is_advised(address, id, now)
-                    && self.suits(job, address, image, worker, before, now)
+                    && self.is_feasible(job, address, image, worker, before, now)
             };
             let cost = |worker: &Worker| self.cost(step, image, worker);
             let id = cheapest(self.workers.iter(), will_do, cost)?;
--- a/components/cell/src/halls.rs
+++ b/components/cell/src/halls.rs
@@ -1,4 +1,4 @@
-//! Data halls that the operators have shut: nothing starts there until they are open again.
+//! Data halls that the operators have set_shut_halls: nothing starts there until they are open again.
 //!
 //! What runs there goes on. Its workers are sound, and a move costs a stop, a start and the work since the last
 //! checkpoint, for nothing that anybody who waits would gain. It moves where it would move elsewhere too: slowed tasks
@@ -8,23 +8,23 @@
     crate::{
         cell::Cell,
         order::Order,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     std::{collections::HashSet, sync::Arc},
 };
 
 impl Cell {
     /// Takes in which data halls are shut now. Starts for them that have not left yet are taken back.
-    pub fn shut(&mut self, halls: HashSet<Arc<str>>) {
-        if self.shut == halls {
+    pub fn set_shut_halls(&mut self, halls: HashSet<Arc<str>>) {
+        if self.shut_halls == halls {
             return;
         }
-        let former = std::mem::replace(&mut self.shut, halls);
+        let former = std::mem::replace(&mut self.shut_halls, halls);
         for worker in self.workers.values_mut() {
-            let is_shut = self.shut.contains(&worker.entry.hall);
+            let is_shut = self.shut_halls.contains(&worker.entry.hall);
             worker.changed |= former.contains(&worker.entry.hall) && !is_shut;
         }
-        for hall in self.shut.difference(&former) {
+        for hall in self.shut_halls.difference(&former) {
             let workers = self.workers.iter();
             let here = workers.filter(|(_, worker)| worker.entry.hall == *hall);
             let (mut count, mut running) = (0, 0);
@@ -39,7 +39,7 @@
 
     /// True for a worker in a data hall that is shut.
     pub(crate) fn is_shut(&self, worker: &Worker) -> bool {
-        !self.shut.is_empty() && self.shut.contains(&worker.entry.hall)
+        !self.shut_halls.is_empty() && self.shut_halls.contains(&worker.entry.hall)
     }
 }
 
@@ -47,7 +47,7 @@
 /// stop sent after it would end lasting tasks that have just begun to work, several of a step at once.
 fn withdraw(id: &Arc<str>, worker: &Worker, orders: &mut Vec<(Arc<str>, Order)>) {
     let sent = worker.slots.iter().filter(|(_, slot)| slot.is_sent());
-    let mut starts: Vec<(&Key, u64)> = sent.map(|(key, slot)| (key, slot.run)).collect();
+    let mut starts: Vec<(&TaskKey, u64)> = sent.map(|(key, slot)| (key, slot.run)).collect();
     starts.sort();
     for (key, run) in starts {
         let key = key.clone();
--- a/components/cell/src/lives.rs
+++ b/components/cell/src/incarnations.rs
@@ -12,7 +12,7 @@
 //!
 //! A poll of a life that is over may be answered by the later one. That tells whom to poll, and not yet that what was meant
 //! for the former life is not begun by the later one: only the answer to its own poll does, since it takes nothing meant for
-//! the former life after that. See [`crate::follow`].
+//! the former life after that. See [`crate::successor`].
 
 use {
     crate::{
@@ -31,29 +31,29 @@
 
 impl Cell {
     /// Takes in the whole listing of workers. Returns those that are new.
-    pub fn list(&mut self, listing: impl Into<Listing>, now: u64) -> Vec<Entry> {
+    pub fn handle_listing(&mut self, listing: impl Into<Listing>, now: u64) -> Vec<Entry> {
         let listing = listing.into();
-        if now > self.listed + LIST_LATE {
-            self.steady = now;
+        if now > self.last_listing + LIST_LATE {
+            self.listings_since = now;
         }
         self.regain(now);
-        self.listed = now;
+        self.last_listing = now;
         self.note_listed(&listing, now);
         let mut added = Vec::new();
         for entry in listing.entries {
-            self.drop_unproven(&entry, now);
+            self.drop_unconfirmed(&entry, now);
             if self.workers.contains_key(&entry.id) {
                 self.update(entry, now);
                 continue;
             }
-            if self.over.contains(&entry.id) || self.is_answered_for(&entry) {
+            if self.ended_incarnations.contains(&entry.id) || self.is_polled_elsewhere(&entry) {
                 continue;
             }
             log::info!(target: "cell", worker = &*entry.id, address = &*entry.address, rack = entry.rack(), cpu = entry.size.cpu; "A worker is new.");
-            added.push(self.join(Worker::new(entry)));
+            added.push(self.add_worker(Worker::new(entry)));
             self.fleet_dirty = true;
         }
-        self.note_shared();
+        self.find_ambiguous();
         self.drain(now);
         added
     }
@@ -67,22 +67,22 @@
             .chain(listing.unreadable.iter().map(|name| (name, None)))
             .collect();
         let ids: HashSet<&Arc<str>> = names.values().flatten().copied().collect();
-        self.over
+        self.ended_incarnations
             .retain(|id| ids.contains(id) || names.contains_key(id));
         for (id, worker) in &mut self.workers {
             let entry = names.get(&worker.entry.name);
             let is_listed = entry.is_some();
             if is_listed {
-                worker.vanished = None;
-            } else if worker.vanished.is_none() {
-                worker.vanished = Some(now);
+                worker.unlisted_since = None;
+            } else if worker.unlisted_since.is_none() {
+                worker.unlisted_since = Some(now);
             }
             let is_garbled = entry.is_some_and(|own| *own != Some(id));
-            if worker.garbled != is_garbled {
+            if worker.entry_invalid != is_garbled {
                 log::warn!(target: "cell", worker = &**id, garbled = is_garbled; "Whether the entry of a worker is its own and can be read has changed.");
                 worker.changed = true;
             }
-            worker.garbled = is_garbled;
+            worker.entry_invalid = is_garbled;
             if worker.listed != is_listed {
                 log::info!(target: "cell", worker = &**id, listed = is_listed; "The listing of a worker has changed.");
             }
@@ -92,7 +92,7 @@
 
     /// Takes over workers that a former owner knew and that are not listed now. Returns those that are
     /// new; the address of one may be listed for another life.
-    pub fn inherit(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn restore_workers(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let mut added = Vec::new();
         for entry in entries {
             if self.workers.contains_key(&entry.id) {
@@ -102,21 +102,21 @@
             let mut worker = Worker::new(entry);
             worker.listed = false;
             worker.recorded = true;
-            worker.proven = true;
-            added.push(self.join_beside(worker));
+            worker.confirmed = true;
+            added.push(self.add_restored_worker(worker));
         }
-        self.note_shared();
+        self.find_ambiguous();
         added
     }
 
     /// Notes the names and addresses of more than one life, so that reports of all others need no look at them.
-    fn note_shared(&mut self) {
-        self.shared.clear();
+    fn find_ambiguous(&mut self) {
+        self.ambiguous.clear();
         let mut seen = HashSet::with_capacity(2 * self.workers.len());
         for worker in self.workers.values() {
             for own in [&worker.entry.name, &worker.entry.address] {
                 if !seen.insert(own.clone()) {
-                    self.shared.insert(own.clone());
+                    self.ambiguous.insert(own.clone());
                 }
             }
         }
@@ -124,11 +124,11 @@
 
     /// Ends the lives that this one has followed: earlier ones of its name, and others at its address where it answered a
     /// poll that was sent after they had last answered.
-    pub(crate) fn outlive(&mut self, id: &Arc<str>, sent: u64, now: u64) {
+    pub(crate) fn end_predecessors(&mut self, id: &Arc<str>, sent: u64, now: u64) {
         let Some(own) = self.workers.get(id).map(|own| &own.entry) else {
             return;
         };
-        if !self.shared.contains(&own.address) && !self.shared.contains(&own.name) {
+        if !self.ambiguous.contains(&own.address) && !self.ambiguous.contains(&own.name) {
             return;
         }
         let mut former = Vec::new();
@@ -144,19 +144,19 @@
             }
         }
         for other in former {
-            self.end_life(&other, "a later life answers", now);
+            self.end_incarnation(&other, "a later life answers", now);
         }
     }
 
     /// Takes in proof that a life is over: its entry counts no more, however long it stays listed.
-    pub fn end_life(&mut self, id: &Arc<str>, cause: &str, now: u64) {
+    pub fn end_incarnation(&mut self, id: &Arc<str>, cause: &str, now: u64) {
         self.suspect_crashed(id, now);
-        self.lose(id, cause, now);
-        self.over.insert(id.clone());
+        self.remove_worker(id, cause, now);
+        self.ended_incarnations.insert(id.clone());
     }
 
     /// Forgets a worker, and frees all that it had.
-    pub(crate) fn lose(&mut self, id: &Arc<str>, cause: &str, now: u64) {
+    pub(crate) fn remove_worker(&mut self, id: &Arc<str>, cause: &str, now: u64) {
         self.tell_lost(id, cause, now);
         let Some(worker) = self.workers.remove(id) else {
             return;
@@ -164,21 +164,21 @@
         self.crashes.losses.leave(&worker);
         log::warn!(target: "cell", worker = &**id, address = &*worker.entry.address, cause, tasks = worker.slots.len(), listed = worker.listed; "A worker is gone.");
         self.fleet_dirty = true;
-        self.gone.push(id.clone());
-        self.fenced(id);
-        self.heard(id);
+        self.removed.push(id.clone());
+        self.mark_fenced(id);
+        self.mark_reported(id);
         for key in worker.slots.keys() {
-            self.free_from(id, key);
+            self.requeue_from(id, key);
         }
     }
 
     /// The workers that were forgotten since the last call: nobody needs to talk to them any more.
-    pub fn take_gone(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.gone)
+    pub fn take_removed(&mut self) -> Vec<Arc<str>> {
+        std::mem::take(&mut self.removed)
     }
 
     /// True when the worker is still known.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn has_worker(&self, id: &str) -> bool {
         self.workers.contains_key(id)
     }
 }
--- a/components/cell/src/admit.rs
+++ b/components/cell/src/jobs.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::{Cell, Job, Rank},
-        worker::Key,
+        worker::TaskKey,
     },
     job::{Id, Phase, Progress, Record, State, Submission},
     std::{
@@ -31,7 +31,7 @@
     pub fn admit(&mut self, submission: Submission, wall: u64) -> bool {
         let id = submission.id.clone();
         let progress = Progress::new(Arc::new(submission));
-        let is_new = self.enter(progress, self.recovery.is_some(), wall);
+        let is_new = self.insert_job(progress, self.recovery.is_some(), wall);
         self.adopt_pending(&id);
         is_new
     }
@@ -39,30 +39,30 @@
     /// Takes in a job that a former owner has worked on.
     pub fn resume(&mut self, submission: Submission, record: &Record, wall: u64) {
         let progress = Progress::resume(Arc::new(submission), record);
-        self.enter(progress, true, wall);
+        self.insert_job(progress, true, wall);
     }
 
     /// Takes in a job that has ended.
-    pub fn close(&mut self, id: Id, record: &Record) {
-        self.closed.insert(id, (record.state, record.ended));
+    pub fn add_ended(&mut self, id: Id, record: &Record) {
+        self.ended_jobs.insert(id, (record.state, record.ended));
     }
 
     /// Puts a job in. False when it is known already.
-    fn enter(&mut self, progress: Progress, unsure: bool, wall: u64) -> bool {
+    fn insert_job(&mut self, progress: Progress, unsure: bool, wall: u64) -> bool {
         let submission = progress.submission.clone();
         let id = submission.id.clone();
-        if self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
+        if self.jobs.contains_key(&id) || self.ended_jobs.contains_key(&id) {
             return false;
         }
         let steps = submission.spec.steps.len() * submission.spec.times() as usize;
         let job = Job {
             rank: rank(&progress),
-            lined: None,
-            hurried: false,
-            pressed: false,
-            unkept: false,
-            stranded: BTreeSet::new(),
-            survivors: 0,
+            waiting_since: None,
+            urgent: false,
+            overdue: false,
+            crash_unwritten: false,
+            untried: BTreeSet::new(),
+            passed_trials: 0,
             suspects: progress
                 .crashed()
                 .into_iter()
@@ -70,35 +70,36 @@
                 .collect(),
             advice: HashMap::new(),
             ready: BTreeSet::new(),
-            opened: vec![false; steps],
-            shown: progress.state,
-            began: progress.state == State::Running,
-            unsure,
+            steps_ready: vec![false; steps],
+            written_state: progress.state,
+            started: progress.state == State::Running,
+            unconfirmed: unsure,
             progress,
         };
         self.jobs.insert(id.clone(), job);
-        self.name_strays(&id);
+        self.rekey_strays(&id);
         if submission.spec.timetable.is_some() {
-            self.timed.insert(id.clone());
+            self.timetabled.insert(id.clone());
         }
         self.condemn_known(&id);
-        self.open(&id, wall);
+        self.ready_steps(&id, wall);
         true
     }
 
     /// Makes the tasks ready whose steps are due and wait for nothing any more.
-    pub(crate) fn open(&mut self, id: &Id, wall: u64) {
+    pub(crate) fn ready_steps(&mut self, id: &Id, wall: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let spec = &job.progress.submission.spec;
         let steps = spec.steps.len();
-        for number in 0..job.opened.len() {
+        for number in 0..job.steps_ready.len() {
             let (time, step) = ((number / steps) as u32, (number % steps) as u16);
-            if job.opened[number] || wall < spec.due(time) || !job.progress.is_open(time, step) {
+            if job.steps_ready[number] || wall < spec.due(time) || !job.progress.is_open(time, step)
+            {
                 continue;
             }
-            job.opened[number] = true;
+            job.steps_ready[number] = true;
             for place in job.progress.places(time, step) {
                 if job.progress.tasks[place].phase == Phase::Waiting {
                     job.ready.insert(place);
@@ -106,19 +107,19 @@
             }
         }
         if !job.ready.is_empty() {
-            self.line.insert(job.rank.clone());
+            self.ready_jobs.insert(job.rank.clone());
         }
     }
 
     /// Opens the times of jobs with a timetable that are due now.
-    pub fn open_due(&mut self, wall: u64) {
-        let timed: Vec<Id> = self.timed.iter().cloned().collect();
+    pub fn ready_due_steps(&mut self, wall: u64) {
+        let timed: Vec<Id> = self.timetabled.iter().cloned().collect();
         for id in timed {
             if !self.jobs.contains_key(&id) {
-                self.timed.remove(&id);
+                self.timetabled.remove(&id);
                 continue;
             }
-            self.open(&id, wall);
+            self.ready_steps(&id, wall);
         }
     }
 
@@ -127,20 +128,20 @@
     /// waited, where there is room for more than one of their tasks. The times are since 1970 and on our
     /// clock.
     pub fn rerank(&mut self, wall: u64, now: u64) {
-        self.weigh();
+        self.update_backlog();
         self.give_up(wall, now);
         let mut late = Vec::new();
         let mut waiting = Vec::new();
-        for rank in &self.line {
+        for rank in &self.ready_jobs {
             let is_near = wall + rank.span / HURRY_PART > rank.objective;
             let Some(job) = self.jobs.get_mut(&rank.id) else {
                 continue;
             };
-            job.hurried |= is_near;
+            job.urgent |= is_near;
             if job.progress.submission.spec.is_lasting() {
-                let since = *job.lined.get_or_insert(wall);
-                job.pressed = wall > since + LAST_WAIT;
-                if job.pressed {
+                let since = *job.waiting_since.get_or_insert(wall);
+                job.overdue = wall > since + LAST_WAIT;
+                if job.overdue {
                     waiting.push((rank.clone(), wall > since + LAST_LONG));
                 }
                 continue;
@@ -152,17 +153,17 @@
         }
         for (rank, is_long) in waiting {
             let goes_last = !is_long && !self.has_spare(&rank, now);
-            self.line.remove(&rank);
+            self.ready_jobs.remove(&rank);
             if let Some(job) = self.jobs.get_mut(&rank.id) {
                 job.rank.lasting = goes_last;
-                self.line.insert(job.rank.clone());
+                self.ready_jobs.insert(job.rank.clone());
             }
         }
         for rank in late {
-            self.line.remove(&rank);
+            self.ready_jobs.remove(&rank);
             if let Some(job) = self.jobs.get_mut(&rank.id) {
                 job.rank.late = true;
-                self.line.insert(job.rank.clone());
+                self.ready_jobs.insert(job.rank.clone());
             }
         }
     }
@@ -180,18 +181,18 @@
         let suiting = self
             .workers
             .values()
-            .filter(|worker| self.suits(job, address, image, worker, 0, now));
+            .filter(|worker| self.is_feasible(job, address, image, worker, 0, now));
         suiting.take(2).count() == 2
     }
 
     /// Carries out a cancellation that is written down. False when the job is not known here.
     pub fn cancel(&mut self, id: &Id, now: u64, wall: u64) -> bool {
         if !self.jobs.contains_key(id) {
-            return self.closed.contains_key(id);
+            return self.ended_jobs.contains_key(id);
         }
         self.finish(id, State::Cancelled, now, wall);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.shown = State::Cancelled;
+            job.written_state = State::Cancelled;
         }
         true
     }
@@ -215,12 +216,12 @@
                 placed.push((worker.clone(), place));
             }
         }
-        self.line.remove(&rank);
+        self.ready_jobs.remove(&rank);
         // Its caller waits for the end to be written down; what others have done so far can wait.
         self.dirty.insert_first(id.clone());
         for (worker, place) in placed {
             let job = id.clone();
-            self.stop(&worker, &Key { job, place }, now);
+            self.stop(&worker, &TaskKey { job, place }, now);
         }
     }
 }
--- a/components/cell/src/lapse.rs
+++ b/components/cell/src/lease_expiry.rs
@@ -1,7 +1,7 @@
 //! Workers that are not heard, and leases that are over.
 
 use {
-    crate::{cell::Cell, worker::Key},
+    crate::{cell::Cell, worker::TaskKey},
     job::Phase,
     std::sync::Arc,
 };
@@ -12,11 +12,11 @@
 
 impl Cell {
     /// Notes that a poll of a worker failed: it gets no work for a moment.
-    pub fn unheard(&mut self, id: &str, now: u64) {
+    pub fn poll_failed(&mut self, id: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.shun(now);
-            if worker.silent.is_none() {
-                worker.silent = Some(now);
+            worker.back_off(now);
+            if worker.unreachable_since.is_none() {
+                worker.unreachable_since = Some(now);
                 self.crashes.losses.renew(worker);
             }
         }
@@ -26,12 +26,12 @@
     ///
     /// A worker that answers may have ends to tell, from before its leases were over: where it just
     /// was not asked in time, tasks that can be done are left alone until it is.
-    pub fn lapse(&mut self, now: u64) {
+    pub fn expire_leases(&mut self, now: u64) {
         let mut over = Vec::new();
         for (id, worker) in &self.workers {
-            let (is_over, may_tell) = match worker.lapses() {
+            let (is_over, may_tell) = match worker.leases_end() {
                 Some(lapses) => {
-                    let is_reached = worker.listed && !worker.is_silent();
+                    let is_reached = worker.listed && !worker.is_unreachable();
                     (now >= lapses, is_reached && now < lapses + TELL)
                 }
                 None => (!worker.listed && self.recovery.is_none(), false),
@@ -45,19 +45,19 @@
                 self.tell_lost(&id, "its leases are over", now);
                 self.suspect_lapsed(&id, now);
             }
-            self.expire(&id, may_tell);
+            self.release_expired(&id, may_tell);
             let is_listed = self.workers.get(&id).is_some_and(|worker| worker.listed);
             if !is_listed {
-                self.lose(&id, "its leases are over and it is not listed", now);
+                self.remove_worker(&id, "its leases are over and it is not listed", now);
             }
         }
         self.forget_crashes(now);
-        self.settle(now);
+        self.update_recovery(now);
     }
 
     /// Frees the tasks of a worker whose leases are over, or just its lasting ones; it has to answer
     /// anew before it gets work.
-    fn expire(&mut self, id: &Arc<str>, lasting_only: bool) {
+    fn release_expired(&mut self, id: &Arc<str>, lasting_only: bool) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -78,22 +78,22 @@
         if keys.is_empty() {
             return;
         }
-        log::warn!(target: "cell", worker = &**id, tasks = keys.len(), failing = worker.is_silent(), lasting_only; "All leases of a worker are over.");
+        log::warn!(target: "cell", worker = &**id, tasks = keys.len(), failing = worker.is_unreachable(), lasting_only; "All leases of a worker are over.");
         for key in &keys {
-            worker.release(key);
+            worker.remove_slot(key);
         }
         for key in &keys {
-            self.free_from(id, key);
+            self.requeue_from(id, key);
         }
     }
 
     /// Frees a task if it was placed on this worker.
-    pub(crate) fn free_from(&mut self, id: &Arc<str>, key: &Key) {
+    pub(crate) fn requeue_from(&mut self, id: &Arc<str>, key: &TaskKey) {
         let job = self.jobs.get(&key.job);
         let task = job.and_then(|job| job.progress.tasks.get(key.place));
         let is_here = task.is_some_and(|task| matches!(&task.phase, Phase::Placed(at) if at == id));
         if is_here {
-            self.free(key);
+            self.requeue(key);
         }
     }
 }
--- a/components/cell/src/wave.rs
+++ b/components/cell/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: each machine of a wave is emptied, goes down for a moment and comes back.
+//! Waves of plan_maintenance: each machine of a wave is emptied, goes down for a moment and comes back.
 
 use {
     crate::{cell::Cell, worker::Worker},
@@ -34,14 +34,14 @@
     /// It is up.
     pub up: bool,
     /// It is down for its upkeep.
-    pub upkeep: bool,
+    pub in_maintenance: bool,
     /// The name of its worker, while it is up.
     pub worker: Option<Arc<str>>,
 }
 
 /// An order to let a machine go down for its upkeep.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Upkeep {
+pub struct MaintenanceOrder {
     /// The wave.
     pub wave: u64,
     /// The machine.
@@ -50,7 +50,7 @@
 
 /// How far a wave is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct WaveStatus {
     /// The wave.
     pub wave: u64,
     /// Machines that are done.
@@ -82,7 +82,12 @@
 
 impl Cell {
     /// Takes in the waves and the machines as they are, and returns what to order now.
-    pub fn upkeep(&mut self, waves: &[Wave], machines: &[Machine], now: u64) -> Vec<Upkeep> {
+    pub fn plan_maintenance(
+        &mut self,
+        waves: &[Wave],
+        machines: &[Machine],
+        now: u64,
+    ) -> Vec<MaintenanceOrder> {
         let listed: BTreeMap<&str, &Machine> = machines
             .iter()
             .map(|machine| (&*machine.name, machine))
@@ -103,7 +108,7 @@
                 };
                 progress.closing.remove(&machine);
                 progress.begun.insert(machine.clone(), before);
-                orders.push(Upkeep {
+                orders.push(MaintenanceOrder {
                     wave: wave.number,
                     machine,
                 });
@@ -139,24 +144,24 @@
         }
         for (id, worker) in &mut self.workers {
             let is_closing = closing.contains(&worker.entry.name) || ending.contains(id);
-            if worker.closing == is_closing {
+            if worker.draining == is_closing {
                 continue;
             }
             log::info!(target: "cell", worker = &**id, closing = is_closing; "Whether a worker is emptied for its upkeep has changed.");
-            worker.closing = is_closing;
+            worker.draining = is_closing;
             worker.changed = true;
         }
     }
 
     /// Takes in that an order was surely not carried out.
-    pub fn upkeep_refused(&mut self, order: &Upkeep) {
+    pub fn maintenance_refused(&mut self, order: &MaintenanceOrder) {
         if let Some(progress) = self.waves.get_mut(&order.wave) {
             progress.begun.remove(&order.machine);
         }
     }
 
     /// How far the waves are.
-    pub fn standings(&self, waves: &[Wave]) -> Vec<Standing> {
+    pub fn wave_statuses(&self, waves: &[Wave]) -> Vec<WaveStatus> {
         let mut standings = Vec::new();
         for wave in waves {
             let Some(progress) = self.waves.get(&wave.number) else {
@@ -164,7 +169,7 @@
             };
             let mut done: Vec<Arc<str>> = progress.done.iter().cloned().collect();
             done.sort();
-            standings.push(Standing {
+            standings.push(WaveStatus {
                 wave: wave.number,
                 complete: wave
                     .machines
@@ -197,7 +202,7 @@
                 continue;
             };
             if let Some(worker) = self.worker_of(machine) {
-                worker.closing = true;
+                worker.draining = true;
             }
             log::info!(target: "cell", wave = wave.number, machine = &**name; "A machine is emptied for its upkeep.");
             progress.closing.insert(name.clone(), now);
@@ -218,7 +223,7 @@
                 continue;
             };
             let worker = machine.worker.as_deref();
-            let worker = worker.and_then(|own| self.latest(own));
+            let worker = worker.and_then(|own| self.latest_incarnation(own));
             let is_patient = now < since + PATIENCE;
             let must_wait = |worker: &Worker| {
                 worker.slots.iter().any(|(key, slot)| {
@@ -244,7 +249,8 @@
 
     /// The latest known life of the worker of a name.
     fn life_of(&self, name: &str) -> Option<Arc<str>> {
-        self.latest(name).map(|worker| worker.entry.id.clone())
+        self.latest_incarnation(name)
+            .map(|worker| worker.entry.id.clone())
     }
 
     /// Notes the machines that have come back with another worker or another life of theirs, or are not there any more.
@@ -260,7 +266,7 @@
             let Some(before) = progress.begun.get_mut(name) else {
                 continue;
             };
-            before.was_down |= machine.upkeep;
+            before.was_down |= machine.in_maintenance;
             let Some(worker) = machine.worker.as_ref().filter(|_| machine.up) else {
                 continue;
             };
--- a/components/cell/src/order.rs
+++ b/components/cell/src/order.rs
@@ -1,7 +1,7 @@
 //! What is sent to workers and what comes back.
 
 use {
-    crate::worker::Key,
+    crate::worker::TaskKey,
     job::{Address, Id},
     serde::{Deserialize, Serialize},
     std::{fmt, sync::Arc},
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The task.
-    pub key: Key,
+    pub key: TaskKey,
     /// Its name within its job.
     pub address: Address,
     /// The number of the run.
@@ -34,7 +34,7 @@
     /// Stop a run.
     Stop {
         /// The task.
-        key: Key,
+        key: TaskKey,
         /// Its name within its job.
         address: Address,
         /// The number of the run.
@@ -43,7 +43,7 @@
     /// Let a task work at a share of its speed.
     Pace {
         /// The task.
-        key: Key,
+        key: TaskKey,
         /// Its name within its job.
         address: Address,
         /// The number of the run.
@@ -54,7 +54,7 @@
     /// Do not let the start of a run leave that still waits behind other orders. The worker is told nothing.
     Withdraw {
         /// The task.
-        key: Key,
+        key: TaskKey,
         /// The number of the run.
         run: u64,
     },
@@ -80,7 +80,7 @@
 
 /// Why a worker refused an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum Refusal {
     /// It has seen a higher fence: another owner has taken over.
     Fence,
     /// The run is not above one that it knows.
@@ -107,14 +107,14 @@
     /// Carried out.
     Done,
     /// Surely not carried out.
-    Refused(Reason),
+    Refused(Refusal),
     /// No whole answer: it may have been carried out, or may be later.
     Unknown,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum EndCause {
     /// Well.
     Done,
     /// By its own fault or the worker's.
@@ -147,7 +147,7 @@
 
 /// A run that a worker lists as ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct RunEnd {
     /// Counts up from 1 in the worker's life.
     pub number: u64,
     /// The job.
@@ -157,7 +157,7 @@
     /// The number of the run.
     pub run: u64,
     /// How it ended.
-    pub how: How,
+    pub how: EndCause,
     /// Its newest checkpoint.
     pub saved: Option<Arc<str>>,
 }
@@ -170,5 +170,5 @@
     /// What runs.
     pub running: Vec<Run>,
     /// What ended and is not acknowledged, the oldest first.
-    pub ended: Vec<End>,
+    pub ended: Vec<RunEnd>,
 }
--- a/components/cell/src/answer.rs
+++ b/components/cell/src/outcome.rs
@@ -3,21 +3,27 @@
 use {
     crate::{
         cell::Cell,
-        order::{Order, Outcome, Reason, Start},
+        order::{Order, Outcome, Refusal, Start},
         slot::Stage,
-        worker::Key,
+        worker::TaskKey,
     },
     std::sync::Arc,
 };
 
 impl Cell {
     /// Takes in what came of an order. True when it shows that another owner has taken over.
-    pub fn answered(&mut self, id: &Arc<str>, order: &Order, outcome: Outcome, now: u64) -> bool {
+    pub fn handle_outcome(
+        &mut self,
+        id: &Arc<str>,
+        order: &Order,
+        outcome: Outcome,
+        now: u64,
+    ) -> bool {
         let outcome = match outcome {
-            Outcome::Refused(Reason::Fence) if self.is_past(id) => {
-                Outcome::Refused(Reason::NotSent)
+            Outcome::Refused(Refusal::Fence) if self.is_superseded(id) => {
+                Outcome::Refused(Refusal::NotSent)
             }
-            Outcome::Refused(Reason::Fence) => return true,
+            Outcome::Refused(Refusal::Fence) => return true,
             outcome => outcome,
         };
         if let Order::Start(start) = order {
@@ -25,8 +31,8 @@
             self.started(id, start, outcome, now);
             self.renew_loss(id);
         }
-        if outcome == Outcome::Refused(Reason::OtherLife) {
-            self.end_life(id, "another life answers", now);
+        if outcome == Outcome::Refused(Refusal::OtherLife) {
+            self.end_incarnation(id, "another life answers", now);
             return false;
         }
         if let Order::Stop { key, run, .. } = order
@@ -38,7 +44,7 @@
     }
 
     /// Takes in that a worker has confirmed an order to stop.
-    fn stopped(&mut self, id: &Arc<str>, key: &Key, run: u64, now: u64) {
+    fn stopped(&mut self, id: &Arc<str>, key: &TaskKey, run: u64, now: u64) {
         let slot = self
             .workers
             .get_mut(id)
@@ -47,7 +53,7 @@
             && slot.run == run
             && slot.is_sent()
         {
-            slot.barred = Some(now);
+            slot.start_cancelled = Some(now);
         }
     }
 
@@ -66,23 +72,23 @@
         match outcome {
             Outcome::Done => {
                 slot.stage = Stage::Running { at: now };
-                self.begun(&start.key);
+                self.mark_started(&start.key);
             }
             Outcome::Unknown => {
                 slot.unanswered = Some(now);
-                worker.shun(now);
+                worker.back_off(now);
             }
             Outcome::Refused(reason) => {
                 log::info!(target: "cell", job = start.key.job.as_str(), place = start.key.place, worker = &**id, run = start.run, reason:? = reason; "A start is refused.");
                 // One that was taken back before it left says nothing of its worker: 51 cores stood open for 0.5 s.
-                if !(reason == Reason::NotSent && is_stopping) {
-                    worker.shun(now);
+                if !(reason == Refusal::NotSent && is_stopping) {
+                    worker.back_off(now);
                 }
-                worker.release(&start.key);
-                if reason == Reason::Ticket {
+                worker.remove_slot(&start.key);
+                if reason == Refusal::Ticket {
                     self.drop_ticket(&start.key.job, start.address, id);
                 }
-                self.free_if_placed_nowhere(&start.key);
+                self.requeue_if_unplaced(&start.key);
             }
         }
     }
--- a/components/cell/src/waits.rs
+++ b/components/cell/src/overdue.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         cell::{Cell, Job},
-        choose::Past,
-        worker::Key,
+        choose::History,
+        worker::TaskKey,
     },
     job::Phase,
     std::collections::BTreeMap,
@@ -50,10 +50,10 @@
 impl Cell {
     /// Tells of lasting tasks that wait for longer than they should, those of jobs that have waited longest. Returns how
     /// many there are.
-    pub fn tell_waits(&self, wall: u64, now: u64) -> usize {
-        let mut overdue: Vec<(u64, Key)> = Vec::new();
+    pub fn log_overdue(&self, wall: u64, now: u64) -> usize {
+        let mut overdue: Vec<(u64, TaskKey)> = Vec::new();
         for (id, job) in &self.jobs {
-            let Some(since) = job.lined.filter(|since| wall > since + TOLD_AFTER) else {
+            let Some(since) = job.waiting_since.filter(|since| wall > since + TOLD_AFTER) else {
                 continue;
             };
             if !job.progress.submission.spec.is_lasting() {
@@ -61,7 +61,7 @@
             }
             for &place in &job.ready {
                 let job = id.clone();
-                overdue.push((since, Key { job, place }));
+                overdue.push((since, TaskKey { job, place }));
             }
         }
         overdue.sort();
@@ -74,14 +74,16 @@
     }
 
     /// Tells why a task waits: what it waits for by itself, and by which obstacles how many workers are out.
-    fn tell_wait(&self, key: &Key, job: &Job, wall: u64, now: u64) {
-        let waited = job.lined.map_or(0, |since| wall.saturating_sub(since));
-        let is_in_line = self.line.contains(&job.rank);
+    fn tell_wait(&self, key: &TaskKey, job: &Job, wall: u64, now: u64) {
+        let waited = job
+            .waiting_since
+            .map_or(0, |since| wall.saturating_sub(since));
+        let is_in_line = self.ready_jobs.contains(&job.rank);
         let must_wait = self.must_wait(&key.job, key.place);
-        let past = self.past(&job.rank, key.place);
+        let past = self.history(&job.rank, key.place);
         let trials = self.trials_of(&key.job);
         let cpu = job.progress.step(key.place).size.cpu;
-        let is_unsure = job.unsure && self.recovery.is_some();
+        let is_unsure = job.unconfirmed && self.recovery.is_some();
         let obstacles = self.obstacles(job, key.place, past, now);
         let free = obstacles.get(&None).copied().unwrap_or_default();
         let told: Vec<String> = obstacles
@@ -89,7 +91,7 @@
             .filter_map(|(obstacle, count)| Some(format!("{:?}={count}", (*obstacle)?)))
             .collect();
         let obstacles = told.join(" ");
-        log::warn!(target: "cell", job = key.job.as_str(), place = key.place, cpu, waited, line = is_in_line, unsure = is_unsure, suspicion:? = past.suspicion, unkept = job.unkept, barred = must_wait, trials, free, obstacles = obstacles.as_str(); "A lasting task waits.");
+        log::warn!(target: "cell", job = key.job.as_str(), place = key.place, cpu, waited, line = is_in_line, unsure = is_unsure, suspicion:? = past.suspicion, unkept = job.crash_unwritten, barred = must_wait, trials, free, obstacles = obstacles.as_str(); "A lasting task waits.");
     }
 
     /// How many workers each obstacle keeps from being given a task; those without one are under `None`.
@@ -97,7 +99,7 @@
         &self,
         job: &Job,
         place: usize,
-        past: Past,
+        past: History,
         now: u64,
     ) -> BTreeMap<Option<Obstacle>, usize> {
         let address = job.progress.submission.spec.address(place);
@@ -106,14 +108,14 @@
         for worker in self.workers.values() {
             let obstacle = self
                 .obstacle(job, address, image, worker, 0, now)
-                .or_else(|| self.obstacle_of_past(job, address, worker, past, now));
+                .or_else(|| self.history_obstacle(job, address, worker, past, now));
             *counts.entry(obstacle).or_default() += 1;
         }
         counts
     }
 
     /// How many tasks that last count as placed on a worker that does not hold them: none, or something is wrong.
-    pub fn lost_places(&self) -> usize {
+    pub fn misplaced_tasks(&self) -> usize {
         let mut count = 0;
         for (id, job) in &self.jobs {
             let is_over = job.progress.state.is_final();
@@ -124,7 +126,7 @@
                 let Phase::Placed(at) = &task.phase else {
                     continue;
                 };
-                let key = Key {
+                let key = TaskKey {
                     job: id.clone(),
                     place,
                 };
--- a/components/cell/src/write.rs
+++ b/components/cell/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What the owner of a cell writes down, and what follows once it is written.
+//! What the owner of a cell writes down, and what follows once it is batch_written.
 
 use {
     crate::{
@@ -12,18 +12,18 @@
 
 /// One group of records to write, and what it covers.
 #[derive(Debug, Clone, Default)]
-pub struct Change {
+pub struct WriteBatch {
     /// Jobs and their records.
     pub records: Vec<(Id, Record)>,
     /// Those of them that have ended and whose specification is kept by itself: it goes with the rest.
-    pub apart: HashSet<Id>,
+    pub separate_specs: HashSet<Id>,
     /// The workers that may hold tasks, when that set has changed.
     pub fleet: Option<Vec<Entry>>,
     /// The ends that are written down with it, by worker.
     pub ends: Vec<(Arc<str>, u64)>,
 }
 
-impl Change {
+impl WriteBatch {
     /// True when there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.fleet.is_none()
@@ -49,14 +49,14 @@
 impl Cell {
     /// What is known of disturbance, when it is due to be written. It goes by itself: nothing waits for it, and with
     /// 16 and 30 images it is larger than many groups of records.
-    pub fn take_learned(&mut self) -> Option<Disturbance> {
-        std::mem::take(&mut self.learned_due).then(|| self.disturbance.clone())
+    pub fn take_disturbance(&mut self) -> Option<Disturbance> {
+        std::mem::take(&mut self.disturbance_due).then(|| self.disturbance.clone())
     }
 
     /// The next group to write, with records that take at most this many entries of the store. The
     /// record of a job that has ended takes two or three: what was submitted goes.
-    pub fn take_change(&mut self, most: usize) -> Change {
-        let mut change = Change::default();
+    pub fn take_write_batch(&mut self, most: usize) -> WriteBatch {
+        let mut change = WriteBatch::default();
         let mut entries = 0;
         while let Some(id) = self.dirty.peek() {
             let job = self.jobs.get(id);
@@ -71,7 +71,7 @@
                 && is_apart
                 && record.state.is_final()
             {
-                change.apart.insert(id.clone());
+                change.separate_specs.insert(id.clone());
             }
             change.records.extend(id.zip(record));
         }
@@ -81,7 +81,7 @@
         }
         for (id, worker) in &self.workers {
             let is_kept = |(_, job): &&(u64, Id)| !self.dirty.contains(job);
-            let last = worker.unwritten.iter().take_while(is_kept).last();
+            let last = worker.unwritten_ends.iter().take_while(is_kept).last();
             if let Some((number, _)) = last {
                 change.ends.push((id.clone(), *number));
             }
@@ -90,7 +90,7 @@
     }
 
     /// Notes that a group is written. Returns the workers whose ends may now be acknowledged.
-    pub fn written(&mut self, change: &Change) -> Vec<Arc<str>> {
+    pub fn batch_written(&mut self, change: &WriteBatch) -> Vec<Arc<str>> {
         for (id, record) in &change.records {
             self.show(id, record);
         }
@@ -102,9 +102,9 @@
             let Some(worker) = self.workers.get_mut(id) else {
                 continue;
             };
-            worker.kept = worker.kept.max(*number);
-            worker.unwritten.retain(|(end, _)| end > number);
-            if worker.unwritten.is_empty() {
+            worker.ends_written = worker.ends_written.max(*number);
+            worker.unwritten_ends.retain(|(end, _)| end > number);
+            if worker.unwritten_ends.is_empty() {
                 kept.push(id.clone());
             }
         }
@@ -124,21 +124,22 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.shown != record.state {
+        if job.written_state != record.state {
             log::info!(target: "cell", job = id.as_str(), state = record.state.word(); "The state of a job is written down.");
         }
-        job.shown = record.state;
-        if job.unkept && record.crashed == job.progress.crashed() {
-            job.unkept = false;
+        job.written_state = record.state;
+        if job.crash_unwritten && record.crashed == job.progress.crashed() {
+            job.crash_unwritten = false;
         }
         if record.state.is_final() {
-            self.closed.insert(id.clone(), (record.state, record.ended));
+            self.ended_jobs
+                .insert(id.clone(), (record.state, record.ended));
             self.jobs.remove(id);
         }
     }
 
     /// Puts a group back that was surely not written, or whose fate is unknown.
-    pub fn unwritten(&mut self, change: Change) {
+    pub fn batch_failed(&mut self, change: WriteBatch) {
         for (id, record) in change.records {
             if record.state.is_final() {
                 self.dirty.insert_first(id);
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -3,14 +3,14 @@
 use {
     crate::{
         cell::{Cell, Job, Rank},
-        choose::{Among, Past},
+        choose::{History, Scope},
         crashes::Suspicion,
         order::{Order, Start},
+        run_log::RUNS_PER_LINE,
+        serving_load::Urgency,
         slot::{Slot, Stage},
-        strain::Press,
         timing,
-        told::TOGETHER,
-        worker::Key,
+        worker::TaskKey,
     },
     job::{Address, Id, Phase, Step, Submission, spec::Size},
     std::{collections::HashSet, ops::Range, sync::Arc},
@@ -37,15 +37,15 @@
     /// Places what can be placed now, but no more than so many tasks, by their order in line: what could not be
     /// told to its worker soon waits here, where more urgent work goes before it. Gangs are placed whole.
     pub fn place_some(&mut self, now: u64, most: usize) {
-        self.room = most;
-        self.looks = 0;
+        self.placements_left = most;
+        self.worker_checks = 0;
         if most == 0 {
             return;
         }
         self.end_trials();
         let changed = self.take_changed(now);
-        self.stuck.retain(|known| now < known.since + TRY_ALL);
-        let line: Vec<Rank> = self.line.iter().cloned().collect();
+        self.unplaceable.retain(|known| now < known.since + TRY_ALL);
+        let line: Vec<Rank> = self.ready_jobs.iter().cloned().collect();
         for rank in line {
             self.place_job(&rank, now, &changed);
             if self.is_spent() {
@@ -57,20 +57,20 @@
     }
 
     /// Gives no work to these workers for now, and to all others again.
-    pub fn hold_back(&mut self, held: HashSet<Arc<str>>) {
-        let free: Vec<Arc<str>> = self.held.difference(&held).cloned().collect();
+    pub fn set_backpressured(&mut self, held: HashSet<Arc<str>>) {
+        let free: Vec<Arc<str>> = self.backpressured.difference(&held).cloned().collect();
         for id in &held {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.held = true;
+                worker.backpressured = true;
             }
         }
         for id in &free {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.held = false;
+                worker.backpressured = false;
             }
         }
         self.mark_changed(&free);
-        self.held = held;
+        self.backpressured = held;
     }
 
     /// Has work that found no room look at these workers again.
@@ -93,7 +93,7 @@
             .drain(..)
             .map(|(place, run, id)| format!("{place}.{run}@{id}"))
             .collect();
-        for told in told.chunks(TOGETHER) {
+        for told in told.chunks(RUNS_PER_LINE) {
             let tasks = told.join(" ");
             log::info!(target: "cell", job = rank.id.as_str(), count = told.len(), tasks = tasks.as_str(); "Tasks are placed.");
         }
@@ -102,10 +102,10 @@
     /// Places the ready tasks of one job.
     fn place_ready(&mut self, rank: &Rank, now: u64, changed: &[Arc<str>]) {
         let Some(job) = self.jobs.get(&rank.id) else {
-            self.line.remove(rank);
+            self.ready_jobs.remove(rank);
             return;
         };
-        if job.unsure && self.recovery.is_some() {
+        if job.unconfirmed && self.recovery.is_some() {
             return;
         }
         let mut next = 0;
@@ -121,7 +121,7 @@
             return;
         };
         if job.ready.is_empty() {
-            self.line.remove(rank);
+            self.ready_jobs.remove(rank);
             job.leave_line();
         }
     }
@@ -155,7 +155,7 @@
         };
         let submission = job.progress.submission.clone();
         let step = &submission.spec.steps[address.step as usize];
-        let need = Need::of(step, &submission, address, self.press(job));
+        let need = Demand::of(step, &submission, address, self.urgency(job));
         let mut is_stuck = self.is_stuck(&need);
         if is_stuck && changed.is_empty() {
             return;
@@ -175,7 +175,7 @@
                 continue;
             }
             let among = is_stuck.then_some(changed);
-            let past = self.past(rank, place);
+            let past = self.history(rank, place);
             if self.place_task(rank, address, place, past, among, now) {
                 continue;
             }
@@ -184,7 +184,7 @@
             }
             let is_advised = submission.queue.advised;
             if is_advised {
-                self.ask(rank, address, step, now);
+                self.request_advice(rank, address, step, now);
             }
             // Fewer workers will do for a task that has failed or is suspected: the others may find room.
             if past.failures > 0 || past.suspicion.is_tried() {
@@ -193,7 +193,7 @@
             if is_stuck || is_advised {
                 return;
             }
-            self.stuck.push(Stuck {
+            self.unplaceable.push(Unplaceable {
                 need: need.clone(),
                 since: now,
             });
@@ -207,14 +207,14 @@
         rank: &Rank,
         address: Address,
         place: usize,
-        past: Past,
+        past: History,
         among: Option<&[Arc<str>]>,
         now: u64,
     ) -> bool {
         let chosen = match among {
             Some(ids) => {
-                self.looks += ids.len();
-                self.choose(rank, address, past, Among::These(ids), now)
+                self.worker_checks += ids.len();
+                self.choose(rank, address, past, Scope::These(ids), now)
             }
             None => self.look_around(rank, address, past, now),
         };
@@ -232,25 +232,25 @@
         &mut self,
         rank: &Rank,
         address: Address,
-        past: Past,
+        past: History,
         now: u64,
     ) -> Option<Arc<str>> {
         let count = self.workers.len();
         if count > LOOK_AT_ALL && !self.is_bound(rank, address) {
-            let from = std::mem::take(&mut self.around);
-            let chosen = self.choose(rank, address, past, Among::From(&from, PART), now);
+            let from = std::mem::take(&mut self.scan_start);
+            let chosen = self.choose(rank, address, past, Scope::From(&from, PART), now);
             let mut after = self.workers.range(from.clone()..);
-            self.around = after
+            self.scan_start = after
                 .nth(PART)
                 .map_or_else(|| "".into(), |(id, _)| id.clone());
-            self.looks += PART;
+            self.worker_checks += PART;
             if chosen.is_some() {
                 return chosen;
             }
         }
-        self.tried += 1;
-        self.looks += count;
-        self.choose(rank, address, past, Among::All, now)
+        self.full_scans += 1;
+        self.worker_checks += count;
+        self.choose(rank, address, past, Scope::All, now)
     }
 
     /// True when few workers may be good for a step.
@@ -263,12 +263,12 @@
 
     /// True when the present pass has placed or looked as much as it may.
     fn is_spent(&self) -> bool {
-        self.room == 0 || self.looks >= LOOKS
+        self.placements_left == 0 || self.worker_checks >= LOOKS
     }
 
     /// True when a need at most as large has found no room lately.
-    fn is_stuck(&self, need: &Need) -> bool {
-        self.stuck.iter().any(|known| known.need.covers(need))
+    fn is_stuck(&self, need: &Demand) -> bool {
+        self.unplaceable.iter().any(|known| known.need.covers(need))
     }
 
     /// The number of the next run of a task.
@@ -288,8 +288,8 @@
             return;
         };
         let deadline = clock + timing::START_WINDOW;
-        worker.granted = worker.granted.max(deadline);
-        let key = Key {
+        worker.max_deadline = worker.max_deadline.max(deadline);
+        let key = TaskKey {
             job: rank.id.clone(),
             place,
         };
@@ -297,35 +297,35 @@
         let address = job.progress.submission.spec.address(place);
         let image = self.disturbance.number(step.image.as_ref());
         let slot = Slot::new(step, address, image, run, Stage::Sent { deadline });
-        worker.hold(key.clone(), slot);
+        worker.add_slot(key.clone(), slot);
         if worker.is_faulty() {
             worker.probe = Some(key.clone());
         }
         let start = job.assign(key.clone(), run, id, deadline, now);
         self.try_out(id, key, run, now);
-        self.room = self.room.saturating_sub(1);
+        self.placements_left = self.placements_left.saturating_sub(1);
         self.placed.push((place, run, id.clone()));
         self.orders.push((id.clone(), Order::Start(start)));
-        self.strain(id, now);
+        self.update_serving_load(id, now);
     }
 }
 
 impl Job {
     /// Forgets for how long its tasks have waited: none of them does any more.
     pub(crate) fn leave_line(&mut self) {
-        self.lined = None;
-        self.pressed = false;
+        self.waiting_since = None;
+        self.overdue = false;
         self.rank.lasting = self.progress.submission.spec.is_lasting();
     }
 
     /// Marks a ready task as placed on a worker. Returns what the worker has to know for its start.
-    fn assign(&mut self, key: Key, run: u64, id: &Arc<str>, deadline: u64, now: u64) -> Start {
+    fn assign(&mut self, key: TaskKey, run: u64, id: &Arc<str>, deadline: u64, now: u64) -> Start {
         let place = key.place;
         let task = &mut self.progress.tasks[place];
         task.run = run;
         task.phase = Phase::Placed(id.clone());
         self.ready.remove(&place);
-        self.stranded.remove(&place);
+        self.untried.remove(&place);
         let saved = task.saved.clone();
         let spec = &self.progress.submission.spec;
         let address = spec.address(place);
@@ -343,7 +343,7 @@
 
 /// What makes one task as hard to place as another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Need {
+pub(crate) struct Demand {
     pool: Arc<str>,
     size: Size,
     fills: bool,
@@ -351,34 +351,34 @@
     /// Of a filling task: what it disturbs hangs on it.
     image: Option<Arc<str>>,
     /// Of a filling task: how much it is wanted where it disturbs.
-    press: Press,
+    press: Urgency,
     /// The very step, where few of its tasks may be on one worker.
     only: Option<(Id, u32, u16)>,
 }
 
 /// A need that found no room when all workers were looked through.
 #[derive(Debug)]
-pub(crate) struct Stuck {
-    need: Need,
+pub(crate) struct Unplaceable {
+    need: Demand,
     since: u64,
 }
 
-impl Need {
-    fn of(step: &Step, submission: &Submission, address: Address, press: Press) -> Self {
+impl Demand {
+    fn of(step: &Step, submission: &Submission, address: Address, press: Urgency) -> Self {
         let own = || (submission.id.clone(), address.time, address.step);
-        Need {
+        Demand {
             pool: submission.queue.pool.clone(),
             size: step.size,
             fills: step.fills,
             label: step.label.clone(),
             image: step.image.clone().filter(|_| step.fills),
-            press: if step.fills { press } else { Press::None },
+            press: if step.fills { press } else { Urgency::None },
             only: (step.spread > 0).then(own),
         }
     }
 
     /// True when no room for this means that there is none for the other either.
-    fn covers(&self, other: &Need) -> bool {
+    fn covers(&self, other: &Demand) -> bool {
         let is_like = self.pool == other.pool
             && self.fills == other.fills
             && self.label == other.label
--- a/components/cell/src/relocate.rs
+++ b/components/cell/src/relocate.rs
@@ -1,7 +1,7 @@
 //! Filling tasks that are slowed down for long are moved to workers where they disturb nobody.
 
 use {
-    crate::{cell::Cell, worker::Key},
+    crate::{cell::Cell, worker::TaskKey},
     std::sync::Arc,
 };
 
@@ -17,7 +17,7 @@
     pub fn relocate(&mut self, now: u64) {
         let mut slow = Vec::new();
         for (id, worker) in &self.workers {
-            if !worker.fenced || worker.filling == 0 {
+            if !worker.fenced || worker.filling_cpu == 0 {
                 continue;
             }
             for (key, slot) in &worker.slots {
@@ -34,7 +34,7 @@
     }
 
     /// Stops one slowed task, if it can go on where it disturbs nobody.
-    fn move_off(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    fn move_off(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -49,8 +49,8 @@
             other != id
                 && job.is_advised(address, other, now)
                 && worker.is_trusted(failures, now)
-                && self.suits(job, address, image, worker, 0, now)
-                && self.effect(step, image, worker, 1).is_calm()
+                && self.is_feasible(job, address, image, worker, 0, now)
+                && self.impact(step, image, worker, 1).is_harmless()
         });
         if !is_calm {
             return;
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -5,7 +5,7 @@
         cell::Cell,
         order::{Order, Report, Run},
         slot::{Slot, Stage, UNKNOWN_PACE},
-        worker::{Clock, Key},
+        worker::{Clock, TaskKey},
     },
     job::{Address, Id, Phase, State, Step, spec::Size},
     std::{collections::HashSet, sync::Arc},
@@ -18,7 +18,7 @@
 
 /// The moments that belong to an answer.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Moment {
+pub(crate) struct Times {
     /// When the request was sent.
     pub sent: u64,
     /// When the answer arrived.
@@ -37,28 +37,28 @@
         if !worker.fenced {
             log::info!(target: "cell", worker = &**id, running = report.running.len(), ended = report.ended.len(); "A worker is under the fence of this owner.");
             // A former owner may have given a whole lease just before.
-            worker.granted = worker.granted.max(report.clock + lease);
+            worker.max_deadline = worker.max_deadline.max(report.clock + lease);
         }
         worker.fenced = true;
-        worker.heard = true;
-        worker.proven = true;
-        worker.due = None;
-        let was_silent = worker.silent.take().is_some();
+        worker.poll_answered = true;
+        worker.confirmed = true;
+        worker.answer_due = None;
+        let was_silent = worker.unreachable_since.take().is_some();
         worker.changed = true;
         worker.clock = Some(Clock {
             shown: report.clock,
             at: now,
         });
-        let had_unwritten = worker.is_unwritten();
+        let had_unwritten = worker.has_unwritten_ends();
         if was_silent {
             self.renew_loss(id);
         }
         self.withdraw(id);
-        self.outlive(id, sent, now);
-        let moment = Moment { sent, now, wall };
+        self.end_predecessors(id, sent, now);
+        let moment = Times { sent, now, wall };
         let dirty_before = self.dirty.len();
-        self.fenced(id);
-        let is_taken = self.take_ends(id, &report.ended, moment);
+        self.mark_fenced(id);
+        let is_taken = self.handle_ends(id, &report.ended, moment);
         let mut listed = HashSet::new();
         for run in &report.running {
             if self.is_pending(&run.job) {
@@ -71,11 +71,11 @@
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.left = !is_taken;
+            worker.ends_deferred = !is_taken;
         }
         if is_taken && report.ended.len() < ENDS_LISTED {
-            self.missing(id, &listed, report.clock, moment);
-            self.heard(id);
+            self.release_missing(id, &listed, report.clock, moment);
+            self.mark_reported(id);
         }
         self.pace(id, now);
         if !had_unwritten && self.dirty.len() == dirty_before && self.dirty.is_empty() {
@@ -86,19 +86,19 @@
     /// Ends that change nothing that lasts may be acknowledged at once.
     fn acknowledge(&mut self, id: &Arc<str>) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.kept = worker.read;
-            worker.unwritten.clear();
+            worker.ends_written = worker.ends_read;
+            worker.unwritten_ends.clear();
         }
     }
 
     /// The key of a task that a worker tells of, also of a job that is not known any more: then it is
     /// the one under which the worker's room is taken.
-    pub(crate) fn key(&self, id: &str, job: &Id, address: Address) -> Option<Key> {
+    pub(crate) fn key(&self, id: &str, job: &Id, address: Address) -> Option<TaskKey> {
         let known = self.jobs.get(job);
         if let Some(known) = known {
             let place = known.progress.submission.spec.place(address)?;
             let job = job.clone();
-            return Some(Key { job, place });
+            return Some(TaskKey { job, place });
         }
         let held = self
             .workers
@@ -106,12 +106,12 @@
             .and_then(|worker| worker.key_of(job, address));
         held.or_else(|| {
             let (job, place) = (job.clone(), unknown_place(address));
-            Some(Key { job, place })
+            Some(TaskKey { job, place })
         })
     }
 
     /// Takes in a run that the worker lists as going on.
-    fn running(&mut self, id: &Arc<str>, key: Key, run: &Run, moment: Moment) {
+    fn running(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, moment: Times) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -120,7 +120,7 @@
             return;
         };
         if slot.run != run.run {
-            self.stray(id, key, run, moment);
+            self.stop_stray(id, key, run, moment);
             return;
         }
         if slot.is_sent() {
@@ -134,42 +134,42 @@
             slot.stopping = Some(moment.now);
             self.orders.push((id.clone(), stop_order(&key, run)));
         }
-        self.begun(&key);
-        self.save(&key, run.saved.as_ref());
-        self.clear(id, &key, moment.now);
+        self.mark_started(&key);
+        self.record_checkpoint(&key, run.saved.as_ref());
+        self.clear_quarantine(id, &key, moment.now);
         self.survived(id, &key, moment.now);
     }
 
     /// Trusts a worker again that is tried with a task that lasts, once this has run for long enough: it
     /// may never end.
-    fn clear(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    fn clear_quarantine(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         let job = self.jobs.get(&key.job);
         let is_lasting = job.is_some_and(|job| job.progress.step(key.place).lasting);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if is_lasting && worker.has_proven(key, now) {
+        if is_lasting && worker.passed_probe(key, now) {
             log::info!(target: "cell", worker = &**id, job = key.job.as_str(), place = key.place; "A worker that was set aside runs its task; it is trusted again.");
-            worker.judge(false, now);
+            worker.record_result(false, now);
         }
     }
 
     /// A run that this owner did not order, or has given up: taken over where it fits.
-    pub(crate) fn adopt(&mut self, id: &Arc<str>, key: Key, run: &Run, moment: Moment) {
+    pub(crate) fn adopt(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, moment: Times) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
-            self.stray(id, key, run, moment);
+            self.stop_stray(id, key, run, moment);
             return;
         };
         let task = &mut job.progress.tasks[key.place];
         if job.progress.state.is_final() || task.phase != Phase::Waiting {
-            self.stray(id, key, run, moment);
+            self.stop_stray(id, key, run, moment);
             return;
         }
         task.phase = Phase::Placed(id.clone());
         task.run = task.run.max(run.run);
         job.ready.remove(&key.place);
         if job.ready.is_empty() {
-            self.line.remove(&job.rank);
+            self.ready_jobs.remove(&job.rank);
             job.leave_line();
         }
         let step = job.progress.step(key.place);
@@ -183,14 +183,14 @@
         };
         log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run = run.run; "A run is adopted.");
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.hold(key.clone(), slot);
+            worker.add_slot(key.clone(), slot);
         }
-        self.begun(&key);
-        self.save(&key, run.saved.as_ref());
+        self.mark_started(&key);
+        self.record_checkpoint(&key, run.saved.as_ref());
     }
 
     /// A run that must not be: it is stopped, and its room is taken until its end is listed.
-    fn stray(&mut self, id: &Arc<str>, key: Key, run: &Run, moment: Moment) {
+    fn stop_stray(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, moment: Times) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -209,7 +209,7 @@
             return;
         }
         if !self.jobs.contains_key(&key.job) {
-            self.unknown.insert(key.job.clone());
+            self.unknown_jobs.insert(key.job.clone());
         }
         let stage = Stage::Running { at: moment.now };
         let slot = Slot {
@@ -217,13 +217,13 @@
             percent: UNKNOWN_PACE,
             ..Slot::new(&step, run.address, 0, run.run, stage)
         };
-        worker.hold(key, slot);
+        worker.add_slot(key, slot);
     }
 
     /// Gives runs of a job that was not known their places in it, now that it is: whatever looks at what a worker holds
     /// looks for its task there.
-    pub(crate) fn name_strays(&mut self, id: &Id) {
-        if !self.unknown.remove(id) {
+    pub(crate) fn rekey_strays(&mut self, id: &Id) {
+        if !self.unknown_jobs.remove(id) {
             return;
         }
         let Some(job) = self.jobs.get(id) else {
@@ -232,15 +232,15 @@
         let spec = &job.progress.submission.spec;
         for worker in self.workers.values_mut() {
             let held = worker.slots.keys().filter(|key| key.job == *id);
-            let held: Vec<Key> = held.cloned().collect();
+            let held: Vec<TaskKey> = held.cloned().collect();
             let holds = !held.is_empty();
             for key in held {
-                let Some(slot) = worker.release(&key) else {
+                let Some(slot) = worker.remove_slot(&key) else {
                     continue;
                 };
                 let (job, place) = (key.job, spec.place(slot.address));
                 if let Some(place) = place {
-                    worker.hold(Key { job, place }, slot);
+                    worker.add_slot(TaskKey { job, place }, slot);
                 }
             }
             if holds {
@@ -250,7 +250,7 @@
     }
 
     /// What a run is reckoned to take that must not be there.
-    fn step_of_stray(&self, id: &Arc<str>, key: &Key) -> Step {
+    fn step_of_stray(&self, id: &Arc<str>, key: &TaskKey) -> Step {
         let known = self.jobs.get(&key.job);
         let known = known.map(|job| job.progress.step(key.place));
         let worker = self.workers.get(id);
@@ -272,11 +272,11 @@
     }
 
     /// Notes that a task of the job has begun.
-    pub(crate) fn begun(&mut self, key: &Key) {
+    pub(crate) fn mark_started(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        job.began = true;
+        job.started = true;
         if job.progress.state == State::Queued {
             job.progress.state = State::Running;
             self.dirty.insert(key.job.clone());
@@ -284,7 +284,7 @@
     }
 
     /// Keeps the newest checkpoint of a task.
-    pub(crate) fn save(&mut self, key: &Key, saved: Option<&Arc<str>>) {
+    pub(crate) fn record_checkpoint(&mut self, key: &TaskKey, saved: Option<&Arc<str>>) {
         let (Some(saved), Some(job)) = (saved, self.jobs.get_mut(&key.job)) else {
             return;
         };
@@ -295,7 +295,13 @@
     }
 
     /// Frees the tasks that the worker would list if it had them.
-    fn missing(&mut self, id: &Arc<str>, listed: &HashSet<Key>, clock: u64, moment: Moment) {
+    fn release_missing(
+        &mut self,
+        id: &Arc<str>,
+        listed: &HashSet<TaskKey>,
+        clock: u64,
+        moment: Times,
+    ) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -307,7 +313,9 @@
             }
             let is_before = |at: u64| at < moment.sent;
             let is_gone = match slot.stage {
-                Stage::Sent { deadline } => clock > deadline || slot.barred.is_some_and(is_before),
+                Stage::Sent { deadline } => {
+                    clock > deadline || slot.start_cancelled.is_some_and(is_before)
+                }
                 Stage::Running { at } => is_before(at),
             };
             if is_gone {
@@ -324,14 +332,14 @@
         for (key, stage) in gone {
             log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, stage:? = stage; "A worker does not list a run that it was given.");
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.release(&key);
+                worker.remove_slot(&key);
                 if let Stage::Sent { .. } = stage {
                     // Its polls are answered and its orders are not: without this it stays the best one, and the task was
                     // given to it ten times in 20 s beside another worker with room.
-                    worker.shun(moment.now);
+                    worker.back_off(moment.now);
                 }
             }
-            self.free_if_placed_nowhere(&key);
+            self.requeue_if_unplaced(&key);
         }
     }
 }
@@ -344,7 +352,7 @@
 }
 
 /// The order to stop a run as its worker lists it.
-fn stop_order(key: &Key, run: &Run) -> Order {
+fn stop_order(key: &TaskKey, run: &Run) -> Order {
     Order::Stop {
         key: key.clone(),
         address: run.address,
--- a/components/cell/src/ends.rs
+++ b/components/cell/src/run_end.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         cell::Cell,
-        order::{End, How},
-        report::Moment,
-        told::Done,
-        worker::Key,
+        order::{EndCause, RunEnd},
+        report::Times,
+        run_log::FinishedRun,
+        worker::TaskKey,
     },
     job::{Phase, State},
     std::sync::Arc,
@@ -14,42 +14,44 @@
 
 impl Cell {
     /// Takes in one listed end, once.
-    pub(crate) fn end(&mut self, id: &Arc<str>, end: &End, moment: Moment) {
+    pub(crate) fn handle_end(&mut self, id: &Arc<str>, end: &RunEnd, moment: Times) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if end.number <= worker.read {
+        if end.number <= worker.ends_read {
             return;
         }
-        worker.read = end.number;
-        worker.unwritten.push_back((end.number, end.job.clone()));
+        worker.ends_read = end.number;
+        worker
+            .unwritten_ends
+            .push_back((end.number, end.job.clone()));
         let Some(key) = self.key(id, &end.job, end.address) else {
             return;
         };
         if !self.jobs.contains_key(&end.job) {
-            self.vacate(id, &key, end.run);
+            self.release_slot(id, &key, end.run);
             return;
         }
-        self.tell_end(id, &key, end, moment);
-        let was_here = self.vacate(id, &key, end.run);
-        self.judge(id, end.how, moment.now);
-        self.save(&key, end.saved.as_ref());
-        if matches!(end.how, How::Done | How::Failed) {
+        self.log_end(id, &key, end, moment);
+        let was_here = self.release_slot(id, &key, end.run);
+        self.record_worker_result(id, end.how, moment.now);
+        self.record_checkpoint(&key, end.saved.as_ref());
+        if matches!(end.how, EndCause::Done | EndCause::Failed) {
             self.pass_trial(id, &key);
             self.absolve(&key);
         }
         match end.how {
-            How::Done => self.done(id, &key, was_here, moment),
-            How::Failed => self.failed(&key, end.run, was_here, moment),
-            _ if was_here => self.interrupted(&key),
+            EndCause::Done => self.run_done(id, &key, was_here, moment),
+            EndCause::Failed => self.run_failed(&key, end.run, was_here, moment),
+            _ if was_here => self.run_interrupted(&key),
             _ => {}
         }
     }
 
     /// Tells of an end: by itself where the run was cut short or failed, with others where it is done.
-    fn tell_end(&mut self, id: &Arc<str>, key: &Key, end: &End, moment: Moment) {
-        if end.how == How::Done {
-            self.tell_later(Done {
+    fn log_end(&mut self, id: &Arc<str>, key: &TaskKey, end: &RunEnd, moment: Times) {
+        if end.how == EndCause::Done {
+            self.defer_done_log(FinishedRun {
                 key: key.clone(),
                 run: end.run,
                 worker: id.clone(),
@@ -62,36 +64,36 @@
     }
 
     /// Takes the slot of a run out. True when the worker held this very run.
-    fn vacate(&mut self, id: &Arc<str>, key: &Key, run: u64) -> bool {
+    fn release_slot(&mut self, id: &Arc<str>, key: &TaskKey, run: u64) -> bool {
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
         };
         if worker.slots.get(key).is_none_or(|slot| slot.run != run) {
             return false;
         }
-        worker.release(key).is_some()
+        worker.remove_slot(key).is_some()
     }
 
     /// Counts a run for or against its worker, where its end says something of it.
-    fn judge(&mut self, id: &Arc<str>, how: How, now: u64) {
+    fn record_worker_result(&mut self, id: &Arc<str>, how: EndCause, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         match how {
-            How::Done => worker.judge(false, now),
-            How::Failed => worker.judge(true, now),
+            EndCause::Done => worker.record_result(false, now),
+            EndCause::Failed => worker.record_result(true, now),
             _ => {}
         }
     }
 
     /// Lets a task wait again whose run has ended with work left.
-    fn interrupted(&mut self, key: &Key) {
-        self.dirty_if_open(key);
-        self.free_if_placed_nowhere(key);
+    fn run_interrupted(&mut self, key: &TaskKey) {
+        self.mark_dirty(key);
+        self.requeue_if_unplaced(key);
     }
 
     /// Has the record of a job written, unless the job has ended.
-    fn dirty_if_open(&mut self, key: &Key) {
+    fn mark_dirty(&mut self, key: &TaskKey) {
         let is_open = self
             .jobs
             .get(&key.job)
@@ -102,7 +104,7 @@
     }
 
     /// Frees a task unless some worker still holds a slot for it.
-    pub(crate) fn free_if_placed_nowhere(&mut self, key: &Key) {
+    pub(crate) fn requeue_if_unplaced(&mut self, key: &TaskKey) {
         let job = self.jobs.get(&key.job);
         let Some(task) = job.and_then(|job| job.progress.tasks.get(key.place)) else {
             return;
@@ -113,11 +115,11 @@
         {
             return;
         }
-        self.free(key);
+        self.requeue(key);
     }
 
     /// Takes in that a run is done: what waits for its task may start, or the job is complete.
-    fn done(&mut self, id: &Arc<str>, key: &Key, was_here: bool, moment: Moment) {
+    fn run_done(&mut self, id: &Arc<str>, key: &TaskKey, was_here: bool, moment: Times) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -126,13 +128,13 @@
         }
         if job.progress.step(key.place).lasting {
             if was_here {
-                self.interrupted(key);
+                self.run_interrupted(key);
             }
             return;
         }
         for (worker, place) in self.complete(id, key) {
             let job = key.job.clone();
-            self.stop(&worker, &Key { job, place }, moment.now);
+            self.stop(&worker, &TaskKey { job, place }, moment.now);
         }
         let is_done = self
             .jobs
@@ -141,13 +143,13 @@
         if is_done {
             self.finish(&key.job, State::Completed, moment.now, moment.wall);
         } else {
-            self.open(&key.job, moment.wall);
+            self.ready_steps(&key.job, moment.wall);
         }
     }
 
     /// Marks a task done, and its whole gang with it. Returns where the task is placed besides:
     /// that run is to be stopped.
-    fn complete(&mut self, id: &Arc<str>, key: &Key) -> Vec<(Arc<str>, usize)> {
+    fn complete(&mut self, id: &Arc<str>, key: &TaskKey) -> Vec<(Arc<str>, usize)> {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return Vec::new();
         };
@@ -170,7 +172,7 @@
             job.progress.finish(place);
         }
         if job.ready.is_empty() {
-            self.line.remove(&job.rank);
+            self.ready_jobs.remove(&job.rank);
             job.leave_line();
         }
         self.dirty.insert(key.job.clone());
@@ -178,7 +180,7 @@
     }
 
     /// Takes in that a run failed: its task waits again, or the job has failed.
-    fn failed(&mut self, key: &Key, run: u64, was_here: bool, moment: Moment) {
+    fn run_failed(&mut self, key: &TaskKey, run: u64, was_here: bool, moment: Times) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -192,7 +194,7 @@
         // failure down already.
         if is_done || is_lasting || !job.progress.fail(key.place, run) {
             if was_here {
-                self.free_if_placed_nowhere(key);
+                self.requeue_if_unplaced(key);
             }
             return;
         }
@@ -206,7 +208,7 @@
             return;
         }
         if was_here {
-            self.free_if_placed_nowhere(key);
+            self.requeue_if_unplaced(key);
         }
     }
 }
--- a/components/cell/src/strain.rs
+++ b/components/cell/src/serving_load.rs
@@ -5,7 +5,7 @@
     crate::{
         cell::{Cell, Job},
         disturb::{Disturbance, HARMFUL, Image, LOAD_AT_TARGET, level::Levels},
-        pace::LOAD_LIMIT,
+        throttle::LOAD_LIMIT,
         worker::Worker,
     },
     job::Step,
@@ -27,7 +27,7 @@
 
 /// How much a filling task that disturbs is wanted beside serving ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Press {
+pub(crate) enum Urgency {
     /// It can wait for room where it disturbs nobody.
     None,
     /// More filling work waits than runs.
@@ -39,7 +39,7 @@
 /// The load of the serving tasks of one image on a worker, and what filling tasks there add to it
 /// when they all work at full speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Strain {
+pub struct ServingLoad {
     /// The image.
     pub image: Image,
     /// The load in a moment, without filling tasks.
@@ -54,21 +54,21 @@
 
 impl Cell {
     /// How much a job's filling tasks that disturb are wanted.
-    pub(crate) fn press(&self, job: &Job) -> Press {
-        if job.hurried {
-            Press::Hurried
-        } else if self.crowded {
-            Press::Crowded
+    pub(crate) fn urgency(&self, job: &Job) -> Urgency {
+        if job.urgent {
+            Urgency::Hurried
+        } else if self.backlogged {
+            Urgency::Crowded
         } else {
-            Press::None
+            Urgency::None
         }
     }
 
     /// Finds out whether more filling work waits than runs.
-    pub(crate) fn weigh(&mut self) {
-        let running: u64 = self.workers.values().map(|worker| worker.filling).sum();
+    pub(crate) fn update_backlog(&mut self) {
+        let running: u64 = self.workers.values().map(|worker| worker.filling_cpu).sum();
         let mut waiting = 0;
-        for rank in &self.line {
+        for rank in &self.ready_jobs {
             let Some(job) = self.jobs.get(&rank.id) else {
                 continue;
             };
@@ -80,7 +80,7 @@
                 waiting += step.size.cpu * job.ready.len() as u64;
             }
         }
-        self.crowded = waiting > running;
+        self.backlogged = waiting > running;
     }
 
     /// Brings the strain of all workers up to date that have changed since the last call. Returns
@@ -91,24 +91,24 @@
             if !std::mem::take(&mut worker.changed) {
                 continue;
             }
-            worker.strain = strain(&self.disturbance, &self.levels, worker, now);
+            worker.serving_load = strain(&self.disturbance, &self.levels, worker, now);
             changed.push(id.clone());
         }
         changed
     }
 
     /// Brings the strain of one worker up to date.
-    pub(crate) fn strain(&mut self, id: &str, now: u64) {
+    pub(crate) fn update_serving_load(&mut self, id: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.strain = strain(&self.disturbance, &self.levels, worker, now);
+            worker.serving_load = strain(&self.disturbance, &self.levels, worker, now);
         }
     }
 
     /// What more tasks of a step with this image would do to the serving tasks of a worker.
-    pub(crate) fn effect(&self, step: &Step, image: Image, worker: &Worker, more: u64) -> Effect {
-        let mut effect = Effect::default();
+    pub(crate) fn impact(&self, step: &Step, image: Image, worker: &Worker, more: u64) -> Impact {
+        let mut effect = Impact::default();
         let share = (step.size.cpu * more) as f64 / worker.entry.size.cpu.max(1) as f64;
-        for strain in &worker.strain {
+        for strain in &worker.serving_load {
             let weight = self.disturbance.weight(strain.image, image);
             let added = strain.harmless + share * weight;
             effect.peak = effect.peak.max(strain.peak + added);
@@ -126,7 +126,7 @@
 /// What more filling tasks would do to the serving tasks of a worker. Those that are there already
 /// and harm are reckoned with only where the new ones harm too, since they are slowed down first.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Effect {
+pub(crate) struct Impact {
     /// The new ones disturb some of the serving tasks much, or may.
     pub harms: bool,
     /// That they do is not just reckoned with: it was seen.
@@ -139,25 +139,25 @@
     pub peak: f64,
 }
 
-impl Effect {
+impl Impact {
     /// True when the serving tasks can bear it for now. Tasks that disturb little may run wherever the load
     /// foreseen bears them: a load that passes the limit later does so by itself. The others come the
     /// closer to the limit the more they are wanted.
-    pub fn is_bearable(&self, press: Press) -> bool {
+    pub fn is_acceptable(&self, press: Urgency) -> bool {
         if !self.harms {
-            return self.is_calm() || self.soon <= LOAD_LIMIT;
+            return self.is_harmless() || self.soon <= LOAD_LIMIT;
         }
         let limit = match press {
-            Press::Hurried => HURRIED_LIMIT,
-            Press::Crowded => CROWDED_LIMIT,
-            Press::None if !self.is_known => EXPLORE_LIMIT,
-            Press::None => HARM_LIMIT,
+            Urgency::Hurried => HURRIED_LIMIT,
+            Urgency::Crowded => CROWDED_LIMIT,
+            Urgency::None if !self.is_known => EXPLORE_LIMIT,
+            Urgency::None => HARM_LIMIT,
         };
         self.near <= limit
     }
 
     /// True when they can bear it at any time.
-    pub fn is_calm(&self) -> bool {
+    pub fn is_harmless(&self) -> bool {
         !self.harms && self.peak <= LOAD_AT_TARGET
     }
 
@@ -168,16 +168,16 @@
 }
 
 /// The strain of a worker, by serving image.
-fn strain(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<Strain> {
-    let mut strains: Vec<Strain> = Vec::with_capacity(worker.serve_images.len());
-    for key in worker.serve_jobs.keys() {
+fn strain(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<ServingLoad> {
+    let mut strains: Vec<ServingLoad> = Vec::with_capacity(worker.serving_images.len());
+    for key in worker.serving_jobs.keys() {
         let (near, peak) = levels.foresee(key, now, AHEAD);
         match strains.iter_mut().find(|strain| strain.image == key.1) {
             Some(strain) => {
                 strain.near = strain.near.max(near);
                 strain.peak = strain.peak.max(peak);
             }
-            None => strains.push(Strain {
+            None => strains.push(ServingLoad {
                 image: key.1,
                 near,
                 peak,
@@ -197,7 +197,7 @@
 pub(crate) fn added_by_all(known: &Disturbance, serving: Image, worker: &Worker) -> (f64, f64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let (mut harmful, mut harmless) = (0.0, 0.0);
-    for (&filling, &cpu) in &worker.fill_images {
+    for (&filling, &cpu) in &worker.filling_images {
         let weight = known.weight(serving, filling);
         let added = weight * cpu as f64 / capacity;
         if weight >= HARMFUL {
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -46,13 +46,13 @@
     pub unanswered: Option<u64>,
     /// When the worker confirmed an order to stop it before it had begun, on our clock: it cannot
     /// begin any more.
-    pub barred: Option<u64>,
+    pub start_cancelled: Option<u64>,
     /// When it was last ordered to stop, on our clock.
     pub stopping: Option<u64>,
     /// The share of its speed that it was last ordered to, in hundredths.
     pub percent: u8,
     /// When that was, on our clock; 0 for a pace that was not ordered.
-    pub paced: u64,
+    pub pace_set_at: u64,
     /// It was stopped from working since a serving task stayed over its target: it comes back in
     /// steps.
     pub tripped: bool,
@@ -75,10 +75,10 @@
             image,
             stage,
             unanswered: None,
-            barred: None,
+            start_cancelled: None,
             stopping: None,
             percent: 100,
-            paced: 0,
+            pace_set_at: 0,
             tripped: false,
             slow_since: None,
             figure: 0,
@@ -86,7 +86,7 @@
     }
 
     /// What it takes of the room of its worker.
-    pub fn firm(&self) -> Size {
+    pub fn reserved(&self) -> Size {
         let cpu = if self.fills { 0 } else { self.size.cpu };
         Size { cpu, ..self.size }
     }
--- a/components/cell/src/follow.rs
+++ b/components/cell/src/successor.rs
@@ -1,4 +1,4 @@
-//! Lives of workers that start again under the name that they had, see [`crate::lives`].
+//! Lives of workers that start again under the name that they had, see [`crate::incarnations`].
 
 use {
     crate::{
@@ -10,21 +10,21 @@
 
 impl Cell {
     /// Takes a worker in that was not known. Returns its entry, with its generation.
-    pub(crate) fn join(&mut self, worker: Worker) -> Entry {
+    pub(crate) fn add_worker(&mut self, worker: Worker) -> Entry {
         let generation = self.generation(&worker.entry);
-        self.join_as(worker, generation)
+        self.add_with_generation(worker, generation)
     }
 
     /// The same for one that a former owner knew. It shows no higher fence than a life that the listing has told of: either may
     /// be the later one.
-    pub(crate) fn join_beside(&mut self, worker: Worker) -> Entry {
-        let other = self.latest(&worker.entry.name);
+    pub(crate) fn add_restored_worker(&mut self, worker: Worker) -> Entry {
+        let other = self.latest_incarnation(&worker.entry.name);
         let other = other.map(|own| own.entry.generation);
         let generation = self.generation(&worker.entry);
-        self.join_as(worker, other.unwrap_or(generation))
+        self.add_with_generation(worker, other.unwrap_or(generation))
     }
 
-    fn join_as(&mut self, mut worker: Worker, generation: u32) -> Entry {
+    fn add_with_generation(&mut self, mut worker: Worker, generation: u32) -> Entry {
         worker.entry.generation = generation;
         let entry = worker.entry.clone();
         self.crashes.losses.join(&worker);
@@ -34,7 +34,7 @@
 
     /// How many lives of its name were known before a life that is new here.
     fn generation(&mut self, entry: &Entry) -> u32 {
-        if entry.born.is_none() {
+        if entry.started.is_none() {
             return 0;
         }
         let count = self.generations.entry(entry.name.clone()).or_default();
@@ -43,7 +43,7 @@
     }
 
     /// All known lives of the worker of a name.
-    fn lives_of(&self, name: &str) -> Vec<&Worker> {
+    fn incarnations_of(&self, name: &str) -> Vec<&Worker> {
         let mut lives = Vec::new();
         let from = (Bound::Included(name), Bound::Unbounded);
         for (id, worker) in self.workers.range::<str, _>(from) {
@@ -59,38 +59,38 @@
     }
 
     /// The latest known life of the worker of a name.
-    pub(crate) fn latest(&self, name: &str) -> Option<&Worker> {
-        let lives = self.lives_of(name).into_iter();
+    pub(crate) fn latest_incarnation(&self, name: &str) -> Option<&Worker> {
+        let lives = self.incarnations_of(name).into_iter();
         lives.max_by_key(|worker| worker.entry.order())
     }
 
     /// True when a later life of this worker is known.
     fn is_followed(&self, entry: &Entry) -> bool {
-        let latest = self.latest(&entry.name);
+        let latest = self.latest_incarnation(&entry.name);
         latest.is_some_and(|latest| entry.is_before(&latest.entry))
     }
 
     /// True for an entry of a life that is not known where polls of another life of the worker go to its address: they tell who
     /// is there, and the listing may be behind. Polled beside that one, a life that is over would show the fence of a later one.
-    pub(crate) fn is_answered_for(&self, entry: &Entry) -> bool {
-        let mut lives = self.lives_of(&entry.name).into_iter();
-        lives.any(|own| own.proven && !own.followed && own.entry.address == entry.address)
+    pub(crate) fn is_polled_elsewhere(&self, entry: &Entry) -> bool {
+        let mut lives = self.incarnations_of(&entry.name).into_iter();
+        lives.any(|own| own.confirmed && !own.superseded && own.entry.address == entry.address)
     }
 
     /// True when what another owner may have told a worker is no news of this life of it: a later one is known, which
     /// refuses what is meant for this one, or it is not known any more.
-    pub fn is_past(&self, id: &str) -> bool {
+    pub fn is_superseded(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_none_or(|worker| self.is_followed(&worker.entry))
     }
 
     /// Forgets lives of which only the listing told, and tells no longer: another writer may have made them up.
-    pub(crate) fn drop_unproven(&mut self, entry: &Entry, now: u64) {
-        let lives = self.lives_of(&entry.name).into_iter();
-        let unproven = lives.filter(|own| !own.proven && own.entry.id != entry.id);
+    pub(crate) fn drop_unconfirmed(&mut self, entry: &Entry, now: u64) {
+        let lives = self.incarnations_of(&entry.name).into_iter();
+        let unproven = lives.filter(|own| !own.confirmed && own.entry.id != entry.id);
         let unproven: Vec<Arc<str>> = unproven.map(|own| own.entry.id.clone()).collect();
         for id in unproven {
-            self.lose(&id, "it is listed no longer and has never answered", now);
+            self.remove_worker(&id, "it is listed no longer and has never answered", now);
         }
     }
 
@@ -99,59 +99,65 @@
     ///
     /// Lives do not take turns, so it is later where the one that was asked had answered before, be it to a former owner. Of a
     /// life that only the listing told of, the time of its beginning tells.
-    pub fn follow(&mut self, id: &Arc<str>, born: u64, sent: u64, now: u64) -> Option<Entry> {
+    pub fn handle_successor(
+        &mut self,
+        id: &Arc<str>,
+        born: u64,
+        sent: u64,
+        now: u64,
+    ) -> Option<Entry> {
         let former = self.workers.get(id)?;
-        let later = former.entry.reborn(born);
+        let later = former.entry.restarted(born);
         let is_later = match former.clock {
             Some(clock) => clock.at < sent,
-            None => former.proven || former.entry.born < later.born,
+            None => former.confirmed || former.entry.started < later.started,
         };
         // What the former life has may only be given up once the later one has answered to a poll of its own.
-        self.unheard(id, now);
-        if !is_later || self.over.contains(&later.id) {
+        self.poll_failed(id, now);
+        if !is_later || self.ended_incarnations.contains(&later.id) {
             return None;
         }
         if self.workers.contains_key(&later.id) {
-            self.follow_known(id, &later.id, now);
+            self.supersede_known(id, &later.id, now);
             return None;
         }
         log::warn!(target: "cell", worker = &*later.id, former = &**id, address = &*later.address; "A worker has started again under its name.");
-        self.shared.insert(later.name.clone());
+        self.ambiguous.insert(later.name.clone());
         self.fleet_dirty = true;
-        self.leave_to_next(id);
+        self.mark_superseded(id);
         let mut worker = Worker::new(later);
-        worker.proven = true;
+        worker.confirmed = true;
         // What it has, its own entry must tell.
-        worker.garbled = true;
-        Some(self.join(worker))
+        worker.entry_invalid = true;
+        Some(self.add_worker(worker))
     }
 
     /// The later life is known. A new owner met both at once, and went by what a clock had told that had stepped back since,
     /// where it takes them for the other way round.
-    fn follow_known(&mut self, former: &Arc<str>, later: &str, now: u64) {
+    fn supersede_known(&mut self, former: &Arc<str>, later: &str, now: u64) {
         let Some(later) = self.workers.get_mut(later) else {
             return;
         };
-        later.proven = true;
+        later.confirmed = true;
         let is_heard = later.clock.is_some();
         let later = later.entry.clone();
         let known = self.workers.get(former);
         if known.is_some_and(|known| known.entry.is_before(&later)) {
-            self.leave_to_next(former);
+            self.mark_superseded(former);
         } else if is_heard {
-            self.end_life(former, "a later life answers", now);
+            self.end_incarnation(former, "a later life answers", now);
         }
     }
 
     /// Notes that a life is polled no more, since a later one is.
-    fn leave_to_next(&mut self, id: &Arc<str>) {
+    fn mark_superseded(&mut self, id: &Arc<str>) {
         if let Some(former) = self.workers.get_mut(id) {
-            former.followed = true;
+            former.superseded = true;
         }
     }
 
     /// True for a life that is known and is polled itself: no later one is in its place.
     pub fn is_polled(&self, id: &str) -> bool {
-        self.workers.get(id).is_some_and(|own| !own.followed)
+        self.workers.get(id).is_some_and(|own| !own.superseded)
     }
 }
--- a/components/cell/src/summary.rs
+++ b/components/cell/src/summary.rs
@@ -52,19 +52,19 @@
         };
         for worker in self.workers.values() {
             summary.placed += worker.slots.len();
-            summary.serving += worker.serving;
-            summary.firm += worker.firm.cpu - worker.serving;
-            if !worker.is_open(now) || self.is_shut(worker) {
+            summary.serving += worker.serving_cpu;
+            summary.firm += worker.reserved.cpu - worker.serving_cpu;
+            if !worker.is_schedulable(now) || self.is_shut(worker) {
                 continue;
             }
             summary.open += 1;
-            summary.mixed += usize::from(worker.serve_images.len() > 1);
-            summary.unserving += usize::from(worker.serving == 0);
+            summary.mixed += usize::from(worker.serving_images.len() > 1);
+            summary.unserving += usize::from(worker.serving_cpu == 0);
             let is_paced = |slot: &&Slot| slot.percent < 100;
             summary.paced += worker.slots.values().filter(is_paced).count();
             summary.free += worker.free().cpu;
             summary.largest = summary.largest.max(worker.free().cpu);
-            summary.unused += worker.unused();
+            summary.unused += worker.idle_cpu();
         }
         for job in self.jobs.values() {
             for &place in &job.ready {
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -9,8 +9,8 @@
 use {
     crate::{
         cell::Cell,
-        order::{End, Run},
-        report::Moment,
+        order::{Run, RunEnd},
+        report::Times,
         timing,
     },
     job::{Address, Id},
@@ -36,7 +36,7 @@
 /// Runs of jobs that are not known yet, by worker and name, with the moment at which they were listed.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
-    runs: HashMap<Name, (Run, Moment)>,
+    runs: HashMap<Name, (Run, Times)>,
     /// The jobs are being read once more.
     asked: bool,
 }
@@ -52,25 +52,25 @@
             until: now + timing::until_over(self.timing.lease),
         });
         self.pending = Some(Pending::default());
-        self.settle(now);
+        self.update_recovery(now);
     }
 
     /// Notes that a worker knows the new fence.
-    pub(crate) fn fenced(&mut self, id: &Arc<str>) {
+    pub(crate) fn mark_fenced(&mut self, id: &Arc<str>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.unfenced.remove(id);
         }
     }
 
     /// Notes that a worker has told all that it has.
-    pub(crate) fn heard(&mut self, id: &Arc<str>) {
+    pub(crate) fn mark_reported(&mut self, id: &Arc<str>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.missing.remove(id);
         }
     }
 
     /// Ends the recovery when nothing is missing any more.
-    pub(crate) fn settle(&mut self, now: u64) {
+    pub(crate) fn update_recovery(&mut self, now: u64) {
         let Some(recovery) = &self.recovery else {
             return;
         };
@@ -80,12 +80,12 @@
         log::info!(target: "cell", unheard = recovery.missing.len(); "The takeover is complete.");
         self.recovery = None;
         for job in self.jobs.values_mut() {
-            job.unsure = false;
+            job.unconfirmed = false;
         }
     }
 
     /// True, once, when the jobs are to be read once more: the workers are under the new fence.
-    pub fn is_intake_due(&mut self) -> bool {
+    pub fn is_reread_due(&mut self) -> bool {
         let recovery = self.recovery.as_ref();
         if recovery.is_some_and(|recovery| !recovery.unfenced.is_empty()) {
             return false;
@@ -97,19 +97,19 @@
     }
 
     /// Those of the jobs that are not known.
-    pub fn unknown(&self, ids: Vec<Id>) -> HashSet<Id> {
+    pub fn unknown_jobs(&self, ids: Vec<Id>) -> HashSet<Id> {
         ids.into_iter().filter(|id| !self.is_known(id)).collect()
     }
 
     /// Takes in that all jobs which the former owner may have started are known: what runs of others is
     /// to be stopped. Returns the workers that have ends left to be taken in.
-    pub fn intake_read(&mut self) -> Vec<Arc<str>> {
+    pub fn jobs_reread(&mut self) -> Vec<Arc<str>> {
         if let Some(pending) = self.pending.take() {
             log::info!(target: "cell", pending = pending.runs.len(); "The jobs are read once more.");
         }
         let mut left = Vec::new();
         for (id, worker) in &mut self.workers {
-            if std::mem::take(&mut worker.left) {
+            if std::mem::take(&mut worker.ends_deferred) {
                 left.push(id.clone());
             }
         }
@@ -117,7 +117,7 @@
     }
 
     fn is_known(&self, id: &Id) -> bool {
-        self.jobs.contains_key(id) || self.closed.contains_key(id)
+        self.jobs.contains_key(id) || self.ended_jobs.contains_key(id)
     }
 
     /// True for a job that may still turn out to be one of the former owner's.
@@ -127,19 +127,19 @@
 
     /// Takes in the ends that a worker lists. False when some are left for later: they are of jobs that
     /// are not known yet, or come after such ends.
-    pub(crate) fn take_ends(&mut self, id: &Arc<str>, ends: &[End], moment: Moment) -> bool {
+    pub(crate) fn handle_ends(&mut self, id: &Arc<str>, ends: &[RunEnd], moment: Times) -> bool {
         for end in ends {
             if self.is_pending(&end.job) {
                 log::info!(target: "cell", job = end.job.as_str(), worker = &**id, run = end.run, how:? = end.how; "A run of a job that is not known yet has ended.");
                 return false;
             }
-            self.end(id, end, moment);
+            self.handle_end(id, end, moment);
         }
         true
     }
 
     /// Notes a run of a job that is not known yet, as its worker last listed it.
-    pub(crate) fn note_pending(&mut self, id: &Arc<str>, run: &Run, moment: Moment) {
+    pub(crate) fn note_pending(&mut self, id: &Arc<str>, run: &Run, moment: Times) {
         let Some(pending) = &mut self.pending else {
             return;
         };
--- a/components/cell/src/pace.rs
+++ b/components/cell/src/throttle.rs
@@ -11,9 +11,9 @@
         cell::Cell,
         disturb::{Disturbance, HARMFUL, Image, LOAD_AT_TARGET, level::Levels, load_of},
         order::Order,
+        serving_load::added_by_all,
         slot::{Slot, Stage, UNKNOWN_PACE},
-        strain::added_by_all,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     std::{collections::BTreeMap, sync::Arc},
 };
@@ -50,7 +50,7 @@
         if self.disturbance.solve(now) {
             self.levels.forget(now);
         }
-        self.learned_due |= self.disturbance.is_due(now);
+        self.disturbance_due |= self.disturbance.is_due(now);
         for (key, run, percent) in set_paces(&self.disturbance, &self.levels, worker, now) {
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
@@ -117,7 +117,7 @@
 /// all filling tasks that disturb it have it.
 fn limits(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<(Image, f64)> {
     let mut loads: BTreeMap<Image, f64> = BTreeMap::new();
-    for key in worker.serve_jobs.keys() {
+    for key in worker.serving_jobs.keys() {
         let (near, _) = levels.foresee(key, now, AHEAD);
         let load = loads.entry(key.1).or_default();
         *load = load.max(near);
@@ -164,16 +164,16 @@
     levels: &Levels,
     worker: &mut Worker,
     now: u64,
-) -> Vec<(Key, u64, u8)> {
+) -> Vec<(TaskKey, u64, u8)> {
     let tails = tails(worker);
     note_over(worker, &tails, now);
-    if worker.filling == 0 {
+    if worker.filling_cpu == 0 {
         return Vec::new();
     }
     let bounds = Bounds {
         tails,
         is_stubborn: worker
-            .over_since
+            .over_target_since
             .is_some_and(|since| now >= since + STUBBORN),
         limits: limits(known, levels, worker, now),
     };
@@ -188,7 +188,7 @@
         };
         log::debug!(target: "cell", worker = &*worker.entry.id, job = key.job.as_str(), place = key.place, worst, limit, from = slot.percent, to = percent; "A filling task changes its pace.");
         slot.percent = percent;
-        slot.paced = now;
+        slot.pace_set_at = now;
         changes.push((key.clone(), slot.run, percent));
     }
     changes
@@ -198,9 +198,9 @@
 fn note_over(worker: &mut Worker, tails: &BTreeMap<Image, u64>, now: u64) {
     let is_over = tails.values().any(|&tail| tail > 100);
     if !is_over {
-        worker.over_since = None;
-    } else if worker.over_since.is_none() {
-        worker.over_since = Some(now);
+        worker.over_target_since = None;
+    } else if worker.over_target_since.is_none() {
+        worker.over_target_since = Some(now);
     }
 }
 
@@ -214,7 +214,7 @@
         slot.tripped = true;
         pace = 0;
     } else if slot.tripped && slot.percent != UNKNOWN_PACE {
-        let may_rise = worst < LOW && now >= slot.paced + SETTLE;
+        let may_rise = worst < LOW && now >= slot.pace_set_at + SETTLE;
         pace = if may_rise {
             (slot.percent + RAISE).min(limit)
         } else {
--- a/components/cell/src/turns.rs
+++ b/components/cell/src/write_queue.rs
@@ -7,13 +7,13 @@
 
 /// Jobs in the order in which they came, each once; some go before all others.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
+pub(crate) struct WriteQueue {
     first: VecDeque<Id>,
     order: VecDeque<Id>,
     all: HashSet<Id>,
 }
 
-impl Turns {
+impl WriteQueue {
     pub fn insert(&mut self, id: Id) {
         if self.all.insert(id.clone()) {
             self.order.push_back(id);
--- a/components/cell/tests/decisions/advise.rs
+++ b/components/cell/tests/decisions/advise.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::common::{JOB, World, step, submission},
-    magpie_cell::{Advice, Outcome, Question, Reason},
+    magpie_cell::{Advice, AdviceQuery, Outcome, Refusal},
 };
 
 fn advised_world() -> World {
@@ -13,21 +13,21 @@
     world
 }
 
-fn question(world: &mut World) -> Question {
+fn question(world: &mut World) -> AdviceQuery {
     assert!(world.starts().is_empty());
-    let mut questions = world.cell.take_questions();
+    let mut questions = world.cell.take_advice_queries();
     assert_eq!(questions.len(), 1);
     questions.remove(0)
 }
 
-fn asked_ids(question: &Question) -> Vec<&str> {
+fn asked_ids(question: &AdviceQuery) -> Vec<&str> {
     question.workers.iter().map(|own| &*own.id).collect()
 }
 
 fn advice(worker: &str) -> Advice {
     Advice {
-        good: vec![(worker.into(), "ticket".into())],
-        valid: 3_000,
+        tickets: vec![(worker.into(), "ticket".into())],
+        valid_for: 3_000,
     }
 }
 
@@ -36,7 +36,9 @@
     let mut world = advised_world();
     let asked = question(&mut world);
     assert_eq!(asked.workers.len(), 2);
-    world.cell.advised(&asked, Some(advice("w2")), world.now);
+    world
+        .cell
+        .handle_advice(&asked, Some(advice("w2")), world.now);
     let starts = world.starts();
     assert_eq!(starts.len(), 2);
     for (worker, start) in &starts {
@@ -49,9 +51,9 @@
 fn asks_again_after_failure() {
     let mut world = advised_world();
     let asked = question(&mut world);
-    assert!(world.starts().is_empty() && world.cell.take_questions().is_empty());
-    world.cell.advised(&asked, None, world.now);
-    assert!(world.starts().is_empty() && world.cell.take_questions().is_empty());
+    assert!(world.starts().is_empty() && world.cell.take_advice_queries().is_empty());
+    world.cell.handle_advice(&asked, None, world.now);
+    assert!(world.starts().is_empty() && world.cell.take_advice_queries().is_empty());
     world.now += 200;
     assert_eq!(question(&mut world), asked);
 }
@@ -60,7 +62,9 @@
 fn ticket_runs_out() {
     let mut world = advised_world();
     let asked = question(&mut world);
-    world.cell.advised(&asked, Some(advice("w2")), world.now);
+    world
+        .cell
+        .handle_advice(&asked, Some(advice("w2")), world.now);
     world.now += 2_000;
     world.cell.expire_tickets(world.now);
     world.report("w1", vec![], vec![]);
@@ -73,10 +77,12 @@
 fn refused_ticket_is_dropped() {
     let mut world = advised_world();
     let asked = question(&mut world);
-    world.cell.advised(&asked, Some(advice("w2")), world.now);
+    world
+        .cell
+        .handle_advice(&asked, Some(advice("w2")), world.now);
     let starts = world.starts();
     for (worker, start) in &starts {
-        world.answer(worker, start, Outcome::Refused(Reason::Ticket));
+        world.answer(worker, start, Outcome::Refused(Refusal::Ticket));
     }
     world.now += 600;
     world.report("w2", vec![], vec![]);
--- a/components/cell/tests/decisions/common.rs
+++ b/components/cell/tests/decisions/common.rs
@@ -2,7 +2,7 @@
 
 use {
     job::{Address, Id, Queue, Record, Spec, State, Step, Submission, spec::Size},
-    magpie_cell::{Cell, End, Entry, How, Order, Outcome, Report, Run, Start, Timing},
+    magpie_cell::{Cell, EndCause, Entry, Order, Outcome, Report, Run, RunEnd, Start, Timing},
     std::sync::Arc,
 };
 
@@ -19,7 +19,7 @@
     Entry {
         id: id.into(),
         name: id.into(),
-        born: None,
+        started: None,
         generation: 0,
         pool: "pool".into(),
         address: format!("10.0.0.1:{id}").into(),
@@ -91,7 +91,7 @@
     pub fn unheard(workers: &[&str]) -> Self {
         let mut cell = Cell::new(TIMING);
         let entries: Vec<Entry> = workers.iter().map(|id| entry(id, 4)).collect();
-        cell.list(entries, 1_000);
+        cell.handle_listing(entries, 1_000);
         let mut world = World { cell, now: 1_000 };
         world.write();
         world
@@ -99,7 +99,7 @@
 
     /// Lists the workers, and writes down which they are. Returns those that are new.
     pub fn list(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
-        let added = self.cell.list(entries, self.now);
+        let added = self.cell.handle_listing(entries, self.now);
         self.write();
         added
     }
@@ -119,7 +119,7 @@
     }
 
     /// A report whose request was just sent.
-    pub fn report(&mut self, worker: &str, running: Vec<Run>, ended: Vec<End>) {
+    pub fn report(&mut self, worker: &str, running: Vec<Run>, ended: Vec<RunEnd>) {
         let report = Report {
             clock: self.now + 50_000,
             running,
@@ -127,7 +127,7 @@
         };
         let id: Arc<str> = worker.into();
         self.cell.report(&id, report, self.now, self.now, 1);
-        self.cell.poll(worker, self.now);
+        self.cell.next_poll(worker, self.now);
     }
 
     /// Places, and returns the starts that were ordered, by worker.
@@ -155,13 +155,13 @@
 
     pub fn answer(&mut self, worker: &Arc<str>, start: &Start, outcome: Outcome) {
         let order = Order::Start(start.clone());
-        self.cell.answered(worker, &order, outcome, self.now);
+        self.cell.handle_outcome(worker, &order, outcome, self.now);
     }
 
     /// Writes down what is to be written.
     pub fn write(&mut self) {
-        let change = self.cell.take_change(100);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(100);
+        self.cell.batch_written(&change);
     }
 }
 
@@ -211,8 +211,8 @@
     }
 }
 
-pub fn end(number: u64, job: &str, step: u16, run: u64, how: How) -> End {
-    End {
+pub fn end(number: u64, job: &str, step: u16, run: u64, how: EndCause) -> RunEnd {
+    RunEnd {
         number,
         job: Id::new(job).unwrap(),
         address: Address {
@@ -230,7 +230,7 @@
 pub fn report_of<'a>(
     clock: u64,
     runs: impl Iterator<Item = (&'a (Id, Address), u64)>,
-    ended: &[End],
+    ended: &[RunEnd],
 ) -> Report {
     let running = runs.map(|((job, address), run)| Run {
         job: job.clone(),
@@ -247,8 +247,8 @@
 }
 
 /// The end of a run, as its worker counts it.
-pub fn end_of(number: u64, (job, address): (Id, Address), run: u64, how: How) -> End {
-    End {
+pub fn end_of(number: u64, (job, address): (Id, Address), run: u64, how: EndCause) -> RunEnd {
+    RunEnd {
         number,
         job,
         address,
--- a/components/cell/tests/decisions/crashes.rs
+++ b/components/cell/tests/decisions/crashes.rs
@@ -367,7 +367,7 @@
     assert_eq!(started, 6_000);
     world.now += 500;
     for id in names(0..LOST) {
-        world.cell.unheard(&id, world.now);
+        world.cell.poll_failed(&id, world.now);
     }
     world
 }
@@ -393,7 +393,7 @@
         world.report(&id, vec![], vec![]);
     }
     let before = world.cell.loss_looks();
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     let looks = looks_each(&world, before);
     assert!((1..=8).contains(&looks), "{looks}");
 }
@@ -405,7 +405,9 @@
     world.now += 2_000;
     let before = world.cell.loss_looks();
     for id in names(0..LOST) {
-        world.cell.end_life(&id, "another life answers", world.now);
+        world
+            .cell
+            .end_incarnation(&id, "another life answers", world.now);
     }
     let looks = looks_each(&world, before);
     assert!((1..=8).contains(&looks), "{looks}");
@@ -420,9 +422,9 @@
     for pair in names(0..LOST).chunks(2) {
         world
             .cell
-            .end_life(&pair[0], "another life answers", world.now);
+            .end_incarnation(&pair[0], "another life answers", world.now);
         world.report(&pair[1], vec![], vec![]);
-        world.cell.unheard(&pair[1], world.now);
+        world.cell.poll_failed(&pair[1], world.now);
     }
     let looks = looks_each(&world, before);
     assert!((1..=8).contains(&looks), "{looks}");
--- a/components/cell/tests/decisions/drain.rs
+++ b/components/cell/tests/decisions/drain.rs
@@ -9,7 +9,7 @@
     let mut going = entry("w1", 4);
     going.leaving = true;
     going.remaining = Some(2_000);
-    world.cell.list(vec![going], world.now);
+    world.cell.handle_listing(vec![going], world.now);
 }
 
 fn placed(world: &mut World, steps: Vec<job::Step>, count: u32) {
@@ -56,7 +56,7 @@
     while world.now < until {
         world.now += 700;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
-        world.cell.list(vec![entry("w2", 4)], world.now);
+        world.cell.handle_listing(vec![entry("w2", 4)], world.now);
         stops.extend(world.stops());
     }
     stops
@@ -82,7 +82,7 @@
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
         world
             .cell
-            .list(vec![entry("w1", 4), entry("w2", 4)], world.now);
+            .handle_listing(vec![entry("w1", 4), entry("w2", 4)], world.now);
     }
     let until = world.now + 700;
     assert_eq!(list_without_first(&mut world, until), [("w1".into(), 1)]);
--- a/components/cell/tests/decisions/ends.rs
+++ b/components/cell/tests/decisions/ends.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, end, run, state, step},
     job::{Id, State},
-    magpie_cell::{How, Order, Outcome},
+    magpie_cell::{EndCause, Order, Outcome},
     test_case::test_case,
 };
 
@@ -22,13 +22,13 @@
     world.submit(JOB, vec![step(1, 1_000)]);
     let run = started(&mut world);
     world.now += 1_000;
-    world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Done)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, run, EndCause::Done)]);
     assert_eq!(state(&world), Some(State::Running));
-    assert!(world.cell.is_unwritten("w1"));
+    assert!(world.cell.has_unwritten_ends("w1"));
     world.write();
     assert_eq!(state(&world), Some(State::Completed));
-    assert!(!world.cell.is_unwritten("w1"));
-    assert_eq!(world.cell.poll("w1", world.now).unwrap().seen, 1);
+    assert!(!world.cell.has_unwritten_ends("w1"));
+    assert_eq!(world.cell.next_poll("w1", world.now).unwrap().seen, 1);
 }
 
 #[test]
@@ -38,7 +38,7 @@
     second.after = vec![0];
     world.submit(JOB, vec![step(1, 1_000), second]);
     let run = started(&mut world);
-    world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Done)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, run, EndCause::Done)]);
     assert_eq!(world.starts().len(), 2);
 }
 
@@ -49,7 +49,7 @@
     world.submit(JOB, vec![step(1, 1_000)]);
     let run = started(&mut world);
     for _ in 0..3 {
-        world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Failed)]);
+        world.report("w1", vec![], vec![end(1, JOB, 0, run, EndCause::Failed)]);
     }
     assert_eq!(state(&world), Some(State::Running));
 }
@@ -62,7 +62,7 @@
         let starts = world.starts();
         let (worker, start) = &starts[0];
         world.answer(worker, start, Outcome::Done);
-        let failed = end(number, JOB, 0, start.run, How::Failed);
+        let failed = end(number, JOB, 0, start.run, EndCause::Failed);
         world.report(&worker.clone(), vec![], vec![failed]);
         world.now += 10;
     }
@@ -83,7 +83,7 @@
     };
     let submission = crate::common::submission(JOB, vec![step(1, 1_000)]);
     world.cell.resume(submission, &record, 1);
-    world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.write();
     assert_eq!(state(&world), Some(State::Running));
     assert!(world.starts().is_empty());
@@ -92,11 +92,11 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-#[test_case(How::Stopped; "stopped")]
-#[test_case(How::Lapsed; "lapsed")]
-#[test_case(How::Broken; "broken")]
-#[test_case(How::Alone; "alone")]
-fn interrupted_starts_again(how: How) {
+#[test_case(EndCause::Stopped; "stopped")]
+#[test_case(EndCause::Lapsed; "lapsed")]
+#[test_case(EndCause::Broken; "broken")]
+#[test_case(EndCause::Alone; "alone")]
+fn interrupted_starts_again(how: EndCause) {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(1, 1_000)]);
     let run = started(&mut world);
@@ -120,7 +120,7 @@
     assert_eq!(world.stops().len(), 2);
     assert_eq!(state(&world), Some(State::Cancelled));
     let run = starts[0].1.run;
-    world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Stopped)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, run, EndCause::Stopped)]);
     assert!(world.starts().is_empty());
     world.write();
     assert_eq!(state(&world), Some(State::Cancelled));
@@ -163,15 +163,15 @@
     }
     world.write();
     for (worker, start) in &starts {
-        let done = end(1, start.key.job.as_str(), 0, start.run, How::Done);
+        let done = end(1, start.key.job.as_str(), 0, start.run, EndCause::Done);
         world.report(worker, vec![], vec![done]);
     }
-    let first = world.cell.take_change(1);
+    let first = world.cell.take_write_batch(1);
     assert_eq!(first.records.len(), 1);
-    assert_eq!(world.cell.written(&first).len(), 1);
-    let second = world.cell.take_change(1);
-    assert_eq!(world.cell.written(&second).len(), 1);
-    assert!(!world.cell.is_unwritten("w1") && !world.cell.is_unwritten("w2"));
+    assert_eq!(world.cell.batch_written(&first).len(), 1);
+    let second = world.cell.take_write_batch(1);
+    assert_eq!(world.cell.batch_written(&second).len(), 1);
+    assert!(!world.cell.has_unwritten_ends("w1") && !world.cell.has_unwritten_ends("w2"));
 }
 
 /// Records are written in the order in which they changed, so that none waits for ever.
@@ -187,7 +187,7 @@
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
     }
-    let change = world.cell.take_change(1);
+    let change = world.cell.take_write_batch(1);
     assert_eq!(change.records[0].0.as_str(), early);
 }
 
@@ -202,13 +202,13 @@
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
     }
-    world.report("w1", vec![], vec![end(1, last, 0, 1, How::Done)]);
-    let change = world.cell.take_change(2);
+    world.report("w1", vec![], vec![end(1, last, 0, 1, EndCause::Done)]);
+    let change = world.cell.take_write_batch(2);
     assert_eq!(change.records.len(), 1);
     assert_eq!(change.records[0].0.as_str(), last);
     // What could not be written keeps its turn.
-    world.cell.unwritten(change);
-    assert_eq!(world.cell.take_change(3).records.len(), 2);
+    world.cell.batch_failed(change);
+    assert_eq!(world.cell.take_write_batch(3).records.len(), 2);
 }
 
 /// The share of speed of a run that a former owner may have slowed down is not known: it is
@@ -236,7 +236,7 @@
     world.submit(JOB, vec![step(1, 1_000), second]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    let done = end(1, JOB, 0, start.run, How::Done);
+    let done = end(1, JOB, 0, start.run, EndCause::Done);
     world.report(&worker, vec![], vec![done]);
     world.write();
     let (worker, start) = world.starts()[0].clone();
@@ -249,7 +249,7 @@
     world.report(&worker, vec![going], vec![]);
     world.submit("00000000000000b2", vec![step(1, 4_000)]);
     assert!(world.starts().is_empty());
-    let stopped = end(2, JOB, 1, start.run, How::Stopped);
+    let stopped = end(2, JOB, 1, start.run, EndCause::Stopped);
     world.now += 100;
     world.report(&worker, vec![], vec![stopped]);
     assert_eq!(world.starts().len(), 1);
--- a/components/cell/tests/decisions/farm.rs
+++ b/components/cell/tests/decisions/farm.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{TIMING, end_of, entry, report_of, submission},
     job::{Address, Id, Record, State, Step, Submission},
-    magpie_cell::{Cell, End, Entry, How, Order, Outcome, Reason, Report, Start},
+    magpie_cell::{Cell, EndCause, Entry, Order, Outcome, Refusal, Report, RunEnd, Start},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -47,7 +47,7 @@
     /// When it crashes.
     crash: Option<u64>,
     runs: BTreeMap<(Id, Address), Going>,
-    ended: Vec<End>,
+    ended: Vec<RunEnd>,
     count: u64,
     /// The poll that it holds: when it was sent, until when it is held, and up to which end all is written down.
     held: Option<(u64, u64, u64)>,
@@ -228,7 +228,7 @@
         std::mem::swap(&mut next, &mut self.cell);
         for (id, record) in records {
             if record.state.is_final() {
-                self.cell.close(id.clone(), record);
+                self.cell.add_ended(id.clone(), record);
                 continue;
             }
             let of_job = self.submitted.iter().find(|own| own.id == *id);
@@ -260,12 +260,12 @@
             if self.now.is_multiple_of(POLL_GAP) {
                 self.poll();
                 self.cell.rerank(self.now, self.now);
-                self.cell.lapse(self.now);
+                self.cell.expire_leases(self.now);
             }
             self.cell.place(self.now);
             for (id, order) in self.cell.take_orders() {
                 let outcome = self.carry_out(&id, &order);
-                self.cell.answered(&id, &order, outcome, self.now);
+                self.cell.handle_outcome(&id, &order, outcome, self.now);
             }
             self.write();
             self.note_over();
@@ -311,7 +311,7 @@
                 continue;
             }
             for (name, going) in std::mem::take(&mut machine.runs) {
-                machine.end(name, going.run, How::Lapsed);
+                machine.end(name, going.run, EndCause::Lapsed);
             }
         }
     }
@@ -331,7 +331,7 @@
                 let of_gang = machine.runs.extract_if(.., |(own, _), _| own == job);
                 let of_gang: Vec<_> = of_gang.collect();
                 for (name, going) in of_gang {
-                    machine.end(name, going.run, How::Broken);
+                    machine.end(name, going.run, EndCause::Broken);
                 }
             }
         }
@@ -359,7 +359,7 @@
         let up = self.machines.iter().filter(|own| own.back.is_none());
         let mut entries: Vec<Entry> = up.map(Machine::entry).collect();
         entries.extend(self.stale.iter().map(|(entry, _)| entry.clone()));
-        self.cell.list(entries, now);
+        self.cell.handle_listing(entries, now);
         self.write();
     }
 
@@ -367,8 +367,8 @@
         if self.is_held {
             return;
         }
-        let change = self.cell.take_change(100);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(100);
+        self.cell.batch_written(&change);
         self.written.extend(change.records);
     }
 
@@ -381,12 +381,12 @@
             };
             if machine.back.is_some() || machine.is_cut {
                 machine.held = None;
-                self.cell.unheard(&entry.id, self.now);
+                self.cell.poll_failed(&entry.id, self.now);
                 continue;
             }
             if machine.id != entry.id {
                 self.cell
-                    .end_life(&entry.id, "another life answers", self.now);
+                    .end_incarnation(&entry.id, "another life answers", self.now);
                 continue;
             }
             let now = self.now;
@@ -394,7 +394,7 @@
                 self.poll_held(&entry);
                 continue;
             }
-            if let Some(poll) = self.cell.poll(&entry.id, now)
+            if let Some(poll) = self.cell.next_poll(&entry.id, now)
                 && let Some(machine) = self.at(&entry)
             {
                 machine.lease = machine.lease.max(poll.deadline);
@@ -419,7 +419,7 @@
             self.cell.report(&entry.id, report, sent, now, now);
             self.write();
         }
-        let Some(poll) = self.cell.poll(&entry.id, now) else {
+        let Some(poll) = self.cell.next_poll(&entry.id, now) else {
             return;
         };
         let Some(machine) = self.at(entry) else {
@@ -445,10 +445,10 @@
             Order::Stop { .. } | Order::Pace { .. } | Order::Withdraw { .. } => (None, false),
         };
         let Some(machine) = self.machines.iter_mut().find(|own| own.id == *id) else {
-            return Outcome::Refused(Reason::OtherLife);
+            return Outcome::Refused(Refusal::OtherLife);
         };
         if machine.back.is_some() || machine.is_cut {
-            return Outcome::Refused(Reason::NotSent);
+            return Outcome::Refused(Refusal::NotSent);
         }
         match order {
             Order::Start(start) => {
@@ -493,11 +493,11 @@
         let name = (job.clone(), address);
         if self.runs.get(&name).is_some_and(|going| going.run == run) {
             self.runs.remove(&name);
-            self.end(name, run, How::Stopped);
+            self.end(name, run, EndCause::Stopped);
         }
     }
 
-    fn end(&mut self, name: (Id, Address), run: u64, how: How) {
+    fn end(&mut self, name: (Id, Address), run: u64, how: EndCause) {
         self.count += 1;
         self.ended.push(end_of(self.count, name, run, how));
     }
@@ -507,7 +507,7 @@
         let over = self.runs.extract_if(.., |_, going| going.until <= now);
         let over: Vec<_> = over.collect();
         for (name, going) in over {
-            self.end(name, going.run, How::Done);
+            self.end(name, going.run, EndCause::Done);
         }
         let runs = self.runs.iter().map(|(name, going)| (name, going.run));
         report_of(self.clock(now), runs, &self.ended)
--- a/components/cell/tests/decisions/fill.rs
+++ b/components/cell/tests/decisions/fill.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, end, entry, run, step, submission},
     job::Step,
-    magpie_cell::{Disturbance, How, Order, Outcome, Report},
+    magpie_cell::{Disturbance, EndCause, Order, Outcome, Report},
     std::sync::Arc,
     test_case::test_case,
 };
@@ -112,7 +112,7 @@
 #[test]
 fn harmless_goes_beside_harmful() {
     let mut world = shared_world(filling("f", 500));
-    world.cell.recall(learned(["f", "s", "g"]));
+    world.cell.restore_disturbance(learned(["f", "s", "g"]));
     figures(&mut world, 25);
     world.submit(OTHER, vec![filling("g", 500)]);
     assert_eq!(world.starts().len(), 1);
@@ -123,7 +123,7 @@
 #[test]
 fn harmless_goes_beside_former_peak() {
     let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
+    world.cell.restore_disturbance(learned(["g", "s", "f"]));
     for tail in [40, 60, 60, 60, 60, 60, 25, 13, 13, 13, 13, 13, 13] {
         world.now += 500;
         figures(&mut world, tail);
@@ -135,7 +135,7 @@
 #[test]
 fn harmful_waits_for_room_to_spare() {
     let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
+    world.cell.restore_disturbance(learned(["g", "s", "f"]));
     figures(&mut world, 25);
     world.submit(OTHER, vec![filling("f", 500)]);
     assert!(world.starts().is_empty());
@@ -152,7 +152,7 @@
 #[test_case(20, 1; "more waits than runs")]
 fn harmful_goes_where_work_is_crowded(count: u32, least: usize) {
     let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
+    world.cell.restore_disturbance(learned(["g", "s", "f"]));
     for _ in 0..8 {
         world.now += 500;
         figures(&mut world, 23);
@@ -188,7 +188,7 @@
 #[test]
 fn pace_falls_ahead_of_the_load() {
     let mut world = shared_world(filling("f", 1_500));
-    world.cell.recall(learned(["f", "s", "g"]));
+    world.cell.restore_disturbance(learned(["f", "s", "g"]));
     let mut paces = Vec::new();
     for tail in [20, 22, 25, 28, 32, 36] {
         world.now += 500;
@@ -233,15 +233,15 @@
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(3, 4_000)]);
     assert_eq!(world.starts().len(), 2);
-    let before = world.cell.tried();
+    let before = world.cell.full_scans();
     world.now += 50;
     assert!(world.starts().is_empty());
-    assert_eq!(world.cell.tried(), before);
+    assert_eq!(world.cell.full_scans(), before);
     add_worker(&mut world);
     world.list(vec![entry("w3", 4)]);
     world.report("w3", vec![], vec![]);
     assert_eq!(world.starts().len(), 1);
-    assert_eq!(world.cell.tried(), before);
+    assert_eq!(world.cell.full_scans(), before);
 }
 
 /// A lasting job and two short ones, each of which needs a whole worker; a short one runs on each of the
@@ -266,7 +266,7 @@
 
 /// The short task that runs on a worker ends.
 fn end_short(world: &mut World, worker: &str, index: u32) {
-    let mut done = end(1, OTHER, 0, 1, How::Done);
+    let mut done = end(1, OTHER, 0, 1, EndCause::Done);
     done.address.index = index;
     world.report(worker, vec![], vec![done]);
 }
@@ -313,7 +313,7 @@
         world.answer(&worker, &start, Outcome::Done);
     }
     let ends = [0, 1].map(|index| {
-        let mut end = end(1 + u64::from(index), OTHER, 0, 1, How::Failed);
+        let mut end = end(1 + u64::from(index), OTHER, 0, 1, EndCause::Failed);
         end.address.index = index;
         end
     });
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -6,7 +6,7 @@
 use {
     crate::common::{JOB, World, end, entry, run, step},
     job::{Id, Step},
-    magpie_cell::{Entry, How, Key, Order, Outcome, Reason},
+    magpie_cell::{EndCause, Entry, Order, Outcome, Refusal, TaskKey},
     std::{collections::HashSet, sync::Arc},
     test_case::test_case,
 };
@@ -61,7 +61,7 @@
 #[test_case(&["elsewhere"], 16; "one without workers")]
 fn shut_halls_get_nothing(shut: &[&str], starts: usize) {
     let mut world = world();
-    world.cell.shut(names(shut));
+    world.cell.set_shut_halls(names(shut));
     world.submit(JOB, vec![step(20, 1_000)]);
     let started = started(&mut world);
     assert_eq!(started.len(), starts);
@@ -76,10 +76,10 @@
         gang: true,
         ..step(3, 3_000)
     };
-    world.cell.shut(names(&["h1"]));
+    world.cell.set_shut_halls(names(&["h1"]));
     world.submit(JOB, vec![gang]);
     assert!(started(&mut world).is_empty());
-    world.cell.shut(names(&[]));
+    world.cell.set_shut_halls(names(&[]));
     assert_eq!(started(&mut world).len(), 3);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn pressed_task_does_not_go_to_shut_hall() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![lasting(1)]);
     for _ in 0..100 {
         world.now += 100;
@@ -97,7 +97,7 @@
         world.cell.rerank(world.now, world.now);
         assert!(started(&mut world).is_empty());
     }
-    world.cell.shut(names(&["h1", "h2"]));
+    world.cell.set_shut_halls(names(&["h1", "h2"]));
     assert_eq!(started(&mut world), ["w4".into()]);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn new_worker_in_shut_hall_gets_nothing() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3", "h4"]));
+    world.cell.set_shut_halls(names(&["h1", "h2", "h3", "h4"]));
     world.list(vec![entry_in("w5", "h4")]);
     world.report("w5", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
@@ -116,15 +116,15 @@
 #[test]
 fn run_in_shut_hall_goes_on() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![step(1, 1_000)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
+    world.cell.set_shut_halls(names(&["h1"]));
     assert!(world.cell.take_orders().is_empty());
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
     assert!(world.cell.take_orders().is_empty());
-    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Done)]);
+    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, EndCause::Done)]);
     world.write();
     assert_eq!(crate::common::state(&world), Some(job::State::Completed));
 }
@@ -133,7 +133,7 @@
 #[test]
 fn run_in_shut_hall_is_adopted() {
     let mut world = world();
-    world.cell.shut(names(&["h1"]));
+    world.cell.set_shut_halls(names(&["h1"]));
     world.resume(JOB, vec![step(1, 1_000)]);
     world.report("w1", vec![run(JOB, 0, 2)], vec![]);
     assert!(started(&mut world).is_empty());
@@ -144,12 +144,12 @@
 #[test]
 fn lasting_task_that_ended_starts_elsewhere() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![lasting(1)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
-    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
+    world.cell.set_shut_halls(names(&["h1"]));
+    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.write();
     let started = started(&mut world);
     assert!(started.len() == 1 && hall_of(&started[0]) != "h1");
@@ -159,15 +159,15 @@
 #[test]
 fn start_on_its_way_is_withdrawn() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![lasting(2)]);
     let starts = world.starts();
     let (worker, confirmed) = starts[0].clone();
     world.answer(&worker, &confirmed, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
+    world.cell.set_shut_halls(names(&["h1"]));
     let (other, waiting) = starts[1].clone();
     let withdrawal = Order::Withdraw {
-        key: Key {
+        key: TaskKey {
             job: Id::new(JOB).unwrap(),
             place: waiting.key.place,
         },
@@ -179,9 +179,9 @@
     );
     let told = world
         .cell
-        .answered(&other, &withdrawal, Outcome::Done, world.now);
+        .handle_outcome(&other, &withdrawal, Outcome::Done, world.now);
     assert!(!told);
-    world.answer(&other, &waiting, Outcome::Refused(Reason::NotSent));
+    world.answer(&other, &waiting, Outcome::Refused(Refusal::NotSent));
     let started = started(&mut world);
     assert!(started.len() == 1 && hall_of(&started[0]) != "h1");
 }
@@ -190,13 +190,13 @@
 #[test]
 fn opened_hall_gets_work_at_once() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![step(2, 1_000)]);
     assert!(started(&mut world).is_empty());
     world.now += 4;
     assert!(started(&mut world).is_empty());
     world.now += 4;
-    world.cell.shut(names(&["h1", "h2"]));
+    world.cell.set_shut_halls(names(&["h1", "h2"]));
     assert_eq!(started(&mut world).len(), 2);
 }
 
@@ -204,7 +204,7 @@
 #[test]
 fn leaving_worker_empties_past_shut_hall() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
+    world.cell.set_shut_halls(names(&["h2", "h3"]));
     let saving = Step {
         checkpoints: true,
         ..step(1, 4_000)
@@ -212,15 +212,15 @@
     world.submit(JOB, vec![saving]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1", "h2"]));
+    world.cell.set_shut_halls(names(&["h1", "h2"]));
     let leaving = Entry {
         leaving: true,
         remaining: Some(2_000),
         ..entry_in(&worker, "h1")
     };
-    world.cell.list(vec![leaving], world.now);
+    world.cell.handle_listing(vec![leaving], world.now);
     assert_eq!(world.stops().len(), 1);
-    let stopped = end(1, JOB, 0, 1, How::Stopped);
+    let stopped = end(1, JOB, 0, 1, EndCause::Stopped);
     world.report(&worker, vec![], vec![stopped]);
     let entries = WORKERS.iter().filter(|(id, _)| *id != &*worker);
     world.list(entries.map(|(id, hall)| entry_in(id, hall)).collect());
@@ -242,7 +242,7 @@
                     .into_iter()
                     .filter(|_| random.bool())
                     .collect();
-                world.cell.shut(names(&shut));
+                world.cell.set_shut_halls(names(&shut));
             }
             let id = format!("{round:016x}");
             let step = Step {
@@ -259,13 +259,13 @@
                     "seed {seed}, round {round}"
                 );
                 let outcome = *random
-                    .choose_multiple([Outcome::Done, Outcome::Refused(Reason::Room)].iter(), 1)[0];
+                    .choose_multiple([Outcome::Done, Outcome::Refused(Refusal::Room)].iter(), 1)[0];
                 world.answer(&worker, &start, outcome);
                 if outcome == Outcome::Done && random.bool() {
                     numbers += 1;
-                    let ended = magpie_cell::End {
+                    let ended = magpie_cell::RunEnd {
                         address: start.address,
-                        ..end(numbers, &id, 0, start.run, How::Done)
+                        ..end(numbers, &id, 0, start.run, EndCause::Done)
                     };
                     world.report(&worker, vec![], vec![ended]);
                 }
--- a/components/cell/tests/decisions/held.rs
+++ b/components/cell/tests/decisions/held.rs
@@ -3,7 +3,10 @@
 use {
     crate::common::{JOB, World, end, entry, other_than, run, step, submission},
     job::Step,
-    magpie_cell::{Advice, End, How, Machine, Order, Outcome, Reason, Run, Start, Upkeep, Wave},
+    magpie_cell::{
+        Advice, EndCause, Machine, MaintenanceOrder, Order, Outcome, Refusal, Run, RunEnd, Start,
+        Wave,
+    },
     std::{collections::BTreeMap, sync::Arc},
     test_case::test_case,
 };
@@ -27,7 +30,7 @@
         self.now += TICK;
         self.cell.rerank(self.now, self.now);
         self.cell.expire_tickets(self.now);
-        self.cell.lapse(self.now);
+        self.cell.expire_leases(self.now);
         let starts = self.starts();
         self.write();
         starts
@@ -57,7 +60,7 @@
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world
         .cell
-        .end_life(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another life answers", world.now);
     world.list(vec![entry("w2", 4)]);
     let mut again = Vec::new();
     for _ in 0..AGAIN / TICK {
@@ -80,7 +83,7 @@
     let (worker, start) = &first[0];
     world.answer(worker, start, Outcome::Done);
     world.now += 10;
-    world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
     let mut again = Vec::new();
     for _ in 0..200 {
@@ -95,13 +98,13 @@
 /// Has all workers advised that were asked about. Returns the starts that follow.
 fn advise(world: &mut World) -> Vec<(Arc<str>, Start)> {
     let mut starts = world.starts();
-    for question in world.cell.take_questions() {
+    for question in world.cell.take_advice_queries() {
         let good = question.workers.iter().cloned();
         let advice = Advice {
-            good: good.map(|own| (own.id, "ticket".into())).collect(),
-            valid: 3_000,
+            tickets: good.map(|own| (own.id, "ticket".into())).collect(),
+            valid_for: 3_000,
         };
-        world.cell.advised(&question, Some(advice), world.now);
+        world.cell.handle_advice(&question, Some(advice), world.now);
     }
     starts.extend(world.starts());
     starts
@@ -120,8 +123,8 @@
     /// Takes in what has failed by now.
     fn fail(&mut self, world: &mut World) {
         if world.now >= self.fails {
-            world.cell.unheard(&self.id, world.now);
-            world.cell.poll(&self.id, world.now);
+            world.cell.poll_failed(&self.id, world.now);
+            world.cell.next_poll(&self.id, world.now);
             self.fails = world.now + 1_100;
         }
         let due = self.unanswered.extract_if(.., |(at, _)| world.now >= *at);
@@ -205,7 +208,7 @@
     for tick in 1..=200 {
         world.now += TICK;
         world.cell.rerank(world.now, world.now);
-        world.cell.lapse(world.now);
+        world.cell.expire_leases(world.now);
         world.cell.place(world.now);
         for (id, order) in world.cell.take_orders() {
             if let Order::Start(start) = &order {
@@ -214,7 +217,9 @@
             if &*id == "w1" {
                 due.push((world.now + 750, order));
             } else {
-                world.cell.answered(&id, &order, Outcome::Done, world.now);
+                world
+                    .cell
+                    .handle_outcome(&id, &order, Outcome::Done, world.now);
             }
         }
         let now = world.now;
@@ -222,7 +227,7 @@
             if let Orders::Unanswered = orders {
                 world
                     .cell
-                    .answered(&"w1".into(), &order, Outcome::Unknown, now);
+                    .handle_outcome(&"w1".into(), &order, Outcome::Unknown, now);
             }
         }
         if tick % 5 == 0 {
@@ -251,18 +256,18 @@
     world.report("w2", vec![], vec![]);
     world.now += 1_000;
     world.list(vec![entry("w2", 4)]);
-    world.cell.unheard("w1", world.now);
+    world.cell.poll_failed("w1", world.now);
     for _ in 0..60 {
         world.report("w2", vec![], vec![]);
         assert!(world.tick().is_empty());
     }
-    assert!(!world.cell.knows("w1"));
+    assert!(!world.cell.has_worker("w1"));
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
     world.submit(JOB, vec![lasting(1_000)]);
-    world.cell.intake_read();
+    world.cell.jobs_reread();
     let mut again = Vec::new();
     for _ in 0..300 {
-        world.cell.unheard("w1", world.now);
+        world.cell.poll_failed("w1", world.now);
         world.report("w2", vec![], vec![]);
         again.extend(world.tick());
         if !again.is_empty() {
@@ -285,7 +290,7 @@
     let machine = |name: &&str| Machine {
         name: (*name).into(),
         up: true,
-        upkeep: false,
+        in_maintenance: false,
         worker: Some(name.replace('m', "w").as_str().into()),
     };
     names.iter().map(machine).collect()
@@ -305,10 +310,15 @@
 #[test]
 fn upkeep_taken_back_opens_worker() {
     let mut world = World::new(&["w1"]);
-    let orders: Vec<Upkeep> = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
+    let orders: Vec<MaintenanceOrder> =
+        world
+            .cell
+            .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
     assert_eq!(orders.len(), 1);
-    world.cell.upkeep_refused(&orders[0]);
-    world.cell.upkeep(&[], &machines(&["m1"]), world.now);
+    world.cell.maintenance_refused(&orders[0]);
+    world
+        .cell
+        .plan_maintenance(&[], &machines(&["m1"]), world.now);
     assert!(is_used(&mut world), "the worker stays closed");
 }
 
@@ -317,10 +327,16 @@
 #[test]
 fn upkeep_of_machine_missing_once_opens_worker() {
     let mut world = World::new(&["w1"]);
-    let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
-    world.cell.upkeep_refused(&orders[0]);
-    world.cell.upkeep(&[wave()], &machines(&[]), world.now);
-    let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
+    let orders = world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
+    world.cell.maintenance_refused(&orders[0]);
+    world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&[]), world.now);
+    let orders = world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
     assert!(
         !orders.is_empty() || is_used(&mut world),
         "the worker stays closed and gets no upkeep"
@@ -339,7 +355,7 @@
     world.submit(JOB, vec![lasting(1_000)]);
     world
         .cell
-        .end_life(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another life answers", world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -357,7 +373,7 @@
         assert!(!world.stops().is_empty());
         world.now += TICK;
     }
-    let stopped = end(1, JOB, 0, 7, How::Stopped);
+    let stopped = end(1, JOB, 0, 7, EndCause::Stopped);
     world.report("w1", vec![], vec![stopped]);
     assert_eq!(world.tick().len(), 1);
 }
@@ -392,12 +408,12 @@
         let dirty = run(JOB, 1, 1);
         world.report("w1", vec![dirty], vec![]);
         world.now += 10;
-        let lapsed = End {
+        let lapsed = RunEnd {
             address: run(JOB, 1, 1).address,
-            ..end(1, JOB, 0, 1, How::Lapsed)
+            ..end(1, JOB, 0, 1, EndCause::Lapsed)
         };
         world.report("w1", vec![], vec![lapsed]);
-        let change = world.cell.take_change(100);
+        let change = world.cell.take_write_batch(100);
         record = change.records[0].1.clone();
     }
     let mut world = resumed(&record);
@@ -424,9 +440,9 @@
     for number in 1..=65 {
         let (worker, start) = world.starts()[0].clone();
         assert_eq!(start.run, number);
-        let refused = Outcome::Refused(Reason::Room);
+        let refused = Outcome::Refused(Refusal::Room);
         world.answer(&worker, &start, refused);
-        assert!(world.cell.take_change(100).records.is_empty());
+        assert!(world.cell.take_write_batch(100).records.is_empty());
         world.now += 600;
         world.report("w1", vec![], vec![]);
     }
