--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -51,7 +51,7 @@
     /// Trials of its tasks that went well since the last early crash under one of them.
     pub passed_trials: usize,
     /// A crash that was counted against a task of it is not written down yet.
-    pub crash_unwritten: bool,
+    pub crash_unpersisted: bool,
     /// It is about to miss its objective: its filling tasks may also go where they disturb.
     pub urgent: bool,
     /// What is known of which workers may run its steps, by time and step.
@@ -124,7 +124,7 @@
     /// The list of workers is to be written.
     pub(crate) fleet_dirty: bool,
     /// What was learned of disturbance is to be written.
-    pub(crate) disturbance_due: bool,
+    pub(crate) interference_due: bool,
     /// Orders to send, by worker.
     pub(crate) orders: Vec<(Arc<str>, Order)>,
     /// Questions to the advising service.
@@ -157,7 +157,7 @@
     /// Workers that get no work for now, see [`Cell::set_backpressured`].
     pub(crate) backpressured: HashSet<Arc<str>>,
     /// Data halls in which nothing may start.
-    pub(crate) shut_halls: HashSet<Arc<str>>,
+    pub(crate) closed_halls: HashSet<Arc<str>>,
     /// Runs that are done and were not told yet.
     pub(crate) finished_runs: Vec<FinishedRun>,
     /// Pools whose workers start whatever they are told.
@@ -187,7 +187,7 @@
             last_listing: 0,
             listings_since: 0,
             fleet_dirty: false,
-            disturbance_due: false,
+            interference_due: false,
             orders: Vec::new(),
             advice_queries: Vec::new(),
             full_scans: 0,
@@ -204,7 +204,7 @@
             worker_checks: 0,
             scan_start: "".into(),
             backpressured: HashSet::new(),
-            shut_halls: HashSet::new(),
+            closed_halls: HashSet::new(),
             finished_runs: Vec::new(),
             overcommitting: HashSet::new(),
             leases_frozen: false,
@@ -218,7 +218,7 @@
     }
 
     /// Goes on from what a former owner knew of disturbance.
-    pub fn restore_disturbance(&mut self, learned: Disturbance) {
+    pub fn restore_interference(&mut self, learned: Disturbance) {
         self.disturbance = learned;
     }
 
--- a/components/cell/src/choose.rs
+++ b/components/cell/src/choose.rs
@@ -157,7 +157,7 @@
         if worker.backpressured {
             return Some(Obstacle::Held);
         }
-        if self.is_shut(worker) {
+        if self.is_in_closed_hall(worker) {
             return Some(Obstacle::Shut);
         }
         if !self.is_room_known(worker, now) {
--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -155,7 +155,7 @@
         task.crashes.early += u32::from(is_early);
         task.crashes.all += 1;
         job.suspects.insert(key.place);
-        job.crash_unwritten = true;
+        job.crash_unpersisted = true;
         if is_early {
             job.passed_trials = 0;
             log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "A worker crashed under a task that had just started.");
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -109,7 +109,7 @@
     pub(crate) fn is_unkept(&self, id: &Id, place: usize) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let crashes = job.progress.tasks[place].crashes;
-            job.crash_unwritten && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
+            job.crash_unpersisted && (crashes.early >= ALONE_FROM || crashes.all >= ALONE_FROM_ALL)
         })
     }
 
--- a/components/cell/src/halls.rs
+++ b/components/cell/src/halls.rs
@@ -1,4 +1,4 @@
-//! Data halls that the operators have set_shut_halls: nothing starts there until they are open again.
+//! Data halls that the operators have set_closed_halls: nothing starts there until they are open again.
 //!
 //! What runs there goes on. Its workers are sound, and a move costs a stop, a start and the work since the last
 //! checkpoint, for nothing that anybody who waits would gain. It moves where it would move elsewhere too: slowed tasks
@@ -15,16 +15,16 @@
 
 impl Cell {
     /// Takes in which data halls are shut now. Starts for them that have not left yet are taken back.
-    pub fn set_shut_halls(&mut self, halls: HashSet<Arc<str>>) {
-        if self.shut_halls == halls {
+    pub fn set_closed_halls(&mut self, halls: HashSet<Arc<str>>) {
+        if self.closed_halls == halls {
             return;
         }
-        let former = std::mem::replace(&mut self.shut_halls, halls);
+        let former = std::mem::replace(&mut self.closed_halls, halls);
         for worker in self.workers.values_mut() {
-            let is_shut = self.shut_halls.contains(&worker.entry.hall);
-            worker.changed |= former.contains(&worker.entry.hall) && !is_shut;
+            let is_closed = self.closed_halls.contains(&worker.entry.hall);
+            worker.changed |= former.contains(&worker.entry.hall) && !is_closed;
         }
-        for hall in self.shut_halls.difference(&former) {
+        for hall in self.closed_halls.difference(&former) {
             let workers = self.workers.iter();
             let here = workers.filter(|(_, worker)| worker.entry.hall == *hall);
             let (mut count, mut running) = (0, 0);
@@ -38,8 +38,8 @@
     }
 
     /// True for a worker in a data hall that is shut.
-    pub(crate) fn is_shut(&self, worker: &Worker) -> bool {
-        !self.shut_halls.is_empty() && self.shut_halls.contains(&worker.entry.hall)
+    pub(crate) fn is_in_closed_hall(&self, worker: &Worker) -> bool {
+        !self.closed_halls.is_empty() && self.closed_halls.contains(&worker.entry.hall)
     }
 }
 
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -60,7 +60,7 @@
             waiting_since: None,
             urgent: false,
             overdue: false,
-            crash_unwritten: false,
+            crash_unpersisted: false,
             untried: BTreeSet::new(),
             passed_trials: 0,
             suspects: progress
--- a/components/cell/src/overdue.rs
+++ b/components/cell/src/overdue.rs
@@ -91,7 +91,7 @@
             .filter_map(|(obstacle, count)| Some(format!("{:?}={count}", (*obstacle)?)))
             .collect();
         let obstacles = told.join(" ");
-        log::warn!(target: "cell", job = key.job.as_str(), place = key.place, cpu, waited, line = is_in_line, unsure = is_unsure, suspicion:? = past.suspicion, unkept = job.crash_unwritten, barred = must_wait, trials, free, obstacles = obstacles.as_str(); "A lasting task waits.");
+        log::warn!(target: "cell", job = key.job.as_str(), place = key.place, cpu, waited, line = is_in_line, unsure = is_unsure, suspicion:? = past.suspicion, unkept = job.crash_unpersisted, barred = must_wait, trials, free, obstacles = obstacles.as_str(); "A lasting task waits.");
     }
 
     /// How many workers each obstacle keeps from being given a task; those without one are under `None`.
--- a/components/cell/src/persistence.rs
+++ b/components/cell/src/persistence.rs
@@ -49,8 +49,8 @@
 impl Cell {
     /// What is known of disturbance, when it is due to be written. It goes by itself: nothing waits for it, and with
     /// 16 and 30 images it is larger than many groups of records.
-    pub fn take_disturbance(&mut self) -> Option<Disturbance> {
-        std::mem::take(&mut self.disturbance_due).then(|| self.disturbance.clone())
+    pub fn take_interference(&mut self) -> Option<Disturbance> {
+        std::mem::take(&mut self.interference_due).then(|| self.disturbance.clone())
     }
 
     /// The next group to write, with records that take at most this many entries of the store. The
@@ -128,8 +128,8 @@
             log::info!(target: "cell", job = id.as_str(), state = record.state.word(); "The state of a job is written down.");
         }
         job.written_state = record.state;
-        if job.crash_unwritten && record.crashed == job.progress.crashed() {
-            job.crash_unwritten = false;
+        if job.crash_unpersisted && record.crashed == job.progress.crashed() {
+            job.crash_unpersisted = false;
         }
         if record.state.is_final() {
             self.ended_jobs
--- a/components/cell/src/summary.rs
+++ b/components/cell/src/summary.rs
@@ -54,7 +54,7 @@
             summary.placed += worker.slots.len();
             summary.serving += worker.serving_cpu;
             summary.firm += worker.reserved.cpu - worker.serving_cpu;
-            if !worker.is_schedulable(now) || self.is_shut(worker) {
+            if !worker.is_schedulable(now) || self.is_in_closed_hall(worker) {
                 continue;
             }
             summary.open += 1;
--- a/components/cell/src/throttle.rs
+++ b/components/cell/src/throttle.rs
@@ -50,7 +50,7 @@
         if self.disturbance.solve(now) {
             self.levels.forget(now);
         }
-        self.disturbance_due |= self.disturbance.is_due(now);
+        self.interference_due |= self.disturbance.is_due(now);
         for (key, run, percent) in set_paces(&self.disturbance, &self.levels, worker, now) {
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
--- a/components/cell/tests/decisions/fill.rs
+++ b/components/cell/tests/decisions/fill.rs
@@ -112,7 +112,7 @@
 #[test]
 fn harmless_goes_beside_harmful() {
     let mut world = shared_world(filling("f", 500));
-    world.cell.restore_disturbance(learned(["f", "s", "g"]));
+    world.cell.restore_interference(learned(["f", "s", "g"]));
     figures(&mut world, 25);
     world.submit(OTHER, vec![filling("g", 500)]);
     assert_eq!(world.starts().len(), 1);
@@ -123,7 +123,7 @@
 #[test]
 fn harmless_goes_beside_former_peak() {
     let mut world = shared_world(filling("g", 500));
-    world.cell.restore_disturbance(learned(["g", "s", "f"]));
+    world.cell.restore_interference(learned(["g", "s", "f"]));
     for tail in [40, 60, 60, 60, 60, 60, 25, 13, 13, 13, 13, 13, 13] {
         world.now += 500;
         figures(&mut world, tail);
@@ -135,7 +135,7 @@
 #[test]
 fn harmful_waits_for_room_to_spare() {
     let mut world = shared_world(filling("g", 500));
-    world.cell.restore_disturbance(learned(["g", "s", "f"]));
+    world.cell.restore_interference(learned(["g", "s", "f"]));
     figures(&mut world, 25);
     world.submit(OTHER, vec![filling("f", 500)]);
     assert!(world.starts().is_empty());
@@ -152,7 +152,7 @@
 #[test_case(20, 1; "more waits than runs")]
 fn harmful_goes_where_work_is_crowded(count: u32, least: usize) {
     let mut world = shared_world(filling("g", 500));
-    world.cell.restore_disturbance(learned(["g", "s", "f"]));
+    world.cell.restore_interference(learned(["g", "s", "f"]));
     for _ in 0..8 {
         world.now += 500;
         figures(&mut world, 23);
@@ -188,7 +188,7 @@
 #[test]
 fn pace_falls_ahead_of_the_load() {
     let mut world = shared_world(filling("f", 1_500));
-    world.cell.restore_disturbance(learned(["f", "s", "g"]));
+    world.cell.restore_interference(learned(["f", "s", "g"]));
     let mut paces = Vec::new();
     for tail in [20, 22, 25, 28, 32, 36] {
         world.now += 500;
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -61,7 +61,7 @@
 #[test_case(&["elsewhere"], 16; "one without workers")]
 fn shut_halls_get_nothing(shut: &[&str], starts: usize) {
     let mut world = world();
-    world.cell.set_shut_halls(names(shut));
+    world.cell.set_closed_halls(names(shut));
     world.submit(JOB, vec![step(20, 1_000)]);
     let started = started(&mut world);
     assert_eq!(started.len(), starts);
@@ -76,10 +76,10 @@
         gang: true,
         ..step(3, 3_000)
     };
-    world.cell.set_shut_halls(names(&["h1"]));
+    world.cell.set_closed_halls(names(&["h1"]));
     world.submit(JOB, vec![gang]);
     assert!(started(&mut world).is_empty());
-    world.cell.set_shut_halls(names(&[]));
+    world.cell.set_closed_halls(names(&[]));
     assert_eq!(started(&mut world).len(), 3);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn pressed_task_does_not_go_to_shut_hall() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h1", "h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![lasting(1)]);
     for _ in 0..100 {
         world.now += 100;
@@ -97,7 +97,7 @@
         world.cell.rerank(world.now, world.now);
         assert!(started(&mut world).is_empty());
     }
-    world.cell.set_shut_halls(names(&["h1", "h2"]));
+    world.cell.set_closed_halls(names(&["h1", "h2"]));
     assert_eq!(started(&mut world), ["w4".into()]);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn new_worker_in_shut_hall_gets_nothing() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h1", "h2", "h3", "h4"]));
+    world.cell.set_closed_halls(names(&["h1", "h2", "h3", "h4"]));
     world.list(vec![entry_in("w5", "h4")]);
     world.report("w5", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
@@ -116,11 +116,11 @@
 #[test]
 fn run_in_shut_hall_goes_on() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![step(1, 1_000)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.set_shut_halls(names(&["h1"]));
+    world.cell.set_closed_halls(names(&["h1"]));
     assert!(world.cell.take_orders().is_empty());
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
     assert!(world.cell.take_orders().is_empty());
@@ -133,7 +133,7 @@
 #[test]
 fn run_in_shut_hall_is_adopted() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h1"]));
+    world.cell.set_closed_halls(names(&["h1"]));
     world.resume(JOB, vec![step(1, 1_000)]);
     world.report("w1", vec![run(JOB, 0, 2)], vec![]);
     assert!(started(&mut world).is_empty());
@@ -144,11 +144,11 @@
 #[test]
 fn lasting_task_that_ended_starts_elsewhere() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![lasting(1)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.set_shut_halls(names(&["h1"]));
+    world.cell.set_closed_halls(names(&["h1"]));
     world.report(&worker, vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.write();
     let started = started(&mut world);
@@ -159,12 +159,12 @@
 #[test]
 fn start_on_its_way_is_withdrawn() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h2", "h3"]));
     world.submit(JOB, vec![lasting(2)]);
     let starts = world.starts();
     let (worker, confirmed) = starts[0].clone();
     world.answer(&worker, &confirmed, Outcome::Done);
-    world.cell.set_shut_halls(names(&["h1"]));
+    world.cell.set_closed_halls(names(&["h1"]));
     let (other, waiting) = starts[1].clone();
     let withdrawal = Order::Withdraw {
         key: TaskKey {
@@ -190,13 +190,13 @@
 #[test]
 fn opened_hall_gets_work_at_once() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h1", "h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![step(2, 1_000)]);
     assert!(started(&mut world).is_empty());
     world.now += 4;
     assert!(started(&mut world).is_empty());
     world.now += 4;
-    world.cell.set_shut_halls(names(&["h1", "h2"]));
+    world.cell.set_closed_halls(names(&["h1", "h2"]));
     assert_eq!(started(&mut world).len(), 2);
 }
 
@@ -204,7 +204,7 @@
 #[test]
 fn leaving_worker_empties_past_shut_hall() {
     let mut world = world();
-    world.cell.set_shut_halls(names(&["h2", "h3"]));
+    world.cell.set_closed_halls(names(&["h2", "h3"]));
     let saving = Step {
         checkpoints: true,
         ..step(1, 4_000)
@@ -212,7 +212,7 @@
     world.submit(JOB, vec![saving]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.set_shut_halls(names(&["h1", "h2"]));
+    world.cell.set_closed_halls(names(&["h1", "h2"]));
     let leaving = Entry {
         leaving: true,
         remaining: Some(2_000),
@@ -242,7 +242,7 @@
                     .into_iter()
                     .filter(|_| random.bool())
                     .collect();
-                world.cell.set_shut_halls(names(&shut));
+                world.cell.set_closed_halls(names(&shut));
             }
             let id = format!("{round:016x}");
             let step = Step {
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -272,7 +272,7 @@
     if let Some(item) = store.get_large(&keys::learned(CELL))? {
         learned = item.revision;
         match wire::decode(&item.value) {
-            Ok(learned) => cell.restore_disturbance(learned),
+            Ok(learned) => cell.restore_interference(learned),
             Err(error) => {
                 log::warn!(target: "owner", error:% = error; "What was learned cannot be read, and is learned anew.");
             }
--- a/components/node/src/owning.rs
+++ b/components/node/src/owning.rs
@@ -251,7 +251,7 @@
         thread::sleep(rest);
         let asked = node
             .remote
-            .ask(move |core, _| Some(core.tenure_of(fence)?.cell.take_disturbance()));
+            .ask(move |core, _| Some(core.tenure_of(fence)?.cell.take_interference()));
         let Ok(Some(learned)) = asked else {
             return;
         };
--- a/components/node/src/tenure/halls.rs
+++ b/components/node/src/tenure/halls.rs
@@ -56,7 +56,7 @@
             let since = wall::millis();
             self.halls.shut.push(Shut { hall, by, since });
         }
-        self.cell.set_shut_halls(names);
+        self.cell.set_closed_halls(names);
     }
 
     /// Shows no hall as shut any more by this box, whose tenure is over.
