--- a/components/cell/src/crashes/index.rs
+++ b/components/cell/src/crashes/index.rs
@@ -109,7 +109,7 @@
 
     /// Adds a worker as a loss if it is unreachable and has reported before.
     pub fn add_unreachable(&mut self, worker: &Worker) {
-        let (Some(since), Some(_)) = (worker.silent, worker.clock) else {
+        let (Some(since), Some(_)) = (worker.unreachable_since, worker.clock) else {
             return;
         };
         let loss = Loss::of(worker, since);
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -4,8 +4,7 @@
     crate::{
         accept, cancel,
         core::Node,
-        decode,
-        keys,
+        decode, keys,
         message::{PeerRequest, PeerResponse},
         peer,
         retry_after::MIN_RETRY_AFTER,
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -4,13 +4,13 @@
     crate::{
         core::Node,
         decode,
-        keys,
-        owner_tasks,
-        peer,
         external::HallClosure,
         group::{CELL, owner_record, put},
+        keys,
         message::{Head, PeerRequest, PeerResponse, WorkerRecord},
+        owner_tasks,
         ownership::Ownership,
+        peer,
         settings::{LOW_SHARE, LOW_SHARE_DELAY, OWNER_LEASE, OWNER_RETRY_PAUSE, RENEW_INTERVAL},
         store::{ApplyResult, Change, Item, range_all},
         time,
@@ -249,7 +249,7 @@
             continue;
         };
         if record.state.is_final() {
-            cell.close(id, &record);
+            cell.add_ended(id, &record);
             continue;
         }
         records.insert(id, record);
@@ -277,17 +277,17 @@
     if let Some(item) = store.get_large(&keys::interference(CELL))? {
         learned = item.revision;
         match wire::decode(&item.value) {
-            Ok(learned) => cell.recall(learned),
+            Ok(learned) => cell.restore_interference(learned),
             Err(error) => {
                 log::warn!(target: "owner", error:% = error; "What was learned cannot be read, and is learned anew.");
             }
         }
     }
-    cell.list(listing, now);
+    cell.handle_listing(listing, now);
     if let Some(item) = fleet {
         let members = wire::decode::<Vec<WorkerRecord>>(&item.value);
         let members = read_or_tell(&item, members).unwrap_or_default();
-        cell.inherit(members.into_iter().map(Entry::from).collect());
+        cell.restore_workers(members.into_iter().map(Entry::from).collect());
     }
     let read = time::now();
     let closures = node.external.closures.read()?;
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -2,18 +2,18 @@
 
 use {
     crate::{
-        accept,
-        cancel,
-        config,
+        accept, cancel, config,
         external::External,
         heartbeat::Monitor,
         message::Owner,
         owner_watch,
-        peer,
-        relay,
         ownership::Ownership,
+        peer, relay,
         retry_after::RetryAfter,
-        settings::{MAX_PROBE_PAUSE, RECOVERY_WAIT_MS, SLOW_PROBE_MS, STORE_RETRY_PAUSE, STORE_UNREACHABLE, Settings},
+        settings::{
+            MAX_PROBE_PAUSE, RECOVERY_WAIT_MS, SLOW_PROBE_MS, STORE_RETRY_PAUSE, STORE_UNREACHABLE,
+            Settings,
+        },
         spec_text::SpecCache,
         store::{ApplyResult, Change, Item, Page, Store, WatchResult},
         time,
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -94,8 +94,8 @@
                     self.end_ownership("it is handed over");
                     return;
                 }
-                ownership.cell.forget(&group.forgets);
-                let kept = ownership.cell.written(&group.covers);
+                ownership.cell.remove_ended(&group.forgets);
+                let kept = ownership.cell.batch_written(&group.covers);
                 for id in kept {
                     self.let_poll(fence, &id);
                 }
@@ -109,17 +109,17 @@
                 ownership.head = head;
                 ownership.confirmed();
                 ownership.republish |= group.announces;
-                ownership.cell.unwritten(group.covers);
+                ownership.cell.batch_failed(group.covers);
             }
             Ok(ApplyResult::NoLease) => {
                 ownership.lease = 0;
                 ownership.republish = true;
-                ownership.cell.unwritten(group.covers);
+                ownership.cell.batch_failed(group.covers);
             }
             Err(_) => {
                 ownership.unconfirmed();
                 ownership.republish |= group.announces;
-                ownership.cell.unwritten(group.covers);
+                ownership.cell.batch_failed(group.covers);
             }
         }
         self.wake_writer(cx);
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -13,13 +13,13 @@
     crate::{
         core::Core,
         group::Group,
-        owner_tasks,
         order_queue::OrderSender,
+        owner_tasks,
         relays::{Need, Relays},
         settings::TICK_INTERVAL,
         time,
     },
-    cell::{Cell, Entry, Poll, Question},
+    cell::{AdviceQuery, Cell, Entry, Poll},
     kernel::{
         host::Answerer,
         stakker::{Cx, after},
@@ -62,7 +62,7 @@
     /// The boxes that talk to workers for this one.
     relays: Relays,
     /// The way for questions to the advising service, once there was one.
-    advice: Option<Sender<Question>>,
+    advice: Option<Sender<AdviceQuery>>,
     /// Polls of this box's own tasks that wait for their answer.
     pollers: HashMap<Arc<str>, Answerer<Option<Poll>>>,
     /// Workers whose next poll waits until their ends are written.
@@ -139,7 +139,7 @@
 
     /// How much it needs further relays, where a box talks to so many workers alone.
     fn need(&self, alone: usize) -> Need {
-        if self.cell.size() <= alone {
+        if self.cell.worker_count() <= alone {
             return Need::None;
         }
         let mut links = self.links.values();
@@ -153,7 +153,7 @@
     /// Nobody talks to the workers any more that the cell has forgotten. This is done before the
     /// next listing, which may bring one of them back.
     fn unlink_gone(&mut self) {
-        for id in self.cell.take_gone() {
+        for id in self.cell.take_removed() {
             metrics::counter!("magpie_workers_lost_total").increment(1);
             self.unlink(&id);
         }
@@ -163,13 +163,13 @@
     fn allow_poll(&mut self, id: &Arc<str>) {
         let now = time::now();
         if let Some(answerer) = self.pollers.remove(id) {
-            answerer.send(self.cell.poll(id, now));
+            answerer.send(self.cell.next_poll(id, now));
             return;
         }
         let Some(Link::Relay(name)) = self.links.get(id) else {
             return;
         };
-        if let Some(poll) = self.cell.poll(id, now) {
+        if let Some(poll) = self.cell.next_poll(id, now) {
             self.relays.poll(name, id, now, poll);
         }
     }
@@ -227,9 +227,9 @@
         metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting as f64 / 1e3);
         metrics::gauge!("magpie_cell_cores_filling_waiting").set(sum.filling as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(sum.trials as f64);
-        let overdue = ownership.cell.tell_waits(wall::millis(), time::now());
+        let overdue = ownership.cell.log_overdue(wall::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(overdue as f64);
-        metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.lost_places() as f64);
+        metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.misplaced_tasks() as f64);
         after!(SUM_UP, [cx], |this, cx| this.sum_up(cx, fence));
     }
 
@@ -239,7 +239,7 @@
             return;
         };
         self.node.shared.set_owning(0);
-        ownership.cell.tell_done(time::now());
+        ownership.cell.log_done(time::now());
         ownership.forget_halls();
         log::warn!(target: "owner", fence = ownership.fence, cause; "The cell is no longer owned here.");
         metrics::counter!("magpie_tenures_lost_total").increment(1);
@@ -264,14 +264,14 @@
         };
         ownership.ticked = time::now();
         ownership.doubt_if_alone();
-        ownership.cell.tell_done(time::now());
-        ownership.cell.open_due(wall::millis());
+        ownership.cell.log_done(time::now());
+        ownership.cell.ready_due_steps(wall::millis());
         ownership.cell.rerank(wall::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
-        ownership.cell.lapse(time::now());
+        ownership.cell.expire_leases(time::now());
         ownership.unlink_gone();
-        let is_intake_due = ownership.cell.is_intake_due();
+        let is_intake_due = ownership.cell.is_reread_due();
         let orphans = ownership.relays.expire_silent(time::now());
         let neglected = ownership.relays.take_overdue(time::now());
         if is_intake_due {
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -9,7 +9,7 @@
         message::{RelayRequest, RelayResponse, WorkerEvent},
         time,
     },
-    cell::{Entry, Order, Outcome, Poll, Reason, Report},
+    cell::{Entry, Order, Outcome, Poll, Refusal, Report},
     kernel::{
         host::Answerer,
         stakker::{Cx, after},
@@ -36,7 +36,7 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.cell.size() <= most {
+        if ownership.cell.worker_count() <= most {
             self.tend_here(fence, entry);
             return;
         }
@@ -158,7 +158,7 @@
         for (entry, since) in entries {
             let is_known = self
                 .ownership_of(fence)
-                .is_some_and(|ownership| ownership.cell.knows(&entry.id));
+                .is_some_and(|ownership| ownership.cell.has_worker(&entry.id));
             if is_known {
                 self.tend_since(fence, entry, since);
             }
@@ -172,7 +172,7 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return false;
         };
-        if ownership.cell.size() <= most || !ownership.relays.has_capacity() {
+        if ownership.cell.worker_count() <= most || !ownership.relays.has_capacity() {
             return false;
         }
         let Some(entry) = ownership.cell.entry(id).cloned() else {
@@ -205,7 +205,7 @@
             return;
         };
         match next {
-            Next::Poll => answerer.send(ownership.cell.poll(id, time::now())),
+            Next::Poll => answerer.send(ownership.cell.next_poll(id, time::now())),
             Next::Never => answerer.send(None),
             Next::Later => {
                 ownership.pollers.insert(id.clone(), answerer);
@@ -232,26 +232,28 @@
                 ownership.answered_by(id, sent);
                 ownership.cell.report(id, report, sent, now, wall::millis());
             }
-            Err(PollError::Refused(Reason::Fence)) => {
-                if !ownership.cell.is_past(id) {
+            Err(PollError::Refused(Refusal::Fence)) => {
+                if !ownership.cell.is_superseded(id) {
                     self.end_ownership("a worker has seen a higher fence");
                     return Next::Never;
                 }
-                ownership.cell.unheard(id, now);
+                ownership.cell.poll_failed(id, now);
             }
             Err(PollError::OtherLife(born)) => {
-                later = ownership.cell.follow(id, born, sent, now);
+                later = ownership.cell.handle_successor(id, born, sent, now);
             }
-            Err(PollError::Refused(Reason::OtherLife)) => {
-                ownership.cell.end_life(id, "another life answers", now);
+            Err(PollError::Refused(Refusal::OtherLife)) => {
+                ownership
+                    .cell
+                    .end_incarnation(id, "another life answers", now);
             }
-            Err(_) => ownership.cell.unheard(id, now),
+            Err(_) => ownership.cell.poll_failed(id, now),
         }
         ownership.unlink_gone();
         let next = if !ownership.cell.is_polled(id) {
             ownership.unlink(id);
             Next::Never
-        } else if ownership.cell.is_unwritten(id) {
+        } else if ownership.cell.has_unwritten_ends(id) {
             ownership.waiting.insert(id.clone());
             let id = id.clone();
             after!(UNWRITTEN_PAUSE, [cx], |this, _| this.let_poll(fence, &id));
@@ -268,7 +270,7 @@
 
     /// The first poll of a worker.
     pub(crate) fn first_poll(&mut self, fence: u64, id: &str) -> Option<Poll> {
-        self.ownership_of(fence)?.cell.poll(id, time::now())
+        self.ownership_of(fence)?.cell.next_poll(id, time::now())
     }
 
     /// Lets a worker be polled whose ends are written, or have waited long enough.
@@ -293,7 +295,10 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.cell.answered(id, order, outcome, time::now()) {
+        if ownership
+            .cell
+            .handle_outcome(id, order, outcome, time::now())
+        {
             self.end_ownership("a worker has seen a higher fence");
             return;
         }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -110,7 +110,7 @@
 pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
     node.remote.ask(move |core, _| {
         let ownership = core.confirmed_ownership()?;
-        Some(ownership.cell.waiting(&queue))
+        Some(ownership.cell.queued_jobs(&queue))
     })
 }
 
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -7,16 +7,19 @@
 use {
     crate::{
         core::Node,
-        owner_watch,
         external::PollError,
         job_cache::JobCache,
         message::{Command, CompactStart, Owner, RelayRequest, RelayResponse, WorkerEvent},
         order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
+        owner_watch,
         report_delta::ReportDelta,
-        settings::{IDLE_MIN_INTERVAL, IDLE_OWNER_READ_MS, POLL_RETRY_PAUSE, RELAY_MIN_INTERVAL, RELAY_OWNER_READ_MS, RELAY_TIMEOUT},
+        settings::{
+            IDLE_MIN_INTERVAL, IDLE_OWNER_READ_MS, POLL_RETRY_PAUSE, RELAY_MIN_INTERVAL,
+            RELAY_OWNER_READ_MS, RELAY_TIMEOUT,
+        },
         time, worker,
     },
-    cell::{Entry, Order, Outcome, Poll, Reason, Report, Run},
+    cell::{Entry, Order, Outcome, Poll, Refusal, Report, Run},
     job::Id,
     kernel::{Failure, net, sync::lock, wire},
     std::{
@@ -270,7 +273,7 @@
 
     /// Answers for orders that are not sent.
     fn refuse(&self, numbers: impl IntoIterator<Item = u64>) {
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         let answers = numbers
             .into_iter()
             .map(|number| WorkerEvent::Answer(number, refused));
@@ -342,14 +345,14 @@
 
 #[cfg(test)]
 mod tests {
-    use {super::*, cell::Key, job::Address};
+    use {super::*, cell::TaskKey, job::Address};
 
     /// An order that nobody takes would count as on its way for good, and its relay as busy.
     #[test]
     fn order_without_a_task_is_refused() {
         let session = Session::new(&RelayResponse::default());
         let order = Order::Stop {
-            key: Key {
+            key: TaskKey {
                 job: Id::new("00000000000000a1").unwrap(),
                 place: 0,
             },
@@ -363,7 +366,7 @@
         session.order(&"w1".into(), 7, order, 0);
         session.start(&Id::new("00000000000000a1").unwrap(), Vec::new(), 0);
         let heard = std::mem::take(&mut lock(&session.heard).heard);
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         assert!(matches!(&heard[..], [WorkerEvent::Answer(7, outcome)] if *outcome == refused));
     }
 }
