--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -26,9 +26,9 @@
 use {
     crate::{
         cell::Cell,
+        run_log::RUNS_PER_LINE,
         slot::{Slot, Stage},
-        told::TOGETHER,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     job::Id,
     std::{collections::HashMap, sync::Arc},
@@ -63,7 +63,7 @@
     /// Crashes of workers that may return, by worker.
     provisional: HashMap<Arc<str>, ProvisionalCrashes>,
     /// Tasks that reached a crash limit and whose jobs are to fail.
-    over_limit: Vec<Key>,
+    over_limit: Vec<TaskKey>,
 }
 
 /// Crashes counted for a worker that may be alive.
@@ -72,7 +72,7 @@
     /// When they were counted.
     at: u64,
     /// The tasks, and for each whether the crash was early.
-    tasks: Vec<(Key, bool)>,
+    tasks: Vec<(TaskKey, bool)>,
 }
 
 impl Cell {
@@ -86,7 +86,7 @@
     /// worker returns.
     pub(crate) fn record_presumed_crash(&mut self, id: &Arc<str>, now: u64) {
         // If the owner itself polled too late, the expiry is no evidence of a crash.
-        if !self.workers.get(id).is_some_and(Worker::is_silent) {
+        if !self.workers.get(id).is_some_and(Worker::is_unreachable) {
             return;
         }
         let tasks = self.attribute_crash(id, now);
@@ -98,7 +98,7 @@
 
     /// Counts a crash against the tasks of a worker that may have caused it. Returns these, and for
     /// each whether the crash was early.
-    fn attribute_crash(&mut self, id: &Arc<str>, now: u64) -> Vec<(Key, bool)> {
+    fn attribute_crash(&mut self, id: &Arc<str>, now: u64) -> Vec<(TaskKey, bool)> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
         };
@@ -125,11 +125,11 @@
 
     /// Removes the tasks that probably did not cause the crash. `held` has the tasks of the worker,
     /// and for each whether the crash was early.
-    fn retain_likely_causes(&self, held: &mut Vec<(Key, bool)>) {
-        let is_isolated = |(key, is_early): &(Key, bool)| {
+    fn retain_likely_causes(&self, held: &mut Vec<(TaskKey, bool)>) {
+        let is_isolated = |(key, is_early): &(TaskKey, bool)| {
             *is_early && self.suspicion(&key.job, key.place) == Suspicion::Alone
         };
-        let explains = |(key, is_early): &(Key, bool)| *is_early && self.is_suspect(key);
+        let explains = |(key, is_early): &(TaskKey, bool)| *is_early && self.is_suspect(key);
         if held.iter().any(is_isolated) {
             // A task in an isolated trial explains the crash, even for runs that started a moment
             // earlier. Without this rule, and with workers that report every 2 s, a long-running
@@ -144,12 +144,12 @@
     }
 
     /// True if the task is already suspected.
-    fn is_suspect(&self, key: &Key) -> bool {
+    fn is_suspect(&self, key: &TaskKey) -> bool {
         self.suspicion(&key.job, key.place) != Suspicion::None
     }
 
     /// Counts a crash against a task. Returns false if the job is unknown or has ended.
-    fn count_crash(&mut self, key: &Key, is_early: bool) -> bool {
+    fn count_crash(&mut self, key: &TaskKey, is_early: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
         };
@@ -162,9 +162,9 @@
         task.crashes.early += u32::from(is_early);
         task.crashes.all += 1;
         job.suspects.insert(key.place);
-        job.unkept = true;
+        job.crash_unpersisted = true;
         if is_early {
-            job.survivors = 0;
+            job.passed_trials = 0;
             log::warn!(target: "cell", job = key.job.as_str(), place = key.place, early = task.crashes.early, all = task.crashes.all; "Worker crashed soon after the task started; the task is suspected.");
         }
         self.dirty.insert(key.job.clone());
@@ -200,7 +200,7 @@
     /// other suspects of the job, and all starts reserved by it, for as long as the run lasts: one
     /// of nine long-running tasks was not running for 39 s because of four trials whose crashes had
     /// been revoked.
-    pub(crate) fn record_survival(&mut self, id: &Arc<str>, key: &Key, now: u64) {
+    pub(crate) fn record_survival(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         let is_suspected = self
             .jobs
             .get(&key.job)
@@ -227,7 +227,7 @@
     }
 
     /// Clears the early crashes of a task whose run has passed [`EARLY_MS`].
-    fn reset_early_crashes(&mut self, key: &Key) {
+    fn reset_early_crashes(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -240,7 +240,7 @@
     }
 
     /// Clears all crashes of a task.
-    pub(crate) fn reset_crashes(&mut self, key: &Key) {
+    pub(crate) fn reset_crashes(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -274,7 +274,7 @@
         };
         for &place in &job.suspects {
             let job = id.clone();
-            let key = Key { job, place };
+            let key = TaskKey { job, place };
             if self.is_over_limit(&key) {
                 self.crashes.over_limit.push(key);
             }
@@ -287,7 +287,7 @@
     }
 
     /// True if a task has reached a crash limit.
-    fn is_over_limit(&self, key: &Key) -> bool {
+    fn is_over_limit(&self, key: &TaskKey) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let crashes = job.progress.tasks[key.place].crashes;
             crashes.early >= MAX_EARLY_CRASHES || crashes.all >= MAX_CRASHES
@@ -329,15 +329,15 @@
             .map(|(key, slot)| format_run(worker, key, slot))
             .collect();
         held.sort();
-        held.truncate(TOGETHER);
+        held.truncate(RUNS_PER_LINE);
         let tasks = held.join(" ");
-        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_silent(), count = worker.slots.len(), tasks = tasks.as_str(); "Worker was lost with its tasks.");
+        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_unreachable(), count = worker.slots.len(), tasks = tasks.as_str(); "Worker was lost with its tasks.");
     }
 }
 
 /// Formats a run as `JOB/PLACE.RUN:AGE`. The age is the time, in milliseconds, for which the run
 /// was known to run at the worker's last report, or `new` if no report listed it.
-fn format_run(worker: &Worker, key: &Key, slot: &Slot) -> String {
+fn format_run(worker: &Worker, key: &TaskKey, slot: &Slot) -> String {
     let age = match worker.confirmed_runtime(slot) {
         Some(age) => age.to_string(),
         None => "new".to_owned(),
@@ -360,9 +360,9 @@
     /// maintenance, or reported after its entry disappeared.
     fn left_cleanly(&self) -> bool {
         let served_on = self
-            .vanished
+            .unlisted_since
             .zip(self.clock)
             .is_some_and(|(since, clock)| clock.at > since);
-        self.entry.leaving || self.closing || served_on
+        self.entry.leaving || self.draining || served_on
     }
 }
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -5,7 +5,7 @@
     crate::external::PollError,
     crate::heartbeat::Heartbeat,
     crate::report_delta::ReportDelta,
-    cell::{Entry, Key, Order, Outcome, Poll, Start},
+    cell::{Entry, Order, Outcome, Poll, Start, TaskKey},
     job::{Address, Id, State, Submission, spec::Size},
     serde::{Deserialize, Serialize},
     std::sync::Arc,
@@ -48,7 +48,7 @@
         WorkerRecord {
             id: entry.id,
             name: entry.name,
-            born: entry.born,
+            born: entry.started,
             generation: entry.generation,
             pool: entry.pool,
             address: entry.address,
@@ -64,7 +64,7 @@
         Entry {
             id: member.id,
             name: member.name,
-            born: member.born,
+            started: member.born,
             generation: member.generation,
             pool: member.pool,
             address: member.address,
@@ -243,7 +243,7 @@
     pub fn start(self, job: Id, text: Arc<str>) -> Start {
         let place = self.place;
         Start {
-            key: Key { job, place },
+            key: TaskKey { job, place },
             address: self.address,
             run: self.run,
             text,
--- a/components/node/src/order_queue.rs
+++ b/components/node/src/order_queue.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::settings::MAX_START_WAIT_MS,
-    cell::{Key, Order},
+    cell::{Order, TaskKey},
     kernel::sync::lock,
     std::{
         collections::HashSet,
@@ -44,7 +44,7 @@
 }
 
 /// Runs whose starts must not be sent.
-type Revoked = Arc<Mutex<HashSet<(Key, u64)>>>;
+type Revoked = Arc<Mutex<HashSet<(TaskKey, u64)>>>;
 
 /// The sending end of a worker's queue.
 #[derive(Debug)]
@@ -110,7 +110,7 @@
 }
 
 /// The run whose start an order revokes.
-fn revoked_by(order: &Order) -> Option<(Key, u64)> {
+fn revoked_by(order: &Order) -> Option<(TaskKey, u64)> {
     match order {
         Order::Stop { key, run, .. } | Order::Withdraw { key, run } => Some((key.clone(), *run)),
         Order::Start(_) | Order::Pace { .. } => None,
@@ -122,7 +122,7 @@
     use {
         super::*,
         crate::time,
-        cell::{Key, Start},
+        cell::{Start, TaskKey},
         job::{Address, Id},
         kernel::{clock, net},
         std::time::Duration,
@@ -135,8 +135,8 @@
         index: 0,
     };
 
-    fn key() -> Key {
-        Key {
+    fn key() -> TaskKey {
+        TaskKey {
             job: Id::new("00000000000000a1").unwrap(),
             place: 0,
         }
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -56,7 +56,7 @@
             let since = wall::millis();
             self.halls.shut.push(ClosedHall { hall, by, since });
         }
-        self.cell.shut(names);
+        self.cell.set_closed_halls(names);
     }
 
     /// Shows no hall as shut any more by this box, whose ownership is over.
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -1,8 +1,10 @@
 //! What comes to the cell from callers, listings, advice and waves.
 
 use {
-    crate::{core::Core, owner_tasks, store::Event, time},
-    cell::{Advice, Entry, Listing, Machine, Question, Standing, Upkeep, Wave},
+    crate::core::Core,
+    crate::store::Event,
+    crate::{owner_tasks, time},
+    cell::{Advice, AdviceQuery, Entry, Listing, Machine, MaintenanceOrder, Wave, WaveStatus},
     job::{Id, State, Submission},
     kernel::{stakker::Cx, wall},
     std::{collections::HashSet, sync::Arc},
@@ -17,14 +19,14 @@
         };
         if let Some(config) = &*config {
             let is_other = |entry: &mut Entry| {
-                !config.has_pool(&entry.pool) && !ownership.cell.knows(&entry.id)
+                !config.has_pool(&entry.pool) && !ownership.cell.has_worker(&entry.id)
             };
             // A worker that is known by its name is not gone by that.
             let others = listing.entries.extract_if(.., is_other);
             let others: Vec<Arc<str>> = others.map(|entry| entry.name).collect();
             listing.unreadable.extend(others);
         }
-        for entry in ownership.cell.list(listing, time::now()) {
+        for entry in ownership.cell.handle_listing(listing, time::now()) {
             self.tend(fence, entry);
         }
         self.schedule_pass(cx);
@@ -42,7 +44,7 @@
     /// Those of the jobs that the cell does not know.
     pub(crate) fn unknown(&mut self, fence: u64, ids: Vec<Id>) -> HashSet<Id> {
         self.ownership_of(fence)
-            .map_or(HashSet::new(), |ownership| ownership.cell.unknown(ids))
+            .map_or(HashSet::new(), |ownership| ownership.cell.unknown_jobs(ids))
     }
 
     /// Takes in what was read once more after a takeover.
@@ -51,7 +53,7 @@
             return;
         };
         owner_tasks::apply_intake(&mut ownership.cell, events);
-        for id in ownership.cell.intake_read() {
+        for id in ownership.cell.jobs_reread() {
             self.let_poll(fence, &id);
         }
         self.schedule_pass(cx);
@@ -89,13 +91,13 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        question: &Question,
+        question: &AdviceQuery,
         advice: Option<Advice>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        ownership.cell.advised(question, advice, time::now());
+        ownership.cell.handle_advice(question, advice, time::now());
         self.schedule_pass(cx);
     }
 
@@ -106,25 +108,27 @@
         fence: u64,
         waves: &[Wave],
         machines: &[Machine],
-    ) -> Vec<Upkeep> {
+    ) -> Vec<MaintenanceOrder> {
         let Some(ownership) = self.ownership_of(fence) else {
             return Vec::new();
         };
-        let orders = ownership.cell.upkeep(waves, machines, time::now());
+        let orders = ownership
+            .cell
+            .plan_maintenance(waves, machines, time::now());
         self.schedule_pass(cx);
         orders
     }
 
     /// How far the waves are.
-    pub(crate) fn standings(&mut self, fence: u64, waves: &[Wave]) -> Vec<Standing> {
+    pub(crate) fn standings(&mut self, fence: u64, waves: &[Wave]) -> Vec<WaveStatus> {
         self.ownership_of(fence)
-            .map_or(Vec::new(), |ownership| ownership.cell.standings(waves))
+            .map_or(Vec::new(), |ownership| ownership.cell.wave_statuses(waves))
     }
 
     /// Takes in that an upkeep was surely not begun.
-    pub(crate) fn upkeep_refused(&mut self, fence: u64, order: &Upkeep) {
+    pub(crate) fn upkeep_refused(&mut self, fence: u64, order: &MaintenanceOrder) {
         if let Some(ownership) = self.ownership_of(fence) {
-            ownership.cell.upkeep_refused(order);
+            ownership.cell.maintenance_refused(order);
         }
     }
 }
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -50,10 +50,12 @@
         let begun = time::now();
         if ownership.handover.is_none() && !ownership.is_doubtful() && ownership.halls.are_known() {
             if let Some(config) = &*config {
-                ownership.cell.set_unguarded(config.unguarded());
+                ownership.cell.set_overcommitting(config.unguarded());
             }
             let most = ownership.relays.start_budget(link);
-            ownership.cell.hold_back(ownership.relays.busy_workers());
+            ownership
+                .cell
+                .set_backpressured(ownership.relays.busy_workers());
             ownership.cell.place_some(begun, most);
         }
         ownership.passed = time::now();
@@ -85,7 +87,7 @@
             return;
         };
         let fence = ownership.fence;
-        for question in ownership.cell.take_questions() {
+        for question in ownership.cell.take_advice_queries() {
             let way = ownership
                 .advice
                 .get_or_insert_with(|| owner_tasks::start_advice(&node, fence));
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -20,7 +20,7 @@
         },
         time, worker,
     },
-    cell::{Entry, Order, Outcome, Poll, Reason, Report, Run},
+    cell::{Entry, Order, Outcome, Poll, Refusal, Report, Run},
     job::Id,
     kernel::{Failure, net, sync::lock, wire},
     std::{
@@ -280,7 +280,7 @@
 
     /// Answers orders as not sent.
     fn refuse(&self, numbers: impl IntoIterator<Item = u64>) {
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         let answers = numbers
             .into_iter()
             .map(|number| WorkerEvent::Answer(number, refused));
@@ -369,7 +369,7 @@
 
 #[cfg(test)]
 mod tests {
-    use {super::*, cell::Key, job::Address};
+    use {super::*, cell::TaskKey, job::Address};
 
     /// An order without an answer would count as in flight forever, and the owner would consider
     /// the relay busy.
@@ -377,7 +377,7 @@
     fn order_without_worker_task_is_refused() {
         let session = Session::new(&RelayResponse::default());
         let order = Order::Stop {
-            key: Key {
+            key: TaskKey {
                 job: Id::new("00000000000000a1").unwrap(),
                 place: 0,
             },
@@ -391,7 +391,7 @@
         session.order(&"w1".into(), 7, order, 0);
         session.start(&Id::new("00000000000000a1").unwrap(), Vec::new(), 0);
         let results = std::mem::take(&mut lock(&session.results).queue);
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         assert!(matches!(&results[..], [WorkerEvent::Answer(7, outcome)] if *outcome == refused));
     }
 }
--- a/components/node/src/report_delta.rs
+++ b/components/node/src/report_delta.rs
@@ -7,7 +7,7 @@
 //! Mbit/s carries 250 KB per second.
 
 use {
-    cell::{End, Report, Run},
+    cell::{Report, Run, RunEnd},
     serde::{Deserialize, Serialize},
 };
 
@@ -21,7 +21,7 @@
     /// Runs that are new or have changed in other ways.
     fresh: Vec<Run>,
     /// Runs that have ended, as in the report.
-    ended: Vec<End>,
+    ended: Vec<RunEnd>,
 }
 
 impl ReportDelta {
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -7,7 +7,7 @@
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
 use {
-    cell::{Cell, End, Entry, How, Outcome, Reason, Report, Timing},
+    cell::{Cell, EndCause, Entry, Outcome, Refusal, Report, RunEnd, Timing},
     job::{Id, Queue, Spec, Step, Submission, spec::Size},
     kernel::wire,
     magpie_node::{
@@ -83,7 +83,7 @@
     Entry {
         id: name.clone(),
         name,
-        born: None,
+        started: None,
         generation: 0,
         pool: "pool".into(),
         address: format!("10.0.0.1:{number}").into(),
@@ -165,7 +165,7 @@
             simulation.schedule(simulation.now, Event::Request(relay, Vec::new()));
         }
         let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
-        for entry in simulation.cell.list(entries, 1_000) {
+        for entry in simulation.cell.handle_listing(entries, 1_000) {
             let id = entry.id.clone();
             let relay = simulation.relays.assign(entry, 1_000).unwrap();
             simulation
@@ -201,12 +201,12 @@
         let number = self.ended.entry(id.clone()).or_default();
         let ended = done.map(|(job, start)| {
             *number += 1;
-            End {
+            RunEnd {
                 number: *number,
                 job,
                 address: start.address,
                 run: start.run,
-                how: How::Done,
+                how: EndCause::Done,
                 saved: None,
             }
         });
@@ -217,13 +217,13 @@
         };
         // Missing runs are not taken for lost, since the poll was sent before they were ordered.
         self.cell.report(id, report, 0, self.now, self.now);
-        let change = self.cell.take_change(1_000);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(1_000);
+        self.cell.batch_written(&change);
     }
 
     /// Runs a placement pass and queues the orders for the relays.
     fn pass(&mut self) {
-        self.cell.hold_back(self.relays.busy_workers());
+        self.cell.set_backpressured(self.relays.busy_workers());
         let most = self.relays.start_budget(LINK);
         self.cell.place_some(self.now, most);
         self.relays.refill_text_budget(LINK, false, self.now);
@@ -242,7 +242,7 @@
                 continue;
             };
             self.refused += u64::from(outcome != Outcome::Done);
-            self.cell.answered(&id, &order, outcome, self.now);
+            self.cell.handle_outcome(&id, &order, outcome, self.now);
         }
         self.pass();
         let response = self.relays.respond(&name(relay), 9, LINK, self.now);
@@ -283,7 +283,7 @@
             Event::Sent(relay, start, job, is_sent) => {
                 let outcome = match is_sent {
                     true => Outcome::Done,
-                    false => Outcome::Refused(Reason::NotSent),
+                    false => Outcome::Refused(Refusal::NotSent),
                 };
                 self.sessions[relay].answers.push((start.number, outcome));
                 if is_sent {
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
 use {
-    cell::{Entry, Order, Poll, Reason, Report, Run, Start},
+    cell::{Entry, Order, Poll, Refusal, Report, Run, Start},
     job::{Address, Id, spec::Size},
     magpie_node::{
         external::PollError,
@@ -25,7 +25,7 @@
     Entry {
         id: id.into(),
         name: id.into(),
-        born: None,
+        started: None,
         generation: 0,
         pool: "pool".into(),
         address: "127.0.0.1:1".into(),
@@ -62,7 +62,7 @@
 
 fn stop() -> Order {
     Order::Stop {
-        key: cell::Key {
+        key: cell::TaskKey {
             job: Id::new("00000000000000a1").unwrap(),
             place: 0,
         },
@@ -225,7 +225,7 @@
 
 fn start(job: &str, place: usize, text: &str) -> Order {
     Order::Start(Start {
-        key: cell::Key {
+        key: cell::TaskKey {
             job: Id::new(job).unwrap(),
             place,
         },
@@ -475,7 +475,7 @@
     relays.reset_baseline("b1", &id);
     let delta = ReportDelta::diff(first.clone(), &mut Vec::new());
     assert_eq!(relays.decode_report("b1", &id, Ok(delta)).unwrap(), first);
-    let refused = Err(PollError::Refused(Reason::Fence));
+    let refused = Err(PollError::Refused(Refusal::Fence));
     assert!(relays.decode_report("b1", &id, refused).is_err());
 }
 
