--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -6,10 +6,10 @@
     infra::boxes::List,
     kernel::{
         Failure,
-        host::Answerer,
+        actor::Responder,
         stakker::{CX, after},
         verdict::Cause,
-        wall,
+        wall_clock,
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -49,7 +49,7 @@
 
 struct Waiting {
     wanted: Wanted,
-    answerer: Answerer<Result<Ticket, Failure>>,
+    answerer: Responder<Result<Ticket, Failure>>,
 }
 
 /// The state of a gate.
@@ -134,7 +134,12 @@
 
     /// Finds room for a request, now or before its deadline. A request that surely finds none in
     /// time is refused at once.
-    pub fn pick(&mut self, cx: CX![], wanted: Wanted, answerer: Answerer<Result<Ticket, Failure>>) {
+    pub fn pick(
+        &mut self,
+        cx: CX![],
+        wanted: Wanted,
+        answerer: Responder<Result<Ticket, Failure>>,
+    ) {
         let now = cx.now();
         if let Err(failure) = self.admit(&wanted) {
             return answerer.send(Err(failure));
@@ -294,7 +299,7 @@
         self.series
             .entry(class.clone())
             .or_default()
-            .add(wall::seconds(), counts);
+            .add(wall_clock::seconds(), counts);
     }
 
     /// What this gate tells for the report on burn.
--- a/components/gate/src/answer.rs
+++ b/components/gate/src/answer.rs
@@ -45,7 +45,7 @@
     let mut builder = Response::builder()
         .status(server::status(*cause))
         .header("content-type", "application/json")
-        .header(VERDICT_HEADER, verdict.word());
+        .header(VERDICT_HEADER, verdict.as_str());
     if matches!(cause, Cause::Busy | Cause::Stopping) {
         builder = builder.header("retry-after", RETRY_AFTER);
     }
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -5,7 +5,7 @@
         actor::{Gate, Ticket, Wanted},
         answer::{self, CLASS_HEADER, DEADLINE_HEADER, REPEAT_HEADER, VERDICT_HEADER},
     },
-    kernel::{Answer, Call, Client, Failure, Remote, Verdict, verdict::Cause},
+    kernel::{ActorRef, Call, Client, Failure, HttpResponse, Verdict, verdict::Cause},
     oxhttp::model::{Body, Request, Response},
     std::{
         io::Read,
@@ -47,7 +47,7 @@
 #[derive(Clone)]
 pub struct Shared {
     /// The actor.
-    pub gate: Remote<Gate>,
+    pub gate: ActorRef<Gate>,
     /// The client for calls on backend servers.
     pub client: Client,
     /// The time for a request whose caller names none.
@@ -142,7 +142,7 @@
     let verdict = result
         .as_ref()
         .map_or_else(|failure| failure.verdict, |_| Verdict::Ran);
-    metrics::counter!("magpie_gate_requests_total", "verdict" => verdict.word()).increment(1);
+    metrics::counter!("magpie_gate_requests_total", "verdict" => verdict.as_str()).increment(1);
     shared
         .gate
         .tell(move |gate, _| gate.note(&class, latency, answered));
@@ -213,7 +213,7 @@
 }
 
 /// Sends a request to one server after another until it ran, or must not be sent again.
-fn send(shared: &Shared, asked: &Asked) -> Result<Answer, Failure> {
+fn send(shared: &Shared, asked: &Asked) -> Result<HttpResponse, Failure> {
     let mut tried = Vec::new();
     let mut last: Option<Failure> = None;
     for attempt in 0..TRIES {
@@ -222,7 +222,7 @@
             deadline: asked.deadline,
             tried: tried.clone(),
         };
-        let ticket = shared.gate.ask_later(move |gate, cx, answerer| {
+        let ticket = shared.gate.ask_deferred(move |gate, cx, answerer| {
             if attempt == 0 {
                 gate.enter();
             }
@@ -263,7 +263,7 @@
 }
 
 /// Sends a request to one server.
-fn try_once(shared: &Shared, asked: &Asked, ticket: &Ticket) -> Result<Answer, Failure> {
+fn try_once(shared: &Shared, asked: &Asked, ticket: &Ticket) -> Result<HttpResponse, Failure> {
     let started = Instant::now();
     let result = exchange(shared, asked, ticket, started);
     let (at, latency) = (ticket.at, started.elapsed());
@@ -285,7 +285,7 @@
     asked: &Asked,
     ticket: &Ticket,
     started: Instant,
-) -> Result<Answer, Failure> {
+) -> Result<HttpResponse, Failure> {
     let left = asked.deadline.saturating_duration_since(started);
     if left.is_zero() {
         return Err(Failure::not_run(Cause::Timeout, "the deadline has passed"));
@@ -304,7 +304,7 @@
         url: &url,
         headers: &headers,
         body: &asked.body,
-        time: left.into(),
+        timeout: left.into(),
     };
     let answer = shared.client.send(&call)?;
     let reason = answer.header(NOT_RUN_HEADER);
@@ -315,10 +315,10 @@
 }
 
 /// Passes a backend server's whole answer back.
-fn pass_back(answer: Answer) -> Response<Body> {
+fn pass_back(answer: HttpResponse) -> Response<Body> {
     let mut builder = Response::builder()
         .status(answer.status)
-        .header(VERDICT_HEADER, Verdict::Ran.word());
+        .header(VERDICT_HEADER, Verdict::Ran.as_str());
     for (name, value) in &answer.headers {
         // The verdict is the gate's own word, whatever a backend server sends.
         if !HOP_HEADERS.contains(&name.as_str()) && name.as_str() != VERDICT_HEADER {
--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -9,10 +9,10 @@
     },
     infra::boxes::{Boxes, List},
     kernel::{
-        Client, Failure, Host, Remote, Reply, Request, Server,
-        client::Limits,
-        edge::{self, Bounds},
+        ActorRef, ActorThread, Client, Failure, Reply, Request, Server,
+        client::PoolLimits,
         ops::{self, Readiness},
+        public_server::{self, Bounds},
         task::Signal,
         token::Token,
     },
@@ -68,7 +68,7 @@
     callers: SocketAddr,
     ready: Readiness,
     server: Server,
-    host: Host<Gate>,
+    host: ActorThread<Gate>,
     _roster: Roster,
     follower: Follower,
 }
@@ -81,7 +81,7 @@
     /// An address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let (name, hall, choice) = (settings.name.clone(), settings.hall, settings.choice);
-        let host = Host::start("gate", move |_, _| Gate::new(name, hall, choice))?;
+        let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, choice))?;
         let gate = host.remote().clone();
         let ready = Readiness::new();
         let shared = Shared {
@@ -95,10 +95,10 @@
         let server = open_ops(settings.ops, settings.token.clone(), &gate, &ready)?;
         let bounds = Bounds {
             connections: settings.connections,
-            step: CALLER_TIMEOUT,
+            io_timeout: CALLER_TIMEOUT,
         };
         let theirs = shared.clone();
-        let callers = edge::open(settings.listen, bounds, move |request| {
+        let callers = public_server::open(settings.listen, bounds, move |request| {
             forward::handle(&theirs, request)
         })?;
         let on_list = gate.clone();
@@ -138,7 +138,7 @@
     }
 
     /// The actor, for embedders and tests.
-    pub fn remote(&self) -> &Remote<Gate> {
+    pub fn remote(&self) -> &ActorRef<Gate> {
         &self.shared.gate
     }
 
@@ -175,10 +175,10 @@
 
 /// A client that keeps within the connections of a backend server.
 fn backend_client() -> Client {
-    let limits = Limits {
-        idle: 2048,
-        host: share::SLOTS as usize,
-        age: Duration::from_secs(10),
+    let limits = PoolLimits {
+        max_idle: 2048,
+        per_host: share::SLOTS as usize,
+        idle_timeout: Duration::from_secs(10),
     };
     Client::with_limits(None, limits)
 }
@@ -186,7 +186,7 @@
 fn open_ops(
     address: SocketAddr,
     token: Option<Token>,
-    gate: &Remote<Gate>,
+    gate: &ActorRef<Gate>,
     ready: &Readiness,
 ) -> io::Result<Server> {
     let (gate, ready) = (gate.clone(), ready.clone());
--- a/components/infra/src/boxes.rs
+++ b/components/infra/src/boxes.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::size::Size,
-    kernel::{Call, Client, Failure, client::Time, verdict::Cause},
+    kernel::{Call, Client, Failure, client::Timeout, verdict::Cause},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
@@ -122,7 +122,7 @@
             url: &url,
             headers: &[],
             body: &[],
-            time: Time::once(TIMEOUT).flowing(),
+            timeout: Timeout::single(TIMEOUT).streaming(),
         };
         let answer = self.client.send(&call)?;
         match answer.status {
--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -8,7 +8,7 @@
 use {
     kernel::{
         Call, Client, Failure,
-        client::Time,
+        client::Timeout,
         verdict::{Cause, Verdict},
     },
     std::{sync::Arc, time::Duration},
@@ -92,7 +92,7 @@
             url: &url,
             headers: &[],
             body: &[],
-            time: Time::once(timeout).flowing(),
+            timeout: Timeout::single(timeout).streaming(),
         };
         let answer = self.client.send(&call)?;
         match answer.status {
@@ -121,7 +121,7 @@
             url: &url,
             headers: &[],
             body: bytes,
-            time: Time::once(TIMEOUT).flowing(),
+            timeout: Timeout::single(TIMEOUT).streaming(),
         };
         let answer = self.client.send(&call)?;
         let version = || version_of(answer.header(VERSION_HEADER));
--- a/components/infra/src/worker.rs
+++ b/components/infra/src/worker.rs
@@ -218,7 +218,7 @@
             url: &url,
             headers: &headers,
             body: &body,
-            time: TIMEOUT.into(),
+            timeout: TIMEOUT.into(),
         })?;
         match answer.status {
             200 => serde_json::from_slice(&answer.body)
--- a/components/kernel/examples/actor.rs
+++ b/components/kernel/examples/actor.rs
@@ -1,7 +1,7 @@
 //! An actor on its own thread, and a task that asks it: `cargo run -p magpie-kernel --example actor`.
 
 use {
-    kernel::{Failure, Host, task},
+    kernel::{ActorThread, Failure, task},
     magpie_kernel as kernel,
     std::io,
 };
@@ -12,7 +12,7 @@
 }
 
 fn main() -> io::Result<()> {
-    let host = Host::start("counter", |_, _| Counter { count: 0 })?;
+    let host = ActorThread::start("counter", |_, _| Counter { count: 0 })?;
     let mut threads = Vec::new();
     for number in 0..4 {
         let remote = host.remote().clone();
--- a/components/kernel/src/host.rs
+++ b/components/kernel/src/actor.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        net, task,
+        runtime, task,
         verdict::{Cause, Failure},
     },
     stakker::{ActorOwn, Cx, Fwd, LogID, Stakker, ret_nop, sync::Channel},
@@ -29,28 +29,28 @@
 type Job<A> = Box<dyn FnOnce(&mut A, &mut Cx<'_, A>) + Send>;
 
 /// A handle to an actor on another thread.
-pub struct Remote<A: 'static> {
+pub struct ActorRef<A: 'static> {
     channel: Channel<Job<A>>,
 }
 
-impl<A: 'static> Clone for Remote<A> {
+impl<A: 'static> Clone for ActorRef<A> {
     fn clone(&self) -> Self {
-        Remote {
+        ActorRef {
             channel: self.channel.clone(),
         }
     }
 }
 
 /// The way back for one answer that an actor may give later.
-pub struct Answerer<R> {
+pub struct Responder<R> {
     sender: oneshot::Sender<R>,
 }
 
-impl<R> Answerer<R> {
+impl<R> Responder<R> {
     /// A way back and its far end, for those who are on the actor's thread themselves.
-    pub fn pair() -> (Self, oneshot::Receiver<R>) {
+    pub fn channel() -> (Self, oneshot::Receiver<R>) {
         let (sender, receiver) = oneshot::channel();
-        (Answerer { sender }, receiver)
+        (Responder { sender }, receiver)
     }
 
     /// Gives the answer. Who asked may have gone: then nothing happens.
@@ -59,7 +59,7 @@
     }
 }
 
-impl<A: 'static> Remote<A> {
+impl<A: 'static> ActorRef<A> {
     /// Runs the closure on the actor and does not wait. Returns false when the actor is gone.
     pub fn tell(&self, job: impl FnOnce(&mut A, &mut Cx<'_, A>) + Send + 'static) -> bool {
         self.channel.send(Box::new(job))
@@ -75,7 +75,7 @@
         &self,
         job: impl FnOnce(&mut A, &mut Cx<'_, A>) -> R + Send + 'static,
     ) -> Result<R, Failure> {
-        self.ask_later(move |actor, cx, answerer| answerer.send(job(actor, cx)))
+        self.ask_deferred(move |actor, cx, answerer| answerer.send(job(actor, cx)))
     }
 
     /// Like [`Remote::ask`], for an answer that the actor may give later.
@@ -83,11 +83,11 @@
     /// # Errors
     ///
     /// `Stopping` when the actor is gone or dropped the [`Answerer`].
-    pub fn ask_later<R: Send + 'static>(
+    pub fn ask_deferred<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Answerer<R>) + Send + 'static,
+        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Answerer::pair();
+        let (answerer, receiver) = Responder::channel();
         self.tell(move |actor, cx| job(actor, cx, answerer));
         receiver.blocking_recv().map_err(|_| gone())
     }
@@ -97,11 +97,11 @@
     /// # Errors
     ///
     /// As there.
-    pub async fn answered<R: Send + 'static>(
+    pub async fn ask_async<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Answerer<R>) + Send + 'static,
+        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Answerer::pair();
+        let (answerer, receiver) = Responder::channel();
         self.tell(move |actor, cx| job(actor, cx, answerer));
         receiver.await.map_err(|_| gone())
     }
@@ -114,12 +114,12 @@
     pub fn ask_within<R: Send + 'static>(
         &self,
         time: Duration,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Answerer<R>) + Send + 'static,
+        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Answerer::pair();
+        let (answerer, receiver) = Responder::channel();
         self.tell(move |actor, cx| job(actor, cx, answerer));
         let late = || Failure::may_have_run(Cause::Timeout, "it is not written down yet");
-        let waited = net::wait(async { timeout(time, receiver).await });
+        let waited = runtime::block_on(async { timeout(time, receiver).await });
         let answered = waited.map_err(|error| Failure::not_run(Cause::Stopping, error.to_string()));
         answered?.map_err(|_| late())?.map_err(|_| gone())
     }
@@ -130,13 +130,13 @@
 }
 
 /// A thread with one main loop and one actor.
-pub struct Host<A: 'static> {
-    remote: Remote<A>,
+pub struct ActorThread<A: 'static> {
+    remote: ActorRef<A>,
     stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl<A: 'static> Host<A> {
+impl<A: 'static> ActorThread<A> {
     /// Starts the thread and makes the actor on it.
     ///
     /// `init` gets the actor's own handle, to pass to tasks that it starts.
@@ -146,14 +146,14 @@
     /// The system has no room for a thread.
     pub fn start(
         name: &str,
-        init: impl FnOnce(&mut Cx<'_, A>, Remote<A>) -> A + Send + 'static,
+        init: impl FnOnce(&mut Cx<'_, A>, ActorRef<A>) -> A + Send + 'static,
     ) -> io::Result<Self> {
         let stopped = Arc::new(AtomicBool::new(false));
         let flag = stopped.clone();
         let (sender, receiver) = mpsc::sync_channel(1);
         let thread = task::spawn(name, move || run(init, &sender, &flag))?;
         let remote = receiver.recv().map_err(io::Error::other)?;
-        Ok(Host {
+        Ok(ActorThread {
             remote,
             stopped,
             thread: Some(thread),
@@ -161,7 +161,7 @@
     }
 
     /// The handle to the actor.
-    pub fn remote(&self) -> &Remote<A> {
+    pub fn remote(&self) -> &ActorRef<A> {
         &self.remote
     }
 
@@ -177,7 +177,7 @@
     }
 }
 
-impl<A: 'static> Drop for Host<A> {
+impl<A: 'static> Drop for ActorThread<A> {
     fn drop(&mut self) {
         self.stop();
     }
@@ -185,8 +185,8 @@
 
 /// The body of a host's thread.
 fn run<A: 'static>(
-    init: impl FnOnce(&mut Cx<'_, A>, Remote<A>) -> A,
-    sender: &SyncSender<Remote<A>>,
+    init: impl FnOnce(&mut Cx<'_, A>, ActorRef<A>) -> A,
+    sender: &SyncSender<ActorRef<A>>,
     stopped: &AtomicBool,
 ) {
     let mut stakker = Stakker::new(Instant::now());
@@ -199,7 +199,7 @@
         target.defer(move |s| actor.apply(s, job));
     });
     let (channel, guard) = Channel::new(&mut stakker, jobs);
-    let remote = Remote { channel };
+    let remote = ActorRef { channel };
     let own = remote.clone();
     actor.apply_prep(&mut stakker, move |cx| Some(init(cx, own)));
     let _ = sender.send(remote);
@@ -221,7 +221,7 @@
     struct Counter(u64);
 
     impl Counter {
-        fn later(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<u64>) {
+        fn later(&mut self, cx: &mut Cx<'_, Self>, answerer: Responder<u64>) {
             after!(Duration::from_millis(1), [cx], |this, _| answerer
                 .send(this.0));
         }
@@ -229,7 +229,7 @@
 
     #[test]
     fn ask_returns_state() {
-        let mut host = Host::start("counter", |_, _| Counter(1)).unwrap();
+        let mut host = ActorThread::start("counter", |_, _| Counter(1)).unwrap();
         assert!(host.remote().tell(|counter, _| counter.0 += 1));
         assert_eq!(host.remote().ask(|counter, _| counter.0), Ok(2));
         let remote = host.remote().clone();
@@ -243,16 +243,16 @@
 
     #[test]
     fn ask_later_after_timer() {
-        let host = Host::start("counter", |_, _| Counter(7)).unwrap();
+        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
         let answer = host
             .remote()
-            .ask_later(|counter, cx, answerer| counter.later(cx, answerer));
+            .ask_deferred(|counter, cx, answerer| counter.later(cx, answerer));
         assert_eq!(answer, Ok(7));
     }
 
     #[test]
     fn ask_within_time() {
-        let host = Host::start("counter", |_, _| Counter(7)).unwrap();
+        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
         let (keep, kept) = mpsc::channel();
         let late: Result<u64, _> =
             host.remote()
@@ -265,8 +265,8 @@
 
     #[test]
     fn ask_dropped_answerer() {
-        let host = Host::start("counter", |_, _| Counter(7)).unwrap();
-        let answer: Result<u64, _> = host.remote().ask_later(|_, _, answerer| drop(answerer));
+        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
+        let answer: Result<u64, _> = host.remote().ask_deferred(|_, _, answerer| drop(answerer));
         assert!(answer.is_err());
     }
 }
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -3,17 +3,17 @@
 //! The library's error does not say whether a request left, so the connections are wrapped and
 //! count the bytes that the system takes: with none taken, the request did not run.
 
-mod link;
+mod metered;
 mod pool;
 
 use {
     crate::{
-        clock::Moment,
-        net,
-        time::Span,
+        clock::BootInstant,
+        reuse::Trust,
+        runtime,
+        timeout::Span,
         token::Token,
         traffic,
-        trust::Trust,
         verdict::{Cause, Failure},
         wire,
     },
@@ -33,12 +33,12 @@
 };
 
 pub use crate::{
-    client::link::Connection,
-    time::{BULK, Time},
+    client::metered::ConnectionId,
+    timeout::{BULK_ALLOWANCE, Timeout},
 };
 
 /// The largest answer that a call takes in, in bytes.
-pub const MAX_ANSWER: u64 = 16 * 1024 * 1024;
+pub const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
 /// What calls name themselves.
 const AGENT: HeaderValue = HeaderValue::from_static("magpiesaddle");
 
@@ -54,12 +54,12 @@
     /// The body.
     pub body: &'a [u8],
     /// The time for it.
-    pub time: Time,
+    pub timeout: Timeout,
 }
 
 /// One whole answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The status code.
     pub status: u16,
     /// The headers.
@@ -67,10 +67,10 @@
     /// The whole body.
     pub body: Vec<u8>,
     /// What it came by.
-    pub connection: Connection,
+    pub connection: ConnectionId,
 }
 
-impl Answer {
+impl HttpResponse {
     /// The text of a header; empty when there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers
@@ -82,21 +82,21 @@
 
 /// How many connections a client keeps.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct PoolLimits {
     /// Idle connections in all.
-    pub idle: usize,
+    pub max_idle: usize,
     /// Idle connections to each receiver.
-    pub host: usize,
+    pub per_host: usize,
     /// How long a connection may stay idle.
-    pub age: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for PoolLimits {
     fn default() -> Self {
-        Limits {
-            idle: 256,
-            host: 4,
-            age: Duration::from_secs(20),
+        PoolLimits {
+            max_idle: 256,
+            per_host: 4,
+            idle_timeout: Duration::from_secs(20),
         }
     }
 }
@@ -106,7 +106,7 @@
 pub struct Client {
     pool: Arc<Pool>,
     token: Option<Token>,
-    limits: Limits,
+    limits: PoolLimits,
     /// All calls have so many times the time that they are given.
     stretch: u32,
 }
@@ -120,13 +120,13 @@
 impl Client {
     /// A client with the usual limits that shows the token, if there is one.
     pub fn new(token: Option<Token>) -> Self {
-        Self::with_limits(token, Limits::default())
+        Self::with_limits(token, PoolLimits::default())
     }
 
     /// A client with limits of its own.
-    pub fn with_limits(token: Option<Token>, limits: Limits) -> Self {
+    pub fn with_limits(token: Option<Token>, limits: PoolLimits) -> Self {
         Client {
-            pool: Arc::new(Pool::new(limits, Trust::new(limits.age))),
+            pool: Arc::new(Pool::new(limits, Trust::new(limits.idle_timeout))),
             token,
             limits,
             stretch: 1,
@@ -136,7 +136,7 @@
     /// Gives all calls so many times as long: for a machine so busy that it holds threads up for as long as
     /// the time-outs of calls.
     #[must_use]
-    pub fn patient(self, by: u32) -> Self {
+    pub fn with_timeout_factor(self, by: u32) -> Self {
         Client {
             stretch: by,
             ..self
@@ -145,7 +145,7 @@
 
     /// A client like this one with connections of its own.
     #[must_use]
-    pub fn apart(&self) -> Self {
+    pub fn with_own_pool(&self) -> Self {
         Client {
             stretch: self.stretch,
             ..Self::with_limits(self.token.clone(), self.limits)
@@ -163,9 +163,9 @@
     pub async fn call_over(
         &self,
         call: &Call<'_>,
-        connection: Connection,
-    ) -> Result<Answer, Failure> {
-        let span = call.time.stretched(self.stretch).first(call.body.len());
+        connection: ConnectionId,
+    ) -> Result<HttpResponse, Failure> {
+        let span = call.timeout.stretched(self.stretch).first(call.body.len());
         self.attempt(call, span, Some(connection)).await
     }
 
@@ -175,17 +175,17 @@
     ///
     /// `not-run` only when no byte left for the receiver; else `may-have-run`. An answer without
     /// a length of its own, or one that is cut, is `BadAnswer`.
-    pub async fn call(&self, call: &Call<'_>) -> Result<Answer, Failure> {
-        let time = call.time.stretched(self.stretch);
+    pub async fn call(&self, call: &Call<'_>) -> Result<HttpResponse, Failure> {
+        let time = call.timeout.stretched(self.stretch);
         let body = call.body.len();
         let begun = Instant::now();
         let first = match self.attempt(call, time.first(body), None).await {
-            Err(failure) if time.is_twice() && failure.is_silence() => failure,
+            Err(failure) if time.is_twice() && failure.is_connection_failure() => failure,
             result => return result,
         };
         let span = time.second(body, begun.elapsed());
         let second = self.attempt(call, span, None).await;
-        second.map_err(|again| again.after(&first))
+        second.map_err(|again| again.after_attempt(&first))
     }
 
     /// Like [`Client::call`], from a thread that may wait.
@@ -193,7 +193,7 @@
     /// # Errors
     ///
     /// As there.
-    pub fn send(&self, call: &Call) -> Result<Answer, Failure> {
+    pub fn send(&self, call: &Call) -> Result<HttpResponse, Failure> {
         wait(self.call(call))
     }
 
@@ -202,15 +202,15 @@
         &self,
         call: &Call<'_>,
         span: Span,
-        bound: Option<Connection>,
-    ) -> Result<Answer, Failure> {
+        bound: Option<ConnectionId>,
+    ) -> Result<HttpResponse, Failure> {
         let begun = Instant::now();
         let request = self.request(call)?;
         let receiver = receiver(call.url);
         let mut kept = match self.pool.connection(receiver, span.connect(), bound).await {
             Ok(kept) => kept,
             Err(fault) => {
-                traffic::note(&traffic::kind(call.url), 0, 0);
+                traffic::record(&traffic::call_kind(call.url), 0, 0);
                 return Err(self.failed(call, &fault, 0));
             }
         };
@@ -221,8 +221,8 @@
         let sent = kept.meter.sent();
         let heard = result
             .as_ref()
-            .map_or(0, |answer| answer.body.len() + traffic::HEAD);
-        traffic::note(&traffic::kind(call.url), sent, heard);
+            .map_or(0, |answer| answer.body.len() + traffic::HEAD_BYTES);
+        traffic::record(&traffic::call_kind(call.url), sent, heard);
         match result {
             Ok(answer) => {
                 self.pool.keep(receiver, kept);
@@ -235,7 +235,7 @@
     /// The failure that a fault is after so many bytes were handed over.
     fn failed(&self, call: &Call, fault: &Fault, sent: usize) -> Failure {
         if matches!(fault, Fault::Connecting | Fault::Late) {
-            self.pool.distrust(receiver(call.url), Moment::now());
+            self.pool.distrust(receiver(call.url), BootInstant::now());
         }
         classify(fault, sent)
     }
@@ -277,7 +277,7 @@
         &self,
         url: &str,
         message: &T,
-        time: impl Into<Time>,
+        time: impl Into<Timeout>,
     ) -> Result<R, Failure> {
         self.post_encoded(url, &wire::encode(message)?, time)
     }
@@ -291,7 +291,7 @@
         &self,
         url: &str,
         body: &[u8],
-        time: impl Into<Time>,
+        time: impl Into<Timeout>,
     ) -> Result<R, Failure> {
         let headers = [("content-type", wire::CONTENT_TYPE)];
         let answer = self.send(&Call {
@@ -299,7 +299,7 @@
             url,
             headers: &headers,
             body,
-            time: time.into(),
+            timeout: time.into(),
         })?;
         if answer.status == 200 {
             return wire::decode(&answer.body).map_err(|e| as_answer(&e));
@@ -344,8 +344,10 @@
     Large,
 }
 
-fn wait(work: impl Future<Output = Result<Answer, Failure>>) -> Result<Answer, Failure> {
-    net::wait(work)
+fn wait(
+    work: impl Future<Output = Result<HttpResponse, Failure>>,
+) -> Result<HttpResponse, Failure> {
+    runtime::block_on(work)
         .unwrap_or_else(|error| Err(Failure::not_run(Cause::Unreachable, error.to_string())))
 }
 
@@ -355,14 +357,14 @@
     request: Request<Full<Bytes>>,
     span: Span,
     begun: Instant,
-) -> Result<Answer, Fault> {
+) -> Result<HttpResponse, Fault> {
     let (connection, meter) = (kept.number, kept.meter.clone());
     let work = async {
         let response = kept.sender.send_request(request).await;
         let response = response.map_err(Fault::Library)?;
         refuse_endless(&response)?;
         let (head, body) = response.into_parts();
-        Ok(Answer {
+        Ok(HttpResponse {
             status: head.status.as_u16(),
             headers: head.headers,
             body: read_whole(body).await?,
@@ -384,7 +386,7 @@
 }
 
 async fn read_whole(body: Incoming) -> Result<Vec<u8>, Fault> {
-    match Limited::new(body, MAX_ANSWER as usize).collect().await {
+    match Limited::new(body, MAX_RESPONSE as usize).collect().await {
         Ok(whole) => Ok(whole.to_bytes().into()),
         Err(error) if error.is::<LengthLimitError>() => Err(Fault::Large),
         Err(error) => Err(match error.downcast() {
--- a/components/kernel/src/client/link.rs
+++ b/components/kernel/src/client/metered.rs
@@ -1,7 +1,7 @@
 //! A connection that counts what it hands to the system, and notes when it last brought some bytes.
 
 use {
-    crate::{clock::Mark, sync::lock},
+    crate::{clock::ClockPair, sync::lock},
     hyper::rt::{Read, ReadBufCursor, Write},
     hyper_util::rt::TokioIo,
     std::{
@@ -24,11 +24,11 @@
 ///
 /// Whoever answers on it is the one that answered on it before: the end of a process ends its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Connection(u64);
+pub struct ConnectionId(u64);
 
-impl Connection {
+impl ConnectionId {
     pub(super) fn next() -> Self {
-        Connection(OPENED.fetch_add(1, Ordering::Relaxed) + 1)
+        ConnectionId(OPENED.fetch_add(1, Ordering::Relaxed) + 1)
     }
 }
 
@@ -42,7 +42,7 @@
     /// Nothing more is handed over.
     sealed: AtomicBool,
     /// When the connection was opened, or last brought bytes.
-    proof: Mutex<Mark>,
+    proof: Mutex<ClockPair>,
     /// It has brought bytes in the present call.
     has_heard: AtomicBool,
 }
@@ -53,7 +53,7 @@
             sent: AtomicUsize::new(0),
             is_handing: AtomicBool::new(false),
             sealed: AtomicBool::new(false),
-            proof: Mutex::new(Mark::now()),
+            proof: Mutex::new(ClockPair::now()),
             has_heard: AtomicBool::new(false),
         }
     }
@@ -79,16 +79,16 @@
     /// When the present call last brought bytes; `None` before the first.
     pub(super) fn heard(&self) -> Option<Instant> {
         let has_heard = self.has_heard.load(Ordering::SeqCst);
-        has_heard.then(|| self.proof().steady)
+        has_heard.then(|| self.proof().monotonic)
     }
 
     /// When the connection was opened, or last brought bytes.
-    pub(super) fn proof(&self) -> Mark {
+    pub(super) fn proof(&self) -> ClockPair {
         *lock(&self.proof)
     }
 
     fn note_heard(&self) {
-        *lock(&self.proof) = Mark::now();
+        *lock(&self.proof) = ClockPair::now();
         self.has_heard.store(true, Ordering::SeqCst);
     }
 
--- a/components/kernel/src/client/pool.rs
+++ b/components/kernel/src/client/pool.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        Fault, Limits,
-        link::{Connection, Meter, Metered},
+        Fault, PoolLimits,
+        metered::{ConnectionId, Meter, Metered},
     },
-    crate::{clock::Moment, sync::lock, trust::Trust},
+    crate::{clock::BootInstant, reuse::Trust, sync::lock},
     http_body_util::Full,
     hyper::{
         body::Bytes,
@@ -27,7 +27,7 @@
 
 /// A connection; dropped, it is closed.
 pub(super) struct Kept {
-    pub number: Connection,
+    pub number: ConnectionId,
     pub sender: SendRequest<Full<Bytes>>,
     pub meter: Arc<Meter>,
     /// When it was put back.
@@ -43,7 +43,7 @@
 
 /// Idle connections, by receiver, the last used one last.
 pub(super) struct Pool {
-    limits: Limits,
+    limits: PoolLimits,
     trust: Trust,
     idle: Mutex<Idle>,
 }
@@ -55,7 +55,7 @@
 }
 
 impl Pool {
-    pub fn new(limits: Limits, trust: Trust) -> Self {
+    pub fn new(limits: PoolLimits, trust: Trust) -> Self {
         let idle = Idle {
             by_receiver: HashMap::new(),
             count: 0,
@@ -69,7 +69,7 @@
     }
 
     /// Notes that a call to a receiver has timed out now.
-    pub fn distrust(&self, receiver: &str, now: Moment) {
+    pub fn distrust(&self, receiver: &str, now: BootInstant) {
         self.trust.distrust(receiver, now);
     }
 
@@ -78,7 +78,7 @@
         &self,
         receiver: &str,
         time: Duration,
-        bound: Option<Connection>,
+        bound: Option<ConnectionId>,
     ) -> Result<Kept, Fault> {
         while let Some(mut kept) = self.take(receiver, bound) {
             // It is ready once its task has seen the end of the last answer.
@@ -97,14 +97,14 @@
     }
 
     /// Takes an idle connection out that may be used again.
-    fn take(&self, receiver: &str, bound: Option<Connection>) -> Option<Kept> {
+    fn take(&self, receiver: &str, bound: Option<ConnectionId>) -> Option<Kept> {
         let mut idle = lock(&self.idle);
         let Idle {
             by_receiver, count, ..
         } = &mut *idle;
         let list = by_receiver.get_mut(receiver)?;
         while let Some(kept) = list.pop() {
-            let is_young = kept.since.elapsed() < self.limits.age;
+            let is_young = kept.since.elapsed() < self.limits.idle_timeout;
             if !is_young || !self.trust.is_trusted(receiver, kept.meter.proof()) {
                 *count -= 1;
                 continue;
@@ -124,7 +124,7 @@
         &self,
         list: &mut Vec<Kept>,
         count: &mut usize,
-        bound: Connection,
+        bound: ConnectionId,
     ) -> Option<Kept> {
         let index = list.iter().position(|kept| kept.number == bound)?;
         *count -= 1;
@@ -136,10 +136,10 @@
         let now = Instant::now();
         kept.since = now;
         let mut idle = lock(&self.idle);
-        if now > idle.swept + SWEEP_GAP || idle.count >= self.limits.idle {
-            idle.sweep(self.limits.age, now);
+        if now > idle.swept + SWEEP_GAP || idle.count >= self.limits.max_idle {
+            idle.sweep(self.limits.idle_timeout, now);
         }
-        if idle.count >= self.limits.idle || kept.sender.is_closed() {
+        if idle.count >= self.limits.max_idle || kept.sender.is_closed() {
             return;
         }
         idle.count += 1;
@@ -148,7 +148,7 @@
             None => idle.by_receiver.entry(receiver.into()).or_default(),
         };
         list.push(kept);
-        if list.len() > self.limits.host {
+        if list.len() > self.limits.per_host {
             list.remove(0);
             idle.count -= 1;
         }
@@ -184,7 +184,7 @@
         let _ = connection.await;
     });
     Ok(Kept {
-        number: Connection::next(),
+        number: ConnectionId::next(),
         sender,
         meter,
         since: Instant::now(),
--- a/components/kernel/src/clock.rs
+++ b/components/kernel/src/clock.rs
@@ -22,60 +22,63 @@
 
 /// A moment on a clock that only goes up and counts the time for which the machine was suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(Duration);
+pub struct BootInstant(Duration);
 
-impl Moment {
+impl BootInstant {
     /// The present moment.
     pub fn now() -> Self {
         let added = Duration::from_millis(ADDED.load(Ordering::Acquire));
-        Moment(read(ClockId::CLOCK_BOOTTIME) + added)
+        BootInstant(read(ClockId::CLOCK_BOOTTIME) + added)
     }
 
     /// The time since an earlier moment; nothing for a later one.
-    pub fn since(self, earlier: Moment) -> Duration {
+    pub fn since(self, earlier: BootInstant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
     /// The time since then.
     pub fn elapsed(self) -> Duration {
-        Moment::now().since(self)
+        BootInstant::now().since(self)
     }
 }
 
-impl Add<Duration> for Moment {
-    type Output = Moment;
+impl Add<Duration> for BootInstant {
+    type Output = BootInstant;
 
-    fn add(self, time: Duration) -> Moment {
-        Moment(self.0 + time)
+    fn add(self, time: Duration) -> BootInstant {
+        BootInstant(self.0 + time)
     }
 }
 
 /// A moment on both clocks, which tells later whether the machine was suspended since.
 #[derive(Debug, Clone, Copy)]
-pub struct Mark {
+pub struct ClockPair {
     /// The moment.
-    pub at: Moment,
-    pub(crate) steady: Instant,
+    pub at: BootInstant,
+    pub(crate) monotonic: Instant,
 }
 
-impl Mark {
+impl ClockPair {
     /// The present moment.
     pub fn now() -> Self {
         // Whatever comes between the two readings, here and below, looks like a suspension: a doubt too many.
-        let at = Moment::now();
+        let at = BootInstant::now();
         let steady = Instant::now();
-        Mark { at, steady }
+        ClockPair {
+            at,
+            monotonic: steady,
+        }
     }
 
     /// True when the machine was suspended since then.
-    pub fn has_slept(self) -> bool {
-        let steady = self.steady.elapsed();
+    pub fn was_suspended(self) -> bool {
+        let steady = self.monotonic.elapsed();
         self.at.elapsed() > steady + LEAST
     }
 }
 
 /// Moves the clock as a suspension of this length would. For tests.
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     ADDED.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
 }
 
--- a/components/kernel/src/daemon.rs
+++ b/components/kernel/src/daemon.rs
@@ -4,7 +4,7 @@
     crate::{
         logs, ops,
         settings::{EXIT_SETTINGS, Reader},
-        stop,
+        shutdown,
         token::{self, Token},
     },
     argh::TopLevelCommand,
@@ -16,7 +16,7 @@
 pub const EXIT_START: i32 = 1;
 
 /// Reads the arguments. Ends the process with 0 after `--help`, and with 2 when they are wrong.
-pub fn arguments<T: TopLevelCommand>() -> T {
+pub fn parse_arguments<T: TopLevelCommand>() -> T {
     let strings: Vec<String> = env::args_os()
         .map(|arg| arg.to_string_lossy().into_owned())
         .collect();
@@ -38,7 +38,7 @@
 }
 
 /// Settings that every daemon has.
-pub struct Common {
+pub struct CommonSettings {
     /// The level of the logs.
     pub level: LevelFilter,
     /// The secret of the internal ports.
@@ -46,11 +46,11 @@
 }
 
 /// Reads the settings that every daemon has.
-pub fn common(
+pub fn read_common(
     reader: &mut Reader<'_>,
     level: Option<String>,
     token_file: Option<String>,
-) -> Option<Common> {
+) -> Option<CommonSettings> {
     let rule = "off, error, warn, info, debug or trace";
     let level = reader.value("log-level", level, Some("info"), rule);
     let file: Option<String> = reader.optional("token-file", token_file, "the path of a file");
@@ -61,41 +61,41 @@
             None
         }
     };
-    Some(Common {
+    Some(CommonSettings {
         level: level?,
         token,
     })
 }
 
 /// Starts logs and metrics; ends the process when they cannot be started.
-pub fn begin(level: LevelFilter) {
+pub fn init_telemetry(level: LevelFilter) {
     if let Err(error) = logs::start(level).and_then(|()| ops::start_metrics()) {
-        fail(&error);
+        exit_with_error(&error);
     }
 }
 
 /// Like [`begin`], with logs as lines of JSON on the standard output.
-pub fn begin_json(level: LevelFilter) {
+pub fn init_telemetry_json(level: LevelFilter) {
     if let Err(error) = logs::start_json(level).and_then(|()| ops::start_metrics()) {
-        fail(&error);
+        exit_with_error(&error);
     }
 }
 
 /// Ends the process: it could not start.
-pub fn fail(error: &str) -> ! {
+pub fn exit_with_error(error: &str) -> ! {
     eprintln!("cannot start: {error}");
     process::exit(EXIT_START)
 }
 
 /// Unwraps what a daemon started, or ends the process.
-pub fn started<T, E: std::fmt::Display>(result: Result<T, E>) -> T {
-    result.unwrap_or_else(|error| fail(&error.to_string()))
+pub fn started_or_exit<T, E: std::fmt::Display>(result: Result<T, E>) -> T {
+    result.unwrap_or_else(|error| exit_with_error(&error.to_string()))
 }
 
 /// Waits for the signal to stop.
-pub fn wait() {
-    match stop::wait() {
+pub fn wait_for_shutdown() {
+    match shutdown::wait_for_signal() {
         Ok(signal) => log::info!(target: "kernel", "The process is asked to stop. signal={signal}"),
-        Err(error) => fail(&error.to_string()),
+        Err(error) => exit_with_error(&error.to_string()),
     }
 }
--- a/components/kernel/src/line.rs
+++ b/components/kernel/src/json_log.rs
@@ -4,7 +4,7 @@
 //! level, target and message, then the key-values beside them.
 
 use {
-    crate::wall,
+    crate::wall_clock,
     chrono::SecondsFormat,
     log::{
         Record,
@@ -35,7 +35,7 @@
 
 impl Encode for Compact {
     fn encode(&self, output: &mut dyn encode::Write, record: &Record<'_>) -> anyhow::Result<()> {
-        output.write_all(&line(record, wall::millis()))?;
+        output.write_all(&line(record, wall_clock::millis()))?;
         Ok(())
     }
 }
@@ -67,7 +67,7 @@
 
 /// A time as text, as in `2026-08-27T13:05:20.238Z`; empty beyond what the calendar holds.
 fn utc(millis: u64) -> String {
-    wall::utc(millis, SecondsFormat::Millis).unwrap_or_default()
+    wall_clock::utc(millis, SecondsFormat::Millis).unwrap_or_default()
 }
 
 /// What a value shows of itself, also when it fails on its way.
--- a/components/kernel/src/lib.rs
+++ b/components/kernel/src/lib.rs
@@ -3,31 +3,31 @@
 //! Settings, logs, metrics, verdicts, the registry of plug-ins, actors on their threads, and
 //! HTTP in both directions. Nothing in here knows what is scheduled.
 
+pub mod actor;
 pub mod client;
 pub mod clock;
 pub mod daemon;
-pub mod edge;
-pub mod host;
-mod line;
+mod json_log;
 pub mod logs;
-pub mod net;
 pub mod ops;
 pub mod plugin;
+pub mod public_server;
+mod reuse;
+pub mod runtime;
 pub mod server;
 pub mod settings;
-pub mod stop;
+pub mod shutdown;
 pub mod sync;
 pub mod task;
-mod time;
+mod timeout;
 pub mod token;
 pub mod traffic;
-mod trust;
 pub mod verdict;
-pub mod wall;
+pub mod wall_clock;
 pub mod wire;
 
-pub use client::{Answer, Call, Client};
-pub use host::{Host, Remote};
+pub use actor::{ActorRef, ActorThread};
+pub use client::{Call, Client, HttpResponse};
 pub use server::{Reply, Request, Server};
 pub use verdict::{Failure, Verdict};
 
--- a/components/kernel/src/logs.rs
+++ b/components/kernel/src/logs.rs
@@ -5,7 +5,7 @@
 //! own, and what is too much is dropped and counted.
 
 use {
-    crate::{line::Compact, sync::lock, task},
+    crate::{json_log::Compact, sync::lock, task},
     log::{Level, LevelFilter, Record},
     log4rs::{
         Handle,
--- a/components/kernel/src/edge.rs
+++ b/components/kernel/src/public_server.rs
@@ -22,7 +22,7 @@
     /// Connections at once; more wait to be accepted.
     pub connections: usize,
     /// The time for one read or write.
-    pub step: Duration,
+    pub io_timeout: Duration,
 }
 
 /// What a port does with each request.
@@ -50,7 +50,7 @@
         };
         let server = Server::new(handler.clone())
             .bind(found)
-            .with_global_timeout(bounds.step)
+            .with_global_timeout(bounds.io_timeout)
             .with_max_concurrent_connections(bounds.connections);
         match server.spawn() {
             Ok(_) => return Ok(found),
@@ -62,7 +62,7 @@
 }
 
 /// A body that ends with a broken connection after these bytes. For stand-ins.
-pub fn cut(bytes: Vec<u8>) -> Body {
+pub fn truncated_body(bytes: Vec<u8>) -> Body {
     Body::from_read(Cut {
         bytes: io::Cursor::new(bytes),
     })
--- a/components/kernel/src/trust.rs
+++ b/components/kernel/src/reuse.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::{
-        clock::{Mark, Moment},
+        clock::{BootInstant, ClockPair},
         sync::lock,
     },
     std::{collections::HashMap, sync::Mutex, time::Duration},
@@ -19,7 +19,7 @@
 /// When calls to each receiver last timed out.
 #[derive(Debug)]
 pub(crate) struct Trust {
-    timeouts: Mutex<HashMap<Box<str>, Moment>>,
+    timeouts: Mutex<HashMap<Box<str>, BootInstant>>,
     /// After this time no connection is kept that is older than a time-out.
     age: Duration,
 }
@@ -34,15 +34,15 @@
     }
 
     /// Notes that a call to a receiver has timed out now.
-    pub fn distrust(&self, receiver: &str, now: Moment) {
+    pub fn distrust(&self, receiver: &str, now: BootInstant) {
         let mut timeouts = lock(&self.timeouts);
         timeouts.retain(|_, at| now.since(*at) < self.age);
         timeouts.insert(receiver.into(), now);
     }
 
     /// True when a connection to a receiver that last brought bytes at `proof` may be used again.
-    pub fn is_trusted(&self, receiver: &str, proof: Mark) -> bool {
-        if proof.has_slept() {
+    pub fn is_trusted(&self, receiver: &str, proof: ClockPair) -> bool {
+        if proof.was_suspended() {
             return false;
         }
         lock(&self.timeouts)
@@ -65,13 +65,13 @@
     fn distrust_older_of_same_receiver() {
         let _alone = alone();
         let trust = Trust::new(Duration::from_secs(20));
-        let before = Mark::now();
+        let before = ClockPair::now();
         let timeout = before.at + Duration::from_millis(1);
         trust.distrust("10.0.0.1:1", timeout);
         assert!(!trust.is_trusted("10.0.0.1:1", before));
         assert!(trust.is_trusted("10.0.0.2:1", before));
         let at = timeout + Duration::from_millis(1);
-        assert!(trust.is_trusted("10.0.0.1:1", Mark { at, ..before }));
+        assert!(trust.is_trusted("10.0.0.1:1", ClockPair { at, ..before }));
     }
 
     /// A box that wakes waited for an answer on a connection whose other end had long given it up.
@@ -79,18 +79,18 @@
     fn distrust_after_suspension() {
         let _alone = alone();
         let trust = Trust::new(Duration::from_secs(20));
-        let proof = Mark::now();
+        let proof = ClockPair::now();
         assert!(trust.is_trusted("10.0.0.1:1", proof));
-        clock::suspend(Duration::from_secs(3));
+        clock::simulate_suspension(Duration::from_secs(3));
         assert!(!trust.is_trusted("10.0.0.1:1", proof));
-        assert!(trust.is_trusted("10.0.0.1:1", Mark::now()));
+        assert!(trust.is_trusted("10.0.0.1:1", ClockPair::now()));
     }
 
     #[test]
     fn distrust_forgets_old() {
         let _alone = alone();
         let trust = Trust::new(Duration::ZERO);
-        let now = Moment::now();
+        let now = BootInstant::now();
         trust.distrust("10.0.0.1:1", now);
         trust.distrust("10.0.0.2:1", now);
         assert_eq!(lock(&trust.timeouts).len(), 1);
--- a/components/kernel/src/net.rs
+++ b/components/kernel/src/runtime.rs
@@ -57,11 +57,13 @@
 /// # Errors
 ///
 /// As for [`handle`].
-pub fn wait<T>(work: impl Future<Output = T>) -> io::Result<T> {
+pub fn block_on<T>(work: impl Future<Output = T>) -> io::Result<T> {
     Ok(handle()?.block_on(work))
 }
 
 /// Runs work that blocks on a thread of its own, for a task. `None` where it panicked.
-pub async fn blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
+pub async fn spawn_blocking<T: Send + 'static>(
+    work: impl FnOnce() -> T + Send + 'static,
+) -> Option<T> {
     tokio::task::spawn_blocking(work).await.ok()
 }
--- a/components/kernel/src/server.rs
+++ b/components/kernel/src/server.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        net,
+        runtime,
         sync::lock,
         token::Token,
         traffic,
@@ -46,7 +46,7 @@
     /// The status code.
     pub status: u16,
     /// The content type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// Further headers.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
@@ -59,7 +59,7 @@
         let body = text.into().into_bytes();
         Reply {
             status,
-            kind: "text/plain; charset=utf-8",
+            content_type: "text/plain; charset=utf-8",
             headers: Vec::new(),
             body,
         }
@@ -69,7 +69,7 @@
     pub fn bytes(status: u16, kind: &'static str, body: Vec<u8>) -> Self {
         Reply {
             status,
-            kind,
+            content_type: kind,
             headers: Vec::new(),
             body,
         }
@@ -94,10 +94,10 @@
     }
 
     /// Like [`Reply::compact`], packed for a narrow link.
-    pub fn packed<T: Serialize>(result: &Result<T, Failure>) -> Self {
+    pub fn compressed<T: Serialize>(result: &Result<T, Failure>) -> Self {
         let reply = Reply::compact(result);
         Reply {
-            body: wire::pack(reply.body),
+            body: wire::compress(reply.body),
             ..reply
         }
     }
@@ -192,7 +192,11 @@
     /// Answers. A receiver that has gone is nobody's loss.
     pub fn respond(self, reply: Reply) {
         let (sent, heard) = (reply.body.len(), self.body.len());
-        traffic::note(&self.path, sent + traffic::HEAD, heard + traffic::HEAD);
+        traffic::record(
+            &self.path,
+            sent + traffic::HEAD_BYTES,
+            heard + traffic::HEAD_BYTES,
+        );
         let _ = self.answer.send(reply);
     }
 }
@@ -208,7 +212,7 @@
     *response.status_mut() =
         StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
     for (name, value) in reply.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(&value)) {
@@ -219,7 +223,7 @@
 }
 
 /// Answers requests on the thread of all connections, so it must not block; gives back those that take longer.
-pub type Quick = Arc<dyn Fn(Request) -> Option<Request> + Send + Sync>;
+pub type FastHandler = Arc<dyn Fn(Request) -> Option<Request> + Send + Sync>;
 
 /// Answers requests on a thread for work that blocks.
 pub type Handler = Arc<dyn Fn(Request) + Send + Sync>;
@@ -228,25 +232,25 @@
 #[derive(Clone)]
 pub struct Service {
     /// Has each request first.
-    pub quick: Quick,
+    pub fast: FastHandler,
     /// Has those that `quick` gives back.
     pub handler: Handler,
     /// How many of these are handled at once.
-    pub tasks: usize,
+    pub concurrency: usize,
 }
 
 /// The bounds of a port's connections.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Connections at once; more wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The time for the head of a request, which an unused connection waits for.
     pub idle: Duration,
 }
 
 /// Those of ports between our own processes, whose clients keep unused connections for up to two minutes.
-pub const INSIDE: Bounds = Bounds {
-    connections: 4_096,
+pub const INTERNAL: Bounds = Bounds {
+    max_connections: 4_096,
     idle: Duration::from_secs(180),
 };
 
@@ -274,11 +278,11 @@
         handler: Handler,
     ) -> io::Result<Self> {
         let service = Service {
-            quick: Arc::new(Some),
+            fast: Arc::new(Some),
             handler,
-            tasks,
+            concurrency: tasks,
         };
-        Self::open_within(address, INSIDE, token, service)
+        Self::open_with_bounds(address, INTERNAL, token, service)
     }
 
     /// Opens a port with bounds of its own.
@@ -286,13 +290,13 @@
     /// # Errors
     ///
     /// As for [`Server::open`].
-    pub fn open_within(
+    pub fn open_with_bounds(
         address: SocketAddr,
         bounds: Bounds,
         token: Option<Token>,
         service: Service,
     ) -> io::Result<Self> {
-        let runtime = net::handle()?;
+        let runtime = runtime::handle()?;
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -300,7 +304,7 @@
         let (running, ended) = mpsc::channel();
         let port = Arc::new(Port {
             token,
-            tasks: Arc::new(Semaphore::new(service.tasks)),
+            tasks: Arc::new(Semaphore::new(service.concurrency)),
             service,
             bounds,
         });
@@ -358,7 +362,7 @@
     mut stopped: watch::Receiver<bool>,
     running: Running,
 ) {
-    let room = Arc::new(Semaphore::new(port.bounds.connections));
+    let room = Arc::new(Semaphore::new(port.bounds.max_connections));
     loop {
         let next = async {
             // The semaphore is never closed.
@@ -448,7 +452,7 @@
         body,
         answer,
     };
-    if let Some(request) = (port.service.quick)(request) {
+    if let Some(request) = (port.service.fast)(request) {
         // The semaphore is never closed.
         let place = port.tasks.clone().acquire_owned().await.ok();
         tokio::task::spawn_blocking(move || {
@@ -464,7 +468,7 @@
     let path = head.uri.path();
     let open = path == "/healthz" || path == "/readyz";
     match &port.token {
-        Some(token) if !open && !token.admits(text_of(head.headers.get(AUTHORIZATION))) => Err(
+        Some(token) if !open && !token.matches(text_of(head.headers.get(AUTHORIZATION))) => Err(
             Failure::not_run(Cause::Denied, "the token is missing or wrong"),
         ),
         _ => Ok(()),
@@ -539,15 +543,18 @@
 
     fn bounded(connections: usize, idle: Duration) -> Server {
         let service = Service {
-            quick: Arc::new(|request| {
+            fast: Arc::new(|request| {
                 request.respond(Reply::text(200, "quick"));
                 None
             }),
             handler: Arc::new(|_| {}),
-            tasks: 1,
+            concurrency: 1,
         };
-        let bounds = Bounds { connections, idle };
-        Server::open_within(([127, 0, 0, 1], 0).into(), bounds, None, service).unwrap()
+        let bounds = Bounds {
+            max_connections: connections,
+            idle,
+        };
+        Server::open_with_bounds(([127, 0, 0, 1], 0).into(), bounds, None, service).unwrap()
     }
 
     /// Connects and has one request answered.
@@ -602,7 +609,7 @@
             url: &url,
             headers: &[],
             body: &[],
-            time: std::time::Duration::from_secs(5).into(),
+            timeout: std::time::Duration::from_secs(5).into(),
         };
         assert_eq!(client.send(&call).unwrap().status, status);
     }
--- a/components/kernel/src/settings.rs
+++ b/components/kernel/src/settings.rs
@@ -227,7 +227,7 @@
 }
 
 /// Prints every fault and exits with code 2; with `check` set and no fault, exits with 0.
-pub fn settle<T>(read: Result<T, Vec<Fault>>, check: bool) -> T {
+pub fn unwrap_or_exit<T>(read: Result<T, Vec<Fault>>, check: bool) -> T {
     match read {
         Ok(_) if check => {
             println!("settings are right");
--- a/components/kernel/src/stop.rs
+++ b/components/kernel/src/shutdown.rs
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// The system refuses the signal handlers.
-pub fn wait() -> io::Result<i32> {
+pub fn wait_for_signal() -> io::Result<i32> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     signals
         .forever()
--- a/components/kernel/src/task.rs
+++ b/components/kernel/src/task.rs
@@ -49,7 +49,7 @@
     /// Tells the task to end and wakes it.
     pub fn stop(&self) {
         self.inner.stopped.store(true, Ordering::Release);
-        self.ring();
+        self.notify();
     }
 
     /// True after `stop`.
@@ -58,7 +58,7 @@
     }
 
     /// Wakes the task. A ring before the wait is not lost.
-    pub fn ring(&self) {
+    pub fn notify(&self) {
         *lock(&self.inner.rung) = true;
         self.inner.bell.notify_all();
     }
@@ -85,7 +85,7 @@
     #[test]
     fn wait_rung_before() {
         let signal = Signal::new();
-        signal.ring();
+        signal.notify();
         assert!(signal.wait(Duration::from_secs(60)));
         assert!(!signal.wait(Duration::ZERO));
     }
--- a/components/kernel/src/time.rs
+++ b/components/kernel/src/timeout.rs
@@ -5,13 +5,13 @@
 /// Added to the time of a call that moves much. The largest values that stores take have 1 MiB, which is
 /// 1.4 MB as text, and the slowest boxes have a link of 2 Mbit/s, which brings that in 5.6 s; the rest is
 /// for other calls on the same link.
-pub const BULK: Duration = Duration::from_millis(8_000);
+pub const BULK_ALLOWANCE: Duration = Duration::from_millis(8_000);
 /// Bytes that the slowest link takes in a millisecond: 2 Mbit/s.
 const SLOWEST: u64 = 250;
 
 /// The time that a call has.
 #[derive(Debug, Clone, Copy)]
-pub struct Time {
+pub struct Timeout {
     /// For all of it; for one that flows, until its answer begins.
     whole: Duration,
     /// Without an answer within this time, or when the connection breaks, the call is made again on a
@@ -30,10 +30,10 @@
     bulk: Duration,
 }
 
-impl Time {
+impl Timeout {
     /// The time for a call that is made once.
-    pub const fn once(whole: Duration) -> Self {
-        Time {
+    pub const fn single(whole: Duration) -> Self {
+        Timeout {
             whole,
             patience: None,
             flow: None,
@@ -42,8 +42,8 @@
 
     /// The time for a call that may be made twice; without an answer after `patience`, or on a
     /// broken connection, it is made again on a new one.
-    pub const fn twice(whole: Duration, patience: Duration) -> Self {
-        Time {
+    pub const fn with_retry(whole: Duration, patience: Duration) -> Self {
+        Timeout {
             whole,
             patience: Some(patience),
             flow: None,
@@ -58,18 +58,18 @@
     /// middle of it, and begun anew, may never end. A receiver that says nothing costs no more than
     /// without this, but for the time of a large body.
     #[must_use]
-    pub const fn flowing(self) -> Self {
+    pub const fn streaming(self) -> Self {
         let pause = match self.patience {
             Some(patience) => patience,
             None => self.whole,
         };
-        self.flowing_within(pause, BULK)
+        self.streaming_within(pause, BULK_ALLOWANCE)
     }
 
     /// Like [`Time::flowing`], with bounds of its own.
     #[must_use]
-    pub const fn flowing_within(self, pause: Duration, bulk: Duration) -> Self {
-        Time {
+    pub const fn streaming_within(self, pause: Duration, bulk: Duration) -> Self {
+        Timeout {
             flow: Some(Flow { pause, bulk }),
             ..self
         }
@@ -77,7 +77,7 @@
 
     /// Every part of it, so many times as long.
     pub(crate) fn stretched(self, by: u32) -> Self {
-        Time {
+        Timeout {
             whole: self.whole * by,
             patience: self.patience.map(|patience| patience * by),
             flow: self.flow.map(|flow| Flow {
@@ -129,9 +129,9 @@
     }
 }
 
-impl From<Duration> for Time {
+impl From<Duration> for Timeout {
     fn from(whole: Duration) -> Self {
-        Time::once(whole)
+        Timeout::single(whole)
     }
 }
 
@@ -171,9 +171,9 @@
         Duration::from_millis(number)
     }
 
-    const ONCE: Time = Time::once(ms(900));
-    const TWICE: Time = Time::twice(ms(900), ms(400));
-    const FLOWING: Time = TWICE.flowing_within(ms(300), ms(8_000));
+    const ONCE: Timeout = Timeout::single(ms(900));
+    const TWICE: Timeout = Timeout::with_retry(ms(900), ms(400));
+    const FLOWING: Timeout = TWICE.streaming_within(ms(300), ms(8_000));
 
     /// Until the answer begins, and in all.
     fn parts(span: Span) -> (u64, u64) {
@@ -185,12 +185,12 @@
     #[test_case(ONCE, 0, (900, 900); "once")]
     #[test_case(ONCE, BODY, (900, 900); "once, with a body")]
     #[test_case(TWICE, 0, (400, 400); "twice")]
-    #[test_case(ONCE.flowing_within(ms(300), ms(8_000)), 0, (900, 8_900); "once and flowing")]
-    #[test_case(ONCE.flowing_within(ms(300), ms(8_000)), BODY, (2_900, 8_900); "once and flowing, with a body")]
+    #[test_case(ONCE.streaming_within(ms(300), ms(8_000)), 0, (900, 8_900); "once and flowing")]
+    #[test_case(ONCE.streaming_within(ms(300), ms(8_000)), BODY, (2_900, 8_900); "once and flowing, with a body")]
     #[test_case(FLOWING, 0, (400, 8_900); "twice and flowing")]
     #[test_case(FLOWING, BODY, (2_400, 8_900); "twice and flowing, with a body")]
-    #[test_case(TWICE.flowing_within(ms(300), ms(0)), 0, (400, 900); "flowing within the whole")]
-    fn first_span(time: Time, body: usize, expected: (u64, u64)) {
+    #[test_case(TWICE.streaming_within(ms(300), ms(0)), 0, (400, 900); "flowing within the whole")]
+    fn first_span(time: Timeout, body: usize, expected: (u64, u64)) {
         assert_eq!(parts(time.first(body)), expected);
     }
 
@@ -203,7 +203,7 @@
     #[test_case(FLOWING, 0, 3_000, (500, 5_900); "flowing, after silence midway")]
     #[test_case(FLOWING, 0, 8_700, (200, 200); "flowing, with little left")]
     #[test_case(FLOWING, 0, 9_000, (0, 0); "flowing, too late")]
-    fn second_span(time: Time, body: usize, spent: u64, expected: (u64, u64)) {
+    fn second_span(time: Timeout, body: usize, spent: u64, expected: (u64, u64)) {
         assert_eq!(parts(time.second(body, ms(spent))), expected);
     }
 
--- a/components/kernel/src/token.rs
+++ b/components/kernel/src/token.rs
@@ -27,7 +27,7 @@
     }
 
     /// Compares a header's value in a time that does not depend on where it differs.
-    pub fn admits(&self, header: &str) -> bool {
+    pub fn matches(&self, header: &str) -> bool {
         let expected = self.header();
         let mut difference = expected.len() ^ header.len();
         for (a, b) in expected.bytes().zip(header.bytes()) {
@@ -68,7 +68,7 @@
     #[test_case("Bearer secret1", false; "longer")]
     #[test_case("", false; "empty")]
     fn admits_header(header: &str, admitted: bool) {
-        assert_eq!(Token::new(" secret\n").admits(header), admitted);
+        assert_eq!(Token::new(" secret\n").matches(header), admitted);
     }
 
     #[test]
--- a/components/kernel/src/traffic.rs
+++ b/components/kernel/src/traffic.rs
@@ -10,7 +10,7 @@
 
 /// Bytes of a request's or an answer's head that are not counted one by one: the first line, the length, the
 /// date and the kind of body. Of 140 to 230 bytes in calls to the store, workers and other boxes.
-pub const HEAD: usize = 180;
+pub const HEAD_BYTES: usize = 180;
 /// The most kinds that are told apart; those beyond it count as `other`. A box makes some twenty kinds of calls.
 const KINDS: usize = 64;
 
@@ -33,7 +33,7 @@
 }
 
 /// Notes a call of this kind: the bytes that this process sent for it, and those that it heard.
-pub fn note(kind: &str, sent: usize, heard: usize) {
+pub fn record(kind: &str, sent: usize, heard: usize) {
     let (sent, heard) = (sent as u64, heard as u64);
     metrics::counter!("magpie_link_bytes_total", "call" => kind.to_owned(), "way" => "sent")
         .increment(sent);
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// The system has no room for a thread.
-pub fn tell() -> io::Result<()> {
+pub fn start_logging() -> io::Result<()> {
     task::spawn("traffic", || {
         loop {
             thread::sleep(TELL_GAP);
@@ -90,7 +90,7 @@
 
 /// The kind of a call: the first part of its path and, where its query begins with a name of parts, all of
 /// that but the last one.
-pub fn kind(url: &str) -> String {
+pub fn call_kind(url: &str) -> String {
     let rest = url.split_once("://").map_or(url, |(_, rest)| rest);
     let path = rest.split_once('/').map_or("", |(_, path)| path);
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
@@ -116,14 +116,14 @@
     #[test_case("http://h/read?key=op/table", "read op"; "short key")]
     #[test_case("http://h", ""; "none")]
     fn kind_of_url(url: &str, expected: &str) {
-        assert_eq!(kind(url), expected);
+        assert_eq!(call_kind(url), expected);
     }
 
     /// Other tests of this process make calls meanwhile, of other kinds.
     #[test]
     fn note_is_taken_once() {
-        note("a kind of its own", 10, 20);
-        note("a kind of its own", 1, 2);
+        record("a kind of its own", 10, 20);
+        record("a kind of its own", 1, 2);
         let amount = take().remove("a kind of its own").unwrap();
         assert_eq!((amount.calls, amount.sent, amount.heard), (2, 11, 22));
         assert!(!take().contains_key("a kind of its own"));
--- a/components/kernel/src/verdict.rs
+++ b/components/kernel/src/verdict.rs
@@ -20,7 +20,7 @@
 
 impl Verdict {
     /// The word for the verdict in headers and bodies: `not-run`, `may-have-run` or `ran`.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
             Verdict::MayHaveRun => "may-have-run",
@@ -31,7 +31,7 @@
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -99,12 +99,12 @@
     }
 
     /// True for a failure that a new connection may not have: the one that was used was silent or broken.
-    pub fn is_silence(&self) -> bool {
+    pub fn is_connection_failure(&self) -> bool {
         matches!(self.cause, Cause::Timeout | Cause::Broken)
     }
 
     /// This failure of the second of two tries: where the first may have run, so may both.
-    pub(crate) fn after(self, first: &Failure) -> Failure {
+    pub(crate) fn after_attempt(self, first: &Failure) -> Failure {
         match first.verdict {
             Verdict::NotRun => self,
             _ => Failure {
@@ -121,12 +121,14 @@
 /// # Errors
 ///
 /// As the tries. A failed second try may have run where the first may have.
-pub fn once_more<T>(
+pub fn retry_once<T>(
     first: Result<T, Failure>,
     second: impl FnOnce() -> Result<T, Failure>,
 ) -> Result<T, Failure> {
     match first {
-        Err(failure) if failure.is_silence() => second().map_err(|again| again.after(&failure)),
+        Err(failure) if failure.is_connection_failure() => {
+            second().map_err(|again| again.after_attempt(&failure))
+        }
         result => result,
     }
 }
--- a/components/kernel/src/wire.rs
+++ b/components/kernel/src/wire.rs
@@ -41,7 +41,7 @@
 
 /// Packs an encoded message for a narrow link; [`decode`] reads it all the same. Names of jobs and workers stand many
 /// times in one message, and are digits: offers of relays take 0.5 of their bytes, for 0.1 ms of a core each.
-pub fn pack(message: Vec<u8>) -> Vec<u8> {
+pub fn compress(message: Vec<u8>) -> Vec<u8> {
     if message.len() < WORTH {
         return message;
     }
@@ -79,7 +79,7 @@
     fn decode_packed(count: u32) {
         let names: Vec<String> = (0..count).map(|n| format!("{:016x}", n * 7_919)).collect();
         let plain = encode_compact(&names).unwrap();
-        let packed = pack(plain.clone());
+        let packed = compress(plain.clone());
         assert_eq!(packed.len() < plain.len(), count > 3);
         assert_eq!(decode::<Vec<String>>(&packed).unwrap(), names);
         assert_eq!(decode::<Vec<String>>(&plain).unwrap(), names);
@@ -88,7 +88,7 @@
     #[test]
     fn decode_cut_pack() {
         let names = vec!["0000000000000000"; 100];
-        let packed = pack(encode_compact(&names).unwrap());
+        let packed = compress(encode_compact(&names).unwrap());
         assert!(decode::<Vec<String>>(&packed[..packed.len() / 2]).is_err());
         assert!(decode::<Vec<String>>(&[PACKED]).is_err());
     }
--- a/components/kernel/tests/connections.rs
+++ b/components/kernel/tests/connections.rs
@@ -4,9 +4,9 @@
 
 use {
     magpie_kernel::{
-        Answer, Client, Failure, Verdict,
-        client::{Call, Connection},
-        net,
+        Client, Failure, HttpResponse, Verdict,
+        client::{Call, ConnectionId},
+        runtime,
     },
     std::{
         io::{BufRead, BufReader, Read, Write},
@@ -53,16 +53,20 @@
             url: &self.url,
             headers: &[],
             body: b"body",
-            time: Duration::from_secs(20).into(),
+            timeout: Duration::from_secs(20).into(),
         }
     }
 
-    fn send(&self, client: &Client) -> Answer {
+    fn send(&self, client: &Client) -> HttpResponse {
         client.send(&self.call()).unwrap()
     }
 
-    fn send_over(&self, client: &Client, connection: Connection) -> Result<Answer, Failure> {
-        net::wait(client.call_over(&self.call(), connection)).unwrap()
+    fn send_over(
+        &self,
+        client: &Client,
+        connection: ConnectionId,
+    ) -> Result<HttpResponse, Failure> {
+        runtime::block_on(client.call_over(&self.call(), connection)).unwrap()
     }
 }
 
@@ -115,7 +119,7 @@
 #[test]
 fn send_over_connection_of_another_client() {
     let (receiver, client) = (Receiver::open(usize::MAX), Client::new(None));
-    let other = receiver.send(&client.apart()).connection;
+    let other = receiver.send(&client.with_own_pool()).connection;
     let own = receiver.send(&client).connection;
     let failure = receiver.send_over(&client, other).unwrap_err();
     assert_eq!(failure.verdict, Verdict::NotRun);
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -10,7 +10,7 @@
         retry_after::MIN_RETRY_AFTER,
     },
     job::{Id, Queue, Spec, State, Submission},
-    kernel::{Failure, wall},
+    kernel::{Failure, wall_clock},
     serde::{Deserialize, Serialize},
     std::sync::Arc,
 };
@@ -68,7 +68,7 @@
                     id,
                     spec: *spec,
                     queue: (*queue).clone(),
-                    accepted: wall::millis(),
+                    accepted: wall_clock::millis(),
                 };
                 accept::submit(self, submission, true)
             }
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -15,7 +15,7 @@
         time,
     },
     job::Id,
-    kernel::{Verdict, wall},
+    kernel::{Verdict, wall_clock},
     std::{
         collections::VecDeque,
         sync::mpsc::{self, Receiver},
@@ -55,7 +55,7 @@
     };
     let change = Change {
         expect: vec![(job.key, job.revision)],
-        put: vec![put(keys::cancel(id), &wall::millis(), 0)],
+        put: vec![put(keys::cancel(id), &wall_clock::millis(), 0)],
         remove: Vec::new(),
     };
     match store.apply(&change) {
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -17,7 +17,7 @@
     },
     cell::{Cell, Entry},
     job::{Id, Record},
-    kernel::{Failure, task::Signal, verdict::Cause, wall, wire},
+    kernel::{Failure, task::Signal, verdict::Cause, wall_clock, wire},
     std::{
         collections::{HashMap, HashSet},
         sync::atomic::{AtomicU64, Ordering},
@@ -237,7 +237,7 @@
         listing.entries.retain(|entry| config.has_pool(&entry.pool));
     }
     let mut cell = Cell::new(node.settings.timing);
-    let (now, wall) = (time::now(), wall::millis());
+    let (now, wall) = (time::now(), wall_clock::millis());
     let mut records: HashMap<Id, Record> = HashMap::new();
     let mut unreadable: HashSet<Id> = HashSet::new();
     for item in &states {
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -15,7 +15,7 @@
         settings::{CONFIG_WATCH_TIME, PROBE_INTERVAL, STORE_RETRY_PAUSE},
         time,
     },
-    kernel::{Failure, clock::Mark, verdict::Cause},
+    kernel::{Failure, clock::ClockPair, verdict::Cause},
     schedule::{Schedule, Step},
     staleness::Staleness,
     std::{
@@ -93,7 +93,7 @@
 
     /// Reads the value, unless it still has the known revision.
     fn read(&mut self, known: u64, begun: u64) -> Result<(), Failure> {
-        let mark = Mark::now();
+        let mark = ClockPair::now();
         let newest = self.node.shared.monitor.valid(begun);
         let read = match newest {
             Some((newest, _)) if newest > known => {
@@ -116,7 +116,7 @@
 
     /// Waits for a change.
     fn watch(&mut self, after: u64, begun: u64) -> Result<(), Failure> {
-        let mark = Mark::now();
+        let mark = ClockPair::now();
         match self.node.external.configs.wait(after, CONFIG_WATCH_TIME)? {
             ConfigWait::Found(found) => self.accept(found, begun, mark),
             // The next watch starts from the same revision and delivers what this one missed.
@@ -127,7 +127,7 @@
     }
 
     /// Installs a value that a read or a watch has returned.
-    fn accept(&mut self, found: ConfigSnapshot, begun: u64, mark: Mark) {
+    fn accept(&mut self, found: ConfigSnapshot, begun: u64, mark: ClockPair) {
         let now = time::now();
         self.schedule.found(&found, now);
         adopt(self.node, found, now - begun, mark);
@@ -152,7 +152,7 @@
             "the store does not answer this box",
         ));
     }
-    let (mark, begun) = (Mark::now(), time::now());
+    let (mark, begun) = (ClockPair::now(), time::now());
     let known = node.shared.config_revision.load(Ordering::Acquire);
     match node.external.configs.read(known)? {
         ConfigRead::Found(found) => adopt(node, found, time::now() - begun, mark),
@@ -164,7 +164,7 @@
 
 /// Records the revision of a value that was read, and installs the value. `mark` is a time before
 /// the read.
-fn adopt(node: &Node, found: ConfigSnapshot, took: u64, mark: Mark) {
+fn adopt(node: &Node, found: ConfigSnapshot, took: u64, mark: ClockPair) {
     node.shared
         .config_revision
         .fetch_max(found.revision, Ordering::AcqRel);
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -20,7 +20,7 @@
     },
     arc_swap::ArcSwapOption,
     job::Config,
-    kernel::{Client, Failure, Host, Remote, clock::Mark, sync::lock, task},
+    kernel::{ActorRef, ActorThread, Client, Failure, clock::ClockPair, sync::lock, task},
     std::{
         io,
         sync::{
@@ -50,7 +50,7 @@
     /// Since when a probe of the store has been on its way; 0 for none.
     probing: AtomicU64,
     /// When the configuration in force was last proven to be the newest; none before the first one.
-    proof: Mutex<Option<Mark>>,
+    proof: Mutex<Option<ClockPair>>,
     /// The store's revision of the configuration that was found last.
     pub(crate) config_revision: AtomicU64,
     /// How callers that are refused are told to come back.
@@ -61,7 +61,7 @@
 
 impl Shared {
     /// Notes that the configuration in force was the newest at this time.
-    pub(crate) fn mark_config_current(&self, at: Mark) {
+    pub(crate) fn mark_config_current(&self, at: ClockPair) {
         *lock(&self.proof) = Some(at);
     }
 
@@ -72,7 +72,7 @@
 
     /// True when this box was suspended since the configuration was last proven to be the newest.
     pub fn is_config_unverified(&self) -> bool {
-        lock(&self.proof).is_some_and(Mark::has_slept)
+        lock(&self.proof).is_some_and(ClockPair::was_suspended)
     }
 
     /// True when calls of the store fail and it has not answered for some time. Without a failure
@@ -241,7 +241,7 @@
     pub shared: Arc<Shared>,
     /// Calls to other boxes.
     pub client: Client,
-    pub(crate) remote: Remote<Core>,
+    pub(crate) remote: ActorRef<Core>,
     pub(crate) acceptor: accept::Sender,
     /// Cancellations that the owner has not confirmed.
     pub(crate) unconfirmed: cancel::Sender,
@@ -253,7 +253,7 @@
 pub struct Running {
     /// The handle.
     pub node: Node,
-    _host: Host<Core>,
+    _host: ActorThread<Core>,
 }
 
 /// Starts the actor and the tasks of a box.
@@ -275,7 +275,7 @@
     let (unconfirmed, cancellations) = cancel::channel();
     let settings = Arc::new(settings);
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
-    let host = Host::start("core", move |_, remote| {
+    let host = ActorThread::start("core", move |_, remote| {
         let node = Node {
             settings,
             external: outside,
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -142,7 +142,7 @@
         crate::store::MAX_ENTRIES,
         cell::{Cell, Timing},
         job::{Queue, Spec, Step, Submission, spec::Size},
-        kernel::host::Answerer,
+        kernel::actor::Responder,
         std::time::Duration,
     };
 
@@ -213,7 +213,7 @@
     #[test]
     fn build_last_with_records() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
-        let (leaving, _released) = Answerer::pair();
+        let (leaving, _released) = Responder::channel();
         ownership.handover = Some(leaving);
         let group = Group::build(&settings(), &mut ownership, 0);
         assert!(group.is_last && !group.covers.records.is_empty());
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -61,7 +61,7 @@
         let config = heartbeat.config;
         let former = std::mem::replace(&mut *lock(&self.heard), Heard { config, until });
         if former.config != config {
-            self.config.ring();
+            self.config.notify();
         }
     }
 
@@ -69,8 +69,8 @@
     pub fn clear(&self) {
         let former = std::mem::take(&mut *lock(&self.heard));
         if former.until != 0 {
-            self.config.ring();
-            self.owner.ring();
+            self.config.notify();
+            self.owner.notify();
         }
     }
 
--- a/components/node/src/order_queue.rs
+++ b/components/node/src/order_queue.rs
@@ -124,7 +124,7 @@
         crate::time,
         cell::{Start, TaskKey},
         job::{Address, Id},
-        kernel::{clock, net},
+        kernel::{clock, runtime},
         std::time::Duration,
         test_case::test_case,
     };
@@ -182,12 +182,12 @@
     #[test]
     fn is_stale_after_suspension() {
         let queued = QueuedOrder::new(start(), 0, 0, time::now());
-        clock::suspend(Duration::from_secs(2));
+        clock::simulate_suspension(Duration::from_secs(2));
         assert!(queued.is_stale(time::now()));
     }
 
     fn next(receiver: &mut OrderReceiver) -> QueuedOrder {
-        net::wait(receiver.next()).unwrap().unwrap()
+        runtime::block_on(receiver.next()).unwrap().unwrap()
     }
 
     fn withdrawal() -> Order {
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -16,7 +16,7 @@
     },
     cell::{AdviceQuery, Cell, WaveStatus},
     job::Id,
-    kernel::{Failure, task, wall},
+    kernel::{Failure, task, wall_clock},
     std::{
         collections::HashMap,
         sync::mpsc::{self, Receiver, Sender},
@@ -315,7 +315,7 @@
         }
         match decode::submission(&item) {
             Ok(submission) => {
-                cell.admit(submission, wall::millis());
+                cell.admit(submission, wall_clock::millis());
             }
             Err(error) => {
                 log::error!(target: "owner", key = item.key.as_str(), error:% = error; "A submission cannot be read.");
@@ -323,7 +323,7 @@
         }
     }
     for id in cancelled {
-        if !cell.cancel(&id, time::now(), wall::millis()) {
+        if !cell.cancel(&id, time::now(), wall_clock::millis()) {
             log::info!(target: "owner", job = id.as_str(); "A cancellation is of a job that is not known.");
         }
     }
@@ -334,7 +334,7 @@
     loop {
         let group = node
             .remote
-            .ask_later(move |core, cx, answerer| core.next_group(cx, fence, answerer));
+            .ask_deferred(move |core, cx, answerer| core.next_group(cx, fence, answerer));
         let Ok(Some(group)) = group else {
             return;
         };
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -10,9 +10,9 @@
     },
     kernel::{
         Failure,
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::time::Duration,
 };
@@ -23,7 +23,7 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        answerer: Answerer<Option<Group>>,
+        answerer: Responder<Option<Group>>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             answerer.send(None);
@@ -54,7 +54,7 @@
         };
         if since >= gap {
             let retention = settings.retention.as_millis() as u64;
-            let before = wall::millis().saturating_sub(retention);
+            let before = wall_clock::millis().saturating_sub(retention);
             let group = Group::build(&settings, ownership, before);
             ownership.written = time::now();
             if let Some(writer) = ownership.writer.take() {
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -3,7 +3,7 @@
 use {
     super::Ownership,
     crate::{core::Core, external::HallClosure, message::ClosedHall},
-    kernel::{stakker::Cx, wall},
+    kernel::{stakker::Cx, wall_clock},
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -53,7 +53,7 @@
                 log::warn!(target: "owner", hall = &*hall; "No worker is known in a data hall that is shut.");
             }
             measure(&hall, true);
-            let since = wall::millis();
+            let since = wall_clock::millis();
             self.halls.shut.push(ClosedHall { hall, by, since });
         }
         self.cell.set_closed_halls(names);
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -6,7 +6,7 @@
     crate::{owner_tasks, time},
     cell::{Advice, AdviceQuery, Entry, Listing, Machine, MaintenanceOrder, Wave, WaveStatus},
     job::{Id, State, Submission},
-    kernel::{stakker::Cx, wall},
+    kernel::{stakker::Cx, wall_clock},
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -64,7 +64,7 @@
         let Some(ownership) = &mut self.ownership else {
             return;
         };
-        if ownership.cell.admit(submission, wall::millis()) {
+        if ownership.cell.admit(submission, wall_clock::millis()) {
             self.schedule_pass(cx);
         }
     }
@@ -76,7 +76,7 @@
             return false;
         };
         let is_sure = !ownership.is_doubtful();
-        let is_known = ownership.cell.cancel(id, time::now(), wall::millis()) && is_sure;
+        let is_known = ownership.cell.cancel(id, time::now(), wall_clock::millis()) && is_sure;
         self.schedule_pass(cx);
         is_known
     }
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -21,9 +21,9 @@
     },
     cell::{AdviceQuery, Cell, Entry, Poll},
     kernel::{
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::{
         collections::{HashMap, HashSet},
@@ -56,7 +56,7 @@
     /// The owner's key is to be written again.
     pub republish: bool,
     /// The cell is to be given up once all is written.
-    pub handover: Option<Answerer<bool>>,
+    pub handover: Option<Responder<bool>>,
     /// Who talks to each worker.
     links: HashMap<Arc<str>, Link>,
     /// The boxes that talk to workers for this one.
@@ -64,11 +64,11 @@
     /// The way for questions to the advising service, once there was one.
     advice: Option<Sender<AdviceQuery>>,
     /// Polls of this box's own tasks that wait for their answer.
-    pollers: HashMap<Arc<str>, Answerer<Option<Poll>>>,
+    pollers: HashMap<Arc<str>, Responder<Option<Poll>>>,
     /// Workers whose next poll waits until their ends are written.
     waiting: HashSet<Arc<str>>,
     /// The writer, while it waits for its next group.
-    writer: Option<Answerer<Option<Group>>>,
+    writer: Option<Responder<Option<Group>>>,
     /// When the last tick was.
     ticked: u64,
     /// When the store last showed this box as the owner: by a lease that was alive, or a write.
@@ -227,7 +227,9 @@
         metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting as f64 / 1e3);
         metrics::gauge!("magpie_cell_cores_filling_waiting").set(sum.filling as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(sum.trials as f64);
-        let overdue = ownership.cell.log_overdue(wall::millis(), time::now());
+        let overdue = ownership
+            .cell
+            .log_overdue(wall_clock::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(overdue as f64);
         metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.misplaced_tasks() as f64);
         after!(SUM_UP, [cx], |this, cx| this.sum_up(cx, fence));
@@ -249,7 +251,7 @@
     }
 
     /// Gives the cell up once all is written; answers true then, or false without a cell.
-    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<bool>) {
+    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Responder<bool>) {
         let Some(ownership) = &mut self.ownership else {
             answerer.send(false);
             return;
@@ -265,8 +267,8 @@
         ownership.ticked = time::now();
         ownership.doubt_if_alone();
         ownership.cell.log_done(time::now());
-        ownership.cell.ready_due_steps(wall::millis());
-        ownership.cell.rerank(wall::millis(), time::now());
+        ownership.cell.ready_due_steps(wall_clock::millis());
+        ownership.cell.rerank(wall_clock::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
         ownership.cell.expire_leases(time::now());
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -11,9 +11,9 @@
     },
     cell::{Entry, Order, Outcome, Poll, Refusal, Report},
     kernel::{
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::{
         sync::{Arc, atomic::Ordering},
@@ -195,7 +195,7 @@
         id: &Arc<str>,
         sent: u64,
         result: Result<Report, PollError>,
-        answerer: Answerer<Option<Poll>>,
+        answerer: Responder<Option<Poll>>,
     ) {
         let next = self.reported(cx, fence, id, sent, result);
         if next == Next::Poll && self.pass_on(fence, id) {
@@ -232,7 +232,9 @@
         match result {
             Ok(report) => {
                 ownership.answered_by(id, sent);
-                ownership.cell.report(id, report, sent, now, wall::millis());
+                ownership
+                    .cell
+                    .report(id, report, sent, now, wall_clock::millis());
             }
             Err(PollError::Refused(Refusal::Fence)) => {
                 if !ownership.cell.is_superseded(id) {
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -10,7 +10,7 @@
         message::{ClosedHall, PeerRequest, PeerResponse, RelayRequest},
         settings::{PEER_RETRY, PEER_TIMEOUT},
     },
-    kernel::{Failure, Request, client::Time, server},
+    kernel::{Failure, Request, client::Timeout, server},
     std::sync::Arc,
 };
 
@@ -26,7 +26,7 @@
     let url = format!("http://{address}{PATH}");
     let time = match ask {
         // Its refusal has to be true, and that of a second try says nothing of the first.
-        PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Time::from(PEER_TIMEOUT),
+        PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Timeout::from(PEER_TIMEOUT),
         _ => PEER_RETRY,
     };
     node.client.post(&url, ask, time)
@@ -81,7 +81,7 @@
     node.remote.tell(move |core, cx| {
         let duty = Ok(core.take_offer(cx, offer));
         request.respond(if has_narrow_link {
-            server::Reply::packed(&duty)
+            server::Reply::compressed(&duty)
         } else {
             server::Reply::compact(&duty)
         });
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -22,7 +22,7 @@
     },
     cell::{Entry, Order, Outcome, Poll, Refusal, Report, Run},
     job::Id,
-    kernel::{Failure, net, sync::lock, wire},
+    kernel::{Failure, runtime, sync::lock, wire},
     std::{
         collections::HashMap,
         sync::{Arc, Mutex},
@@ -161,7 +161,7 @@
     let url = format!("http://{}{PATH}", owner.address);
     let mut body = wire::encode_compact(request)?;
     if node.settings.has_narrow_link() {
-        body = wire::pack(body);
+        body = wire::compress(body);
     }
     node.client.post_encoded(&url, &body, RELAY_TIMEOUT)
 }
@@ -324,7 +324,7 @@
             order_receiver,
             self.results.clone(),
         );
-        if let Err(error) = net::spawn(polling).and_then(|()| net::spawn(sending)) {
+        if let Err(error) = runtime::spawn(polling).and_then(|()| runtime::spawn(sending)) {
             log::error!(target: "relay", error:% = error; "Failed to start the tasks of a worker.");
             return;
         }
@@ -344,7 +344,7 @@
         let result = node.external.workers.poll(&entry, fence, poll).await;
         if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_RETRY_PAUSE).await;
+            runtime::sleep(POLL_RETRY_PAUSE).await;
         }
         lock(&results).report(&entry.id, at, result);
     }
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -2,7 +2,7 @@
 
 use {
     cell::Timing,
-    kernel::client::Time,
+    kernel::client::Timeout,
     std::{sync::Arc, time::Duration},
 };
 
@@ -133,7 +133,7 @@
 /// The time for one call to another box.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The time for one that may be made twice.
-pub const PEER_RETRY: Time = Time::twice(PEER_TIMEOUT, Duration::from_millis(200));
+pub const PEER_RETRY: Timeout = Timeout::with_retry(PEER_TIMEOUT, Duration::from_millis(200));
 /// Between two tries to tell the owner of a cancellation.
 pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
 /// How long the owner is told of a cancellation that it does not confirm, in milliseconds: a dead one is
@@ -172,8 +172,8 @@
 pub const MAX_IN_FLIGHT_MS: u64 = 250;
 /// The time for one exchange of a relay. It may be made twice: the owner takes each offer once. Offers and
 /// duties are sent again unchanged, and after trouble or in a burst they are large.
-pub const RELAY_TIMEOUT: Time =
-    Time::twice(Duration::from_millis(800), Duration::from_millis(400)).flowing();
+pub const RELAY_TIMEOUT: Timeout =
+    Timeout::with_retry(Duration::from_millis(800), Duration::from_millis(400)).streaming();
 /// Boxes with less than this share of a core, in thousandths, leave the cell to stronger ones.
 pub const LOW_SHARE: u32 = 200;
 /// How long they wait for these.
--- a/components/node/src/spec_text.rs
+++ b/components/node/src/spec_text.rs
@@ -88,7 +88,7 @@
 /// The writes that store a submission: one value, or two on a narrow link.
 pub fn writes(settings: &Settings, submission: &Submission) -> Vec<Put> {
     let value = |message: Vec<u8>| match settings.has_narrow_link() {
-        true => wire::pack(message),
+        true => wire::compress(message),
         false => message,
     };
     let sent = for_owner(settings, submission);
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -9,7 +9,7 @@
         time,
     },
     cell::{Entry, Order, Outcome, Refusal},
-    kernel::{Failure, net, verdict::Cause},
+    kernel::{Failure, runtime, verdict::Cause},
 };
 
 /// Starts the tasks of a worker; they end with the ownership or with the worker. Returns the way for
@@ -18,7 +18,7 @@
     let (entrance, orders) = order_queue::channel();
     let polled = poll(node.clone(), fence, entry.clone());
     let sent = send(node.clone(), fence, entry, orders);
-    match net::spawn(polled).and_then(|()| net::spawn(sent)) {
+    match runtime::spawn(polled).and_then(|()| runtime::spawn(sent)) {
         Ok(()) => Some(entrance),
         Err(error) => {
             log::error!(target: "owner", error:% = error; "A worker's tasks cannot be started.");
@@ -29,7 +29,7 @@
 
 async fn poll(node: Node, fence: u64, entry: Entry) {
     let id = entry.id.clone();
-    let first = node.remote.answered(move |core, _, answerer| {
+    let first = node.remote.ask_async(move |core, _, answerer| {
         answerer.send(core.first_poll(fence, &id));
     });
     let Ok(mut next) = first.await else {
@@ -40,10 +40,10 @@
         let result = node.external.workers.poll(&entry, fence, poll).await;
         if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_RETRY_PAUSE).await;
+            runtime::sleep(POLL_RETRY_PAUSE).await;
         }
         let id = entry.id.clone();
-        let answer = node.remote.answered(move |core, cx, answerer| {
+        let answer = node.remote.ask_async(move |core, cx, answerer| {
             core.polled(cx, fence, &id, sent, result, answerer);
         });
         next = answer.await.unwrap_or_default();
@@ -88,7 +88,10 @@
     {
         let (own, job) = (node.clone(), start.key.job.clone());
         let read = move || own.specs.text(&*own.external.store, &job);
-        match net::blocking(read).await.unwrap_or_else(|| Err(unread())) {
+        match runtime::spawn_blocking(read)
+            .await
+            .unwrap_or_else(|| Err(unread()))
+        {
             Ok(text) => start.text = text,
             Err(failure) => {
                 log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A specification was not read; its start is not sent.");
--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -10,7 +10,7 @@
         plan,
         spec::Spec,
     },
-    kernel::{Failure, host::Answerer, verdict::Cause},
+    kernel::{Failure, actor::Responder, verdict::Cause},
     std::{collections::BTreeSet, sync::Arc, time::Instant},
 };
 
@@ -44,18 +44,22 @@
                 "the cell is not owned here",
             )));
         };
-        let at = kernel::wall::millis();
+        let at = kernel::wall_clock::millis();
         if let Err(failure) = owned.cell.submit(id, spec, at) {
             return done(Err(failure));
         }
         owned.cell.journal.stage(Effect::Begin(id.clone()));
         owned.cell.journal.stage(Effect::Answer(done));
-        owned.writer.ring();
+        owned.writer.notify();
     }
 
     /// Cancels the jobs that are owned here. Once that is written down in every cell, the answer
     /// is the ids of no job here.
-    pub fn cancel(&mut self, ids: &[Arc<str>], answerer: Answerer<Result<Vec<Arc<str>>, Failure>>) {
+    pub fn cancel(
+        &mut self,
+        ids: &[Arc<str>],
+        answerer: Responder<Result<Vec<Arc<str>>, Failure>>,
+    ) {
         let mut missing = Vec::new();
         let mut cells = BTreeSet::new();
         for id in ids {
@@ -80,7 +84,7 @@
             self.ring_all(cell);
             if let Some(owned) = self.cells.get_mut(cell) {
                 owned.cell.journal.stage(Effect::Answer(part));
-                owned.writer.ring();
+                owned.writer.notify();
             }
         }
     }
@@ -92,7 +96,7 @@
         };
         for (slot, bell) in owned.cell.fleet.slots().iter().zip(&owned.bells) {
             if !slot.outbox.is_empty() {
-                bell.ring();
+                bell.notify();
             }
         }
     }
@@ -142,7 +146,7 @@
 
     /// Drains a worker of a cell owned here, or takes that back. The answer comes once that is
     /// written down; false when no cell here has the worker.
-    pub fn drain(&mut self, drain: &Drain, answerer: Answerer<Result<bool, Failure>>) {
+    pub fn drain(&mut self, drain: &Drain, answerer: Responder<Result<bool, Failure>>) {
         let mut cells = self.cells.values_mut();
         let having = cells.find(|owned| owned.cell.fleet.place(&drain.worker).is_some());
         let Some(owned) = having else {
@@ -151,6 +155,6 @@
         owned.cell.drain(&drain.worker, drain.drained);
         let done: Done = Box::new(move |result| answerer.send(result.map(|()| true)));
         owned.cell.journal.stage(Effect::Answer(done));
-        owned.writer.ring();
+        owned.writer.notify();
     }
 }
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -24,7 +24,7 @@
         worker::{Order, Report, Workers},
     },
     kernel::{
-        Failure, Remote,
+        ActorRef, Failure,
         stakker::{CX, Cx, after},
         task::{self, Signal},
         verdict::Cause,
@@ -78,7 +78,7 @@
 /// The state of a scheduler process.
 pub struct Scheduler {
     shared: Shared,
-    remote: Remote<Scheduler>,
+    remote: ActorRef<Scheduler>,
     cells: BTreeMap<Arc<str>, Owned>,
     directory: Directory,
     table: Arc<Table>,
@@ -98,7 +98,7 @@
 
 impl Scheduler {
     /// A scheduler that owns no cell yet.
-    pub fn new(cx: CX![], shared: Shared, remote: Remote<Scheduler>) -> Self {
+    pub fn new(cx: CX![], shared: Shared, remote: ActorRef<Scheduler>) -> Self {
         after!(TICK, [cx], tick());
         Scheduler {
             shared,
@@ -284,10 +284,10 @@
         let started = Instant::now();
         let passed = pass::run(&mut owned.cell, PASS_MOST, now);
         for at in &passed.rung {
-            owned.bells[*at].ring();
+            owned.bells[*at].notify();
         }
         if owned.cell.journal.is_dirty() {
-            owned.writer.ring();
+            owned.writer.notify();
         }
         if passed.placed + passed.evicted > 0 {
             let time = started.elapsed().as_secs_f64();
@@ -318,7 +318,7 @@
                 }
                 owned.cell.tick(now);
                 if owned.cell.journal.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
             }
             self.pass_soon(cx, &name);
@@ -366,7 +366,7 @@
                     false => Duration::ZERO,
                 };
                 if owned.cell.journal.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
                 self.pass_soon(cx, cell);
                 Some(wait)
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -8,8 +8,8 @@
         message::{Ask, Cancel, Drain, Exchange, Named, Submit, Takeover, Worker},
     },
     kernel::{
-        Client, Failure, Remote, Reply, Request,
-        client::Time,
+        ActorRef, Client, Failure, Reply, Request,
+        client::Timeout,
         ops::{self, Readiness},
         verdict::Cause,
     },
@@ -24,7 +24,7 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The time for one that lists all jobs or workers of a cell.
-const LIST_TIME: Time = Time::once(PEER_TIMEOUT).flowing();
+const LIST_TIME: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
 /// How long a task of the port waits for a book's write. While the store is down the port must go
 /// on answering other schedulers.
@@ -36,7 +36,7 @@
 /// What the port needs.
 pub struct Port {
     /// The actor.
-    pub remote: Remote<Scheduler>,
+    pub remote: ActorRef<Scheduler>,
     /// The client for calls on other schedulers.
     pub client: Client,
     /// Whether the process takes work.
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -304,7 +304,7 @@
             return;
         };
         if job.entry.ended.is_none() && job.is_over() {
-            job.entry.ended = Some(kernel::wall::millis());
+            job.entry.ended = Some(kernel::wall_clock::millis());
             job.entry.resume.clear();
             self.journal.touch();
         }
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -10,7 +10,7 @@
         budget::{self, Bucket},
         settle::{self, Settled},
     },
-    kernel::{Failure, Remote, stakker::Cx, task::Signal, verdict::Cause},
+    kernel::{ActorRef, Failure, stakker::Cx, task::Signal, verdict::Cause},
     lease::{Record, epoch},
     std::{
         sync::Arc,
@@ -78,7 +78,7 @@
 ///
 /// The store fails, or another took the cell over at the same moment.
 pub fn take_over<A: Cells>(
-    remote: &Remote<A>,
+    remote: &ActorRef<A>,
     store: &dyn Store,
     (name, url): (&Arc<str>, &Arc<str>),
     cell: &Arc<str>,
@@ -104,7 +104,7 @@
     /// Ends the task, or wakes it when something is due.
     pub signal: Signal,
     /// The actor.
-    pub remote: Remote<A>,
+    pub remote: ActorRef<A>,
     /// The store.
     pub store: Arc<dyn Store>,
 }
@@ -211,7 +211,7 @@
                 .wait(end.saturating_duration_since(Instant::now()));
         }
         if rung {
-            self.signal.ring();
+            self.signal.notify();
         }
     }
 }
--- a/components/sched/src/commit.rs
+++ b/components/sched/src/commit.rs
@@ -8,7 +8,7 @@
         journal::{Done, Effect},
     },
     infra::budget::Rank,
-    kernel::{Failure, sync::lock, verdict::Cause, wall, wire},
+    kernel::{Failure, sync::lock, verdict::Cause, wall_clock, wire},
     std::sync::{Arc, Mutex},
 };
 
@@ -133,7 +133,7 @@
 
     /// Drops jobs that ended long ago.
     fn prune(&mut self) {
-        let limit = wall::millis().saturating_sub(KEEP_ENDED);
+        let limit = wall_clock::millis().saturating_sub(KEEP_ENDED);
         let full = self.journal.bytes > MAX_BOOK / 2;
         let kept = |ended: u64| ended > limit && !full;
         self.jobs
--- a/components/sched/src/peer.rs
+++ b/components/sched/src/peer.rs
@@ -2,7 +2,7 @@
 
 use {
     infra::worker::{Order, Report, Workers},
-    kernel::{Failure, Remote, stakker::Cx, task::Signal},
+    kernel::{ActorRef, Failure, stakker::Cx, task::Signal},
     std::{sync::Arc, time::Duration},
 };
 
@@ -36,7 +36,7 @@
     /// Ends the task, or wakes it when something is due.
     pub signal: Signal,
     /// The actor.
-    pub remote: Remote<A>,
+    pub remote: ActorRef<A>,
     /// The workers.
     pub workers: Arc<dyn Workers>,
     /// The time between exchanges when nothing is due.
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -10,8 +10,8 @@
     },
     infra::{Store, boxes::Boxes, worker::Workers},
     kernel::{
-        Client, Failure, Host, Server,
-        client::Limits,
+        ActorThread, Client, Failure, Server,
+        client::PoolLimits,
         ops::Readiness,
         task::{self, Signal},
         token::Token,
@@ -76,10 +76,10 @@
 
 /// A client for exchanges with workers: it keeps a connection to each of a few cells' workers.
 pub fn worker_client() -> Client {
-    let limits = Limits {
-        idle: 4096,
-        host: 16,
-        age: Duration::from_secs(30),
+    let limits = PoolLimits {
+        max_idle: 4096,
+        per_host: 16,
+        idle_timeout: Duration::from_secs(30),
     };
     Client::with_limits(None, limits)
 }
@@ -89,7 +89,7 @@
     tasks: Tasks,
     server: Server,
     ready: Readiness,
-    host: Host<Scheduler>,
+    host: ActorThread<Scheduler>,
     _roster: Roster,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
@@ -98,7 +98,7 @@
 #[derive(Clone)]
 struct Tasks {
     shared: Shared,
-    remote: kernel::Remote<Scheduler>,
+    remote: kernel::ActorRef<Scheduler>,
     client: Client,
     signal: Signal,
 }
@@ -131,7 +131,7 @@
             placement: settings.placement,
         };
         let theirs = shared.clone();
-        let host = Host::start("sched", move |cx, remote| {
+        let host = ActorThread::start("sched", move |cx, remote| {
             Scheduler::new(cx, theirs, remote)
         })?;
         let remote = host.remote().clone();
@@ -181,7 +181,7 @@
     }
 
     /// The actor, for embedders and tests.
-    pub fn remote(&self) -> &kernel::Remote<Scheduler> {
+    pub fn remote(&self) -> &kernel::ActorRef<Scheduler> {
         &self.tasks.remote
     }
 
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -7,7 +7,7 @@
         Size,
         boxes::{Item, Kind, List, State},
     },
-    kernel::Host,
+    kernel::ActorThread,
     lease::Term,
     magpie_sched_core::{Scheduler, actor::Shared, claim::Cells},
     standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
@@ -17,7 +17,7 @@
     },
 };
 
-fn scheduler() -> Host<Scheduler> {
+fn scheduler() -> ActorThread<Scheduler> {
     let clock = Clock::manual();
     let shared = Shared {
         name: Arc::from("b1"),
@@ -28,7 +28,7 @@
         heartbeat: Duration::from_secs(2),
         placement: Arc::from("mixed"),
     };
-    Host::start("sched", |cx, remote| Scheduler::new(cx, shared, remote)).unwrap()
+    ActorThread::start("sched", |cx, remote| Scheduler::new(cx, shared, remote)).unwrap()
 }
 
 /// One entry box and one hall with a worker.
--- a/components/standin/src/port.rs
+++ b/components/standin/src/port.rs
@@ -4,7 +4,7 @@
 use {
     kernel::{
         Reply,
-        edge::{self, Bounds},
+        public_server::{self, Bounds},
     },
     oxhttp::model::{Body, Request, Response},
     serde_json::Value,
@@ -81,13 +81,16 @@
     let handler = Arc::new(handler);
     let bounds = Bounds {
         connections,
-        step: STEP,
+        io_timeout: STEP,
     };
     let run = move |request: &mut Request<Body>| match read(request) {
         Ok(asked) => respond(handler(asked)),
         Err(_) => respond(Told::Cut),
     };
-    Ok(format!("http://{}", edge::open(address, bounds, run)?))
+    Ok(format!(
+        "http://{}",
+        public_server::open(address, bounds, run)?
+    ))
 }
 
 fn read(request: &mut Request<Body>) -> io::Result<Asked> {
@@ -108,11 +111,11 @@
 
 fn respond(told: Told) -> Response<Body> {
     let Told::Reply(reply) = told else {
-        return Response::new(edge::cut(Vec::new()));
+        return Response::new(public_server::truncated_body(Vec::new()));
     };
     let mut builder = Response::builder()
         .status(reply.status)
-        .header("content-type", reply.kind);
+        .header("content-type", reply.content_type);
     for (name, value) in reply.headers {
         builder = builder.header(name, value);
     }
--- a/components/standin/src/runner.rs
+++ b/components/standin/src/runner.rs
@@ -8,7 +8,7 @@
         kv::{Kv, decode, encode},
         port::{self, Asked, Told, reply},
     },
-    kernel::{Reply, sync::lock, wall},
+    kernel::{Reply, sync::lock, wall_clock},
     serde_json::{Value, json},
     std::{
         cell::Cell,
@@ -194,7 +194,7 @@
                 size: cores * 1_000,
                 shrunk: None,
                 begun: Instant::now(),
-                born: wall::millis(),
+                born: wall_clock::millis(),
                 is_down: false,
                 crashes: 0,
                 fence: 0,
@@ -269,7 +269,7 @@
         core.lose_all();
         core.id = id.to_owned();
         core.begun = Instant::now();
-        core.born = wall::millis().max(core.born + 1);
+        core.born = wall_clock::millis().max(core.born + 1);
         core.fence = 0;
         core.lease = 0;
         core.over.clear();
--- a/components/table/src/accept.rs
+++ b/components/table/src/accept.rs
@@ -12,7 +12,7 @@
     kernel::{
         Failure,
         verdict::{Cause, Verdict},
-        wall, wire,
+        wall_clock, wire,
     },
 };
 
@@ -50,7 +50,7 @@
         if let Some(change) = book.change_of(edit.id) {
             return Ok((Outcome::Accepted(change.version), Some(book.clone())));
         }
-        let change = match book.table.judge(edit, wall::millis()) {
+        let change = match book.table.judge(edit, wall_clock::millis()) {
             Ok(change) => change,
             Err(refusal) => return Ok((Outcome::Refused(refusal), None)),
         };
--- a/components/table/src/follow.rs
+++ b/components/table/src/follow.rs
@@ -8,7 +8,7 @@
     infra::budget,
     kernel::{
         Client, Failure,
-        client::Time,
+        client::Timeout,
         task::{self, Signal},
     },
     members::roster::View,
@@ -99,7 +99,7 @@
         after,
         wait: WAIT.as_millis() as u64,
     };
-    let time = Time::once(WAIT + GRACE).flowing();
+    let time = Timeout::single(WAIT + GRACE).streaming();
     client.post(&format!("{url}/table/watch"), &watch, time)
 }
 
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -9,7 +9,7 @@
     },
     infra::{Store, boxes::Boxes},
     kernel::{
-        Client, Failure, Host, Reply, Request, Server,
+        ActorThread, Client, Failure, Reply, Request, Server,
         ops::{self, Readiness},
         sync::lock,
         task::{self, Signal},
@@ -56,7 +56,7 @@
     shared: Shared,
     server: Server,
     ready: Readiness,
-    host: Host<Keeper>,
+    host: ActorThread<Keeper>,
     _roster: Roster,
 }
 
@@ -67,7 +67,7 @@
     ///
     /// The address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let host = Host::start("table", |cx, _| Keeper::new(cx))?;
+        let host = ActorThread::start("table", |cx, _| Keeper::new(cx))?;
         let roster = Roster::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
--- a/components/table/src/spread.rs
+++ b/components/table/src/spread.rs
@@ -9,8 +9,8 @@
     },
     infra::{Store, budget},
     kernel::{
-        Client, Failure, Remote,
-        client::Time,
+        ActorRef, Client, Failure,
+        client::Timeout,
         task::{self, Signal},
         wire,
     },
@@ -31,7 +31,7 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The time for one that may hold a whole table, either way.
-const TABLE_TIME: Time = Time::once(PEER_TIMEOUT).flowing();
+const TABLE_TIME: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
 /// How many times a push to one peer is tried.
 const PUSH_TRIES: u32 = 3;
@@ -42,7 +42,7 @@
     /// The box's name.
     pub name: Arc<str>,
     /// The actor.
-    pub keeper: Remote<Keeper>,
+    pub keeper: ActorRef<Keeper>,
     /// The store.
     pub store: Arc<dyn Store>,
     /// The list of boxes.
--- a/components/trial/tests/whole_path.rs
+++ b/components/trial/tests/whole_path.rs
@@ -178,7 +178,7 @@
         url: &url,
         headers: &headers,
         body: &body,
-        time: timeout.into(),
+        timeout: timeout.into(),
     };
     let answer = fleet.client.send(&call).unwrap();
     assert_eq!(answer.header("x-magpie-verdict"), "ran");
@@ -350,7 +350,7 @@
                         url,
                         headers: &headers,
                         body: b"x",
-                        time: TIMEOUT.into(),
+                        timeout: TIMEOUT.into(),
                     };
                     let whole = backend::expected(&id, b"x").into_bytes();
                     client.send(&call).is_ok_and(|answer| answer.body == whole)
@@ -377,7 +377,7 @@
         url: &url,
         headers: &headers,
         body: &[],
-        time: timeout.into(),
+        timeout: timeout.into(),
     };
     let refused = fleet.client.send(&call).unwrap();
     assert_eq!(
--- a/programs/box/src/cli.rs
+++ b/programs/box/src/cli.rs
@@ -158,7 +158,7 @@
 }
 
 fn build(mut reader: Reader<'_>, arguments: Arguments) -> Result<Setup, Vec<Fault>> {
-    let common = daemon::common(&mut reader, arguments.log_level, None);
+    let common = daemon::read_common(&mut reader, arguments.log_level, None);
     let name = reader.name("name", arguments.name, None);
     let hall = reader.name("hall", arguments.hall, None);
     let share = positive(&mut reader, "share", arguments.share, "1");
--- a/programs/box/src/main.rs
+++ b/programs/box/src/main.rs
@@ -5,7 +5,7 @@
 mod signals;
 
 use {
-    kernel::{Client, client::Limits, daemon, traffic},
+    kernel::{Client, client::PoolLimits, daemon, traffic},
     std::time::Duration,
 };
 
@@ -17,22 +17,22 @@
 const KEPT_FOR: Duration = Duration::from_secs(120);
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let check = arguments.check;
-    let setup = kernel::settings::settle(cli::read(arguments), check);
-    daemon::begin_json(setup.level);
-    let limits = Limits {
-        idle: KEPT_ALL,
-        host: KEPT,
-        age: KEPT_FOR,
+    let setup = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
+    daemon::init_telemetry_json(setup.level);
+    let limits = PoolLimits {
+        max_idle: KEPT_ALL,
+        per_host: KEPT,
+        idle_timeout: KEPT_FOR,
     };
     let client = Client::with_limits(None, limits);
     let outside = platform::adapters(&client, setup.store, setup.advisor, setup.machines);
-    let running = daemon::started(node::core::start(setup.node.clone(), outside, client));
-    daemon::started(traffic::tell());
-    let ports = daemon::started(ports::open(&setup, &running.node));
+    let running = daemon::started_or_exit(node::core::start(setup.node.clone(), outside, client));
+    daemon::started_or_exit(traffic::start_logging());
+    let ports = daemon::started_or_exit(ports::open(&setup, &running.node));
     log::info!(target: "box", name = &*setup.node.name, hall = &*setup.node.hall, callers:% = setup.callers, inside:% = setup.inside; "The box runs.");
-    let signal = daemon::started(signals::wait());
+    let signal = daemon::started_or_exit(signals::wait());
     log::info!(target: "box", signal; "The box is asked to stop.");
     signals::stop(&running.node, &ports, setup.grace);
     log::info!(target: "box", "The box has stopped.");
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -4,7 +4,7 @@
     crate::cli::Setup,
     kernel::{
         Request, Server, ops,
-        server::{Bounds, INSIDE, Reply, Service},
+        server::{Bounds, INTERNAL, Reply, Service},
     },
     node::{Node, message::ClosedHall, peer},
     platform::callers,
@@ -21,7 +21,7 @@
 
 /// The bounds of the callers' port; a box has 3,900 descriptors for sockets.
 const CALLERS: Bounds = Bounds {
-    connections: 800,
+    max_connections: 800,
     idle: Duration::from_secs(60),
 };
 /// Requests of callers that are answered at once; each waits for the store or the owner on a thread.
@@ -76,17 +76,17 @@
 ) -> io::Result<Server> {
     let (first, second) = (node.clone(), node.clone());
     let service = Service {
-        quick: Arc::new(move |request| quick(&first, request)),
+        fast: Arc::new(move |request| quick(&first, request)),
         handler: Arc::new(move |request| handler(&second, request)),
-        tasks,
+        concurrency: tasks,
     };
-    Server::open_within(address, INSIDE, None, service)
+    Server::open_with_bounds(address, INTERNAL, None, service)
 }
 
 fn open_callers(address: SocketAddr, node: &Node, busy: Arc<AtomicUsize>) -> io::Result<Server> {
     let (node, count) = (node.clone(), busy.clone());
     let service = Service {
-        quick: Arc::new(move |request| {
+        fast: Arc::new(move |request| {
             count.fetch_add(1, Ordering::AcqRel);
             Some(request)
         }),
@@ -95,9 +95,9 @@
             request.respond(reply);
             busy.fetch_sub(1, Ordering::AcqRel);
         }),
-        tasks: CALLER_TASKS,
+        concurrency: CALLER_TASKS,
     };
-    Server::open_within(address, CALLERS, None, service)
+    Server::open_with_bounds(address, CALLERS, None, service)
 }
 
 fn ready(node: &Node, request: Request) -> Option<Request> {
--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -7,7 +7,7 @@
 
 use {
     job::Id,
-    kernel::{Answer, Client, client::Call, sync::lock},
+    kernel::{Client, HttpResponse, client::Call, sync::lock},
     node::{
         Reply,
         message::{PeerRequest, PeerResponse},
@@ -181,7 +181,7 @@
     }
 }
 
-fn send(port: u16, method: &str, path: &str, body: Option<&Value>) -> Option<Answer> {
+fn send(port: u16, method: &str, path: &str, body: Option<&Value>) -> Option<HttpResponse> {
     let url = format!("http://127.0.0.1:{port}{path}");
     let bytes = body.map_or(Vec::new(), |body| body.to_string().into_bytes());
     let headers = [("host", "h.example"), ("content-type", "application/json")];
@@ -190,7 +190,7 @@
         url: &url,
         headers: &headers,
         body: &bytes,
-        time: Duration::from_secs(5).into(),
+        timeout: Duration::from_secs(5).into(),
     };
     Client::new(None).send(&call).ok()
 }
--- a/programs/burn/src/cli.rs
+++ b/programs/burn/src/cli.rs
@@ -58,7 +58,7 @@
     {
         reader.fault("objective", &percent.to_string(), rule);
     }
-    let common = daemon::common(&mut reader, None, arguments.token_file);
+    let common = daemon::read_common(&mut reader, None, arguments.token_file);
     reader.build(|| {
         Some(Settings {
             boxes: boxes::Http::new(&boxes?, Client::new(None)),
--- a/programs/burn/src/main.rs
+++ b/programs/burn/src/main.rs
@@ -5,20 +5,20 @@
 use {
     burn::report::{self, Sample},
     infra::{boxes::Boxes, boxes::Kind},
-    kernel::{Client, Failure, client::Time, daemon, wall},
+    kernel::{Client, Failure, client::Timeout, daemon, wall_clock},
     std::{process, sync::Arc, time::Duration},
 };
 
 /// The time for one gate's answer, which grows with the table.
-const TIME: Time = Time::once(Duration::from_secs(2)).flowing();
+const TIME: Timeout = Timeout::single(Duration::from_secs(2)).streaming();
 
 /// Exit code when the list of boxes cannot be read.
 const EXIT_NO_LIST: i32 = 1;
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let check = arguments.check;
-    let settings = kernel::settings::settle(cli::read(arguments), check);
+    let settings = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
     let list = match settings.boxes.list(0) {
         Ok(list) => list.unwrap_or_default(),
         Err(failure) => {
@@ -39,7 +39,7 @@
             Err(_) => silent.push(item.name.clone()),
         }
     }
-    let report = report::build(&samples, silent, settings.objective, wall::seconds());
+    let report = report::build(&samples, silent, settings.objective, wall_clock::seconds());
     if settings.json {
         println!("{}", serde_json::to_string(&report).unwrap_or_default());
     } else {
--- a/programs/ctl/src/context.rs
+++ b/programs/ctl/src/context.rs
@@ -4,16 +4,16 @@
     crate::exit::Error,
     kernel::{
         Client,
-        client::Time,
+        client::Timeout,
         daemon,
-        settings::{Reader, settle},
+        settings::{Reader, unwrap_or_exit},
     },
     serde::{Serialize, de::DeserializeOwned},
     std::time::Duration,
 };
 
 /// The time for one call; a list of all jobs is large.
-const TIME: Time = Time::once(Duration::from_secs(10)).flowing();
+const TIME: Timeout = Timeout::single(Duration::from_secs(10)).streaming();
 
 /// The processes that the commands speak to.
 pub struct Context {
@@ -34,8 +34,8 @@
     let sched = reader.url("sched", sched, Some("http://127.0.0.1:7002"));
     let table = reader.url("table", table, Some("http://127.0.0.1:7003"));
     let entry_box = reader.url("box", entry_box, Some("http://127.0.0.1:7004"));
-    let common = daemon::common(&mut reader, None, token_file);
-    settle(reader.finish(), false);
+    let common = daemon::read_common(&mut reader, None, token_file);
+    unwrap_or_exit(reader.finish(), false);
     let token = common.and_then(|common| common.token);
     let (sched, table) = (sched.unwrap_or_default(), table.unwrap_or_default());
     Context {
--- a/programs/ctl/src/hall.rs
+++ b/programs/ctl/src/hall.rs
@@ -3,7 +3,7 @@
 use {
     crate::{cli::HallCommand, context::Context, exit::Error, show},
     chrono::SecondsFormat,
-    kernel::wall,
+    kernel::wall_clock,
     node::{
         message::{ClosedHall, PeerRequest, PeerResponse},
         peer,
@@ -36,5 +36,5 @@
 
 /// A time in milliseconds since 1970, for people.
 fn time(millis: u64) -> String {
-    wall::utc(millis, SecondsFormat::Secs).unwrap_or_else(|| millis.to_string())
+    wall_clock::utc(millis, SecondsFormat::Secs).unwrap_or_else(|| millis.to_string())
 }
--- a/programs/ctl/src/main.rs
+++ b/programs/ctl/src/main.rs
@@ -13,7 +13,7 @@
 use {cli::Command, kernel::daemon, std::process};
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let context = context::read(
         arguments.sched,
         arguments.table,
--- a/programs/demo/src/callers.rs
+++ b/programs/demo/src/callers.rs
@@ -68,7 +68,7 @@
         url: &url,
         headers: &headers,
         body: &body,
-        time: Duration::from_secs(4).into(),
+        timeout: Duration::from_secs(4).into(),
     };
     World::count(&world.counts.requests);
     let answer = world.fleet.client.send(&call);
--- a/programs/demo/src/main.rs
+++ b/programs/demo/src/main.rs
@@ -26,7 +26,7 @@
 const EXIT_BREACH: i32 = 1;
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let Some(deploy) = Deploy::named(&arguments.deploy) else {
         let text = &arguments.deploy;
         eprintln!("--deploy: '{text}' is wrong; right is fiscalis or sabarmati");
@@ -37,13 +37,16 @@
     } else {
         log::LevelFilter::Off
     };
-    daemon::started(logs::start(level));
+    daemon::started_or_exit(logs::start(level));
     say(
         &arguments,
         &format!("Starting {}.", world::describe(&deploy)),
     );
-    let world = Arc::new(daemon::started(World::start(deploy, arguments.seed)));
-    daemon::started(world.fleet.wait_ready());
+    let world = Arc::new(daemon::started_or_exit(World::start(
+        deploy,
+        arguments.seed,
+    )));
+    daemon::started_or_exit(world.fleet.wait_ready());
     jobs::start(&world, arguments.seed);
     let time = Duration::from_secs(arguments.seconds.max(1));
     say(&arguments, &format!("Running for {} s.", time.as_secs()));
@@ -66,7 +69,7 @@
     let end = started + time;
     let mut threads: Vec<JoinHandle<()>> = Vec::new();
     let mut start = |name: &str, run: Box<dyn FnOnce() + Send>| {
-        threads.push(daemon::started(task::spawn(name, run)));
+        threads.push(daemon::started_or_exit(task::spawn(name, run)));
     };
     for number in 0..callers::THREADS {
         let (world, seed) = (world.clone(), arguments.seed ^ (number as u64) << 32);
--- a/programs/gate/src/cli.rs
+++ b/programs/gate/src/cli.rs
@@ -94,7 +94,7 @@
     let connections = reader.number("connections", arguments.connections, "1000", (1, 20_000));
     let linger = reader.number("linger-ms", arguments.linger_ms, "1000", (0, 60_000));
     let stop = reader.number("stop-seconds", arguments.stop_seconds, "20", (0, 600));
-    let common = daemon::common(&mut reader, arguments.log_level, arguments.token_file);
+    let common = daemon::read_common(&mut reader, arguments.log_level, arguments.token_file);
     reader.build(|| {
         let common = common?;
         let client = Client::new(None);
--- a/programs/load/src/added.rs
+++ b/programs/load/src/added.rs
@@ -38,7 +38,7 @@
 
 /// Measures and prints.
 pub fn run(command: &cli::Added) {
-    let outcome = kernel::daemon::started(measure(command.calls));
+    let outcome = kernel::daemon::started_or_exit(measure(command.calls));
     if command.json {
         println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
         return;
@@ -166,7 +166,7 @@
         url: &url,
         headers: &headers,
         body: &[7; 500],
-        time: Duration::from_secs(5).into(),
+        timeout: Duration::from_secs(5).into(),
     };
     let started = Instant::now();
     let answer = client.send(&call).map_err(io::Error::other)?;
--- a/programs/load/src/main.rs
+++ b/programs/load/src/main.rs
@@ -11,7 +11,7 @@
 use {cli::Command, kernel::daemon};
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     match arguments.command {
         Command::Slope(command) => slope::run(&command),
         Command::Added(command) => added::run(&command),
--- a/programs/load/src/slope/pick.rs
+++ b/programs/load/src/slope/pick.rs
@@ -7,7 +7,7 @@
         Size,
         boxes::{Item, Kind, List, State},
     },
-    kernel::{Failure, Host, host::Answerer, stakker::Cx},
+    kernel::{ActorThread, Failure, actor::Responder, stakker::Cx},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -73,7 +73,7 @@
     };
     let name: Arc<str> = Arc::from("g1");
     let hall: Arc<str> = Arc::from("h1");
-    let Ok(host) = Host::start("gate", move |_, _| Gate::new(name, hall, policy)) else {
+    let Ok(host) = ActorThread::start("gate", move |_, _| Gate::new(name, hall, policy)) else {
         return 0.0;
     };
     let list = list(servers);
@@ -99,7 +99,7 @@
         deadline: now + Duration::from_secs(60),
         tried: Vec::new(),
     };
-    let (answerer, answer) = Answerer::<Result<_, Failure>>::pair();
+    let (answerer, answer) = Responder::<Result<_, Failure>>::channel();
     gate.pick(cx, wanted, answerer);
     if let Ok(Ok(ticket)) = answer.blocking_recv() {
         gate.done(ticket.at, Duration::from_millis(5), true, now);
--- a/programs/load/src/takeover.rs
+++ b/programs/load/src/takeover.rs
@@ -49,7 +49,7 @@
         );
         process::exit(settings::EXIT_SETTINGS)
     };
-    let outcome = daemon::started(measure(deploy, command.rounds.max(1)));
+    let outcome = daemon::started_or_exit(measure(deploy, command.rounds.max(1)));
     if command.json {
         println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
         return;
--- a/programs/sched/src/cli.rs
+++ b/programs/sched/src/cli.rs
@@ -87,7 +87,7 @@
             "at least three heartbeats",
         );
     }
-    let common = daemon::common(&mut reader, arguments.log_level, arguments.token_file);
+    let common = daemon::read_common(&mut reader, arguments.log_level, arguments.token_file);
     reader.build(|| {
         let common = common?;
         let client = Client::new(None);
--- a/programs/sched/src/main.rs
+++ b/programs/sched/src/main.rs
@@ -5,13 +5,13 @@
 use {kernel::daemon, log::info, sched::Service};
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let check = arguments.check;
-    let (settings, level) = kernel::settings::settle(cli::read(arguments), check);
-    daemon::begin(level);
-    let mut service = daemon::started(Service::start(settings));
+    let (settings, level) = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
+    daemon::init_telemetry(level);
+    let mut service = daemon::started_or_exit(Service::start(settings));
     info!(target: "sched", "The scheduler runs. url={}", service.url());
-    daemon::wait();
+    daemon::wait_for_shutdown();
     service.stop();
     info!(target: "sched", "The scheduler has stopped.");
 }
--- a/programs/soak/src/world.rs
+++ b/programs/soak/src/world.rs
@@ -9,7 +9,7 @@
         versions::{Followed, Written, write},
     },
     anyhow::{Context, Result},
-    kernel::{Answer, Client, client::Call, sync::lock},
+    kernel::{Client, HttpResponse, client::Call, sync::lock},
     serde_json::{Value, json},
     standin::{
         Kv, Runner,
@@ -444,7 +444,7 @@
     method: &str,
     path: &str,
     body: Option<&Value>,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     let url = format!("http://127.0.0.1:{port}{path}");
     let bytes = body.map_or(Vec::new(), |body| body.to_string().into_bytes());
     let headers = [("host", "h.example"), ("content-type", "application/json")];
@@ -453,7 +453,7 @@
         url: &url,
         headers: &headers,
         body: &bytes,
-        time: Duration::from_secs(5).into(),
+        timeout: Duration::from_secs(5).into(),
     };
     client.send(&call).ok()
 }
--- a/programs/standin/src/backend.rs
+++ b/programs/standin/src/backend.rs
@@ -11,6 +11,6 @@
 pub fn run(command: &cli::Backend) {
     let mean = Duration::from_millis(command.mean_ms);
     let backend = Backend::open(command.listen, mean, command.seed, Witness::new());
-    println!("backend {}", daemon::started(backend).url());
-    daemon::wait();
+    println!("backend {}", daemon::started_or_exit(backend).url());
+    daemon::wait_for_shutdown();
 }
--- a/programs/standin/src/main.rs
+++ b/programs/standin/src/main.rs
@@ -10,8 +10,8 @@
 use {cli::Command, kernel::daemon};
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
-    daemon::begin(log::LevelFilter::Info);
+    let arguments: cli::Arguments = daemon::parse_arguments();
+    daemon::init_telemetry(log::LevelFilter::Info);
     match arguments.command {
         Command::Platform(command) => platform::run(&command),
         Command::Store(command) => store::run(&command),
--- a/programs/standin/src/platform.rs
+++ b/programs/standin/src/platform.rs
@@ -37,7 +37,7 @@
         store: command.store,
         boxes: command.boxes,
     };
-    let platform = daemon::started(Platform::start(&deploy, addresses, 1));
+    let platform = daemon::started_or_exit(Platform::start(&deploy, addresses, 1));
     for item in entries {
         platform.registry.put(item);
     }
@@ -46,7 +46,7 @@
         platform.store.url(),
         platform.boxes.clone()
     );
-    daemon::wait();
+    daemon::wait_for_shutdown();
 }
 
 /// Reads an entry box; `None` when it is wrong.
--- a/programs/standin/src/store.rs
+++ b/programs/standin/src/store.rs
@@ -14,7 +14,7 @@
 /// Serves the store until the process is asked to stop.
 pub fn run(command: &cli::Store) {
     let core = Arc::new(Store::new(Rates::default(), Clock::real()));
-    let port = daemon::started(Port::open(command.listen, core));
+    let port = daemon::started_or_exit(Port::open(command.listen, core));
     println!("store {}", port.url());
-    daemon::wait();
+    daemon::wait_for_shutdown();
 }
--- a/programs/standin/src/worker.rs
+++ b/programs/standin/src/worker.rs
@@ -17,11 +17,11 @@
         command.memory_gb.saturating_mul(1000),
         command.accelerators,
     );
-    let port = daemon::started(farm.open(command.listen));
+    let port = daemon::started_or_exit(farm.open(command.listen));
     for number in 0..command.count {
         let name = format!("{}{number:03}", command.prefix);
         farm.add(&Arc::from(name.as_str()), size);
         println!("worker {}", port.url(&name));
     }
-    daemon::wait();
+    daemon::wait_for_shutdown();
 }
--- a/programs/table/src/cli.rs
+++ b/programs/table/src/cli.rs
@@ -50,7 +50,7 @@
     let listen = reader.address("listen", arguments.listen, "127.0.0.1:7003");
     let store = reader.url("store", arguments.store, None);
     let boxes = reader.url("boxes", arguments.boxes, None);
-    let common = daemon::common(&mut reader, arguments.log_level, arguments.token_file);
+    let common = daemon::read_common(&mut reader, arguments.log_level, arguments.token_file);
     reader.build(|| {
         let common = common?;
         let client = Client::new(None);
