--- a/components/cell/src/successor.rs
+++ b/components/cell/src/successor.rs
@@ -1,4 +1,5 @@
-//! Lives of workers that start again under the name that they had, see [`crate::incarnations`].
+//! Detection of restarted workers: which incarnation of a worker name is the latest, see
+//! [`crate::incarnations`].
 
 use {
     crate::{
@@ -9,17 +10,17 @@
 };
 
 impl Cell {
-    /// Takes a worker in that was not known. Returns its entry, with its generation.
+    /// Adds a worker that was not known. Returns its entry, with its generation.
     pub(crate) fn add_worker(&mut self, worker: Worker) -> Entry {
         let generation = self.generation(&worker.entry);
         self.add_with_generation(worker, generation)
     }
 
-    /// The same for one that a former owner knew. It shows no higher fence than a life that the listing has told of: either may
-    /// be the later one.
+    /// Adds a worker that a former owner knew. It gets the generation of the incarnation that the
+    /// listing contains, if there is one, since either may be the later one.
     pub(crate) fn add_restored_worker(&mut self, worker: Worker) -> Entry {
         let other = self.latest_incarnation(&worker.entry.name);
-        let other = other.map(|own| own.entry.generation);
+        let other = other.map(|worker| worker.entry.generation);
         let generation = self.generation(&worker.entry);
         self.add_with_generation(worker, other.unwrap_or(generation))
     }
@@ -32,7 +33,7 @@
         entry
     }
 
-    /// How many lives of its name were known before a life that is new here.
+    /// Returns how many incarnations of the name were known before a new one.
     fn generation(&mut self, entry: &Entry) -> u32 {
         if entry.started.is_none() {
             return 0;
@@ -42,77 +43,86 @@
         *count - 1
     }
 
-    /// All known lives of the worker of a name.
+    /// Returns all known incarnations of a worker name.
     fn incarnations_of(&self, name: &str) -> Vec<&Worker> {
-        let mut lives = Vec::new();
+        let mut incarnations = Vec::new();
         let from = (Bound::Included(name), Bound::Unbounded);
         for (id, worker) in self.workers.range::<str, _>(from) {
-            // The names of all of its lives begin with it.
+            // The ids of all incarnations start with the worker's name.
             if !id.starts_with(name) {
                 break;
             }
             if &*worker.entry.name == name {
-                lives.push(worker);
+                incarnations.push(worker);
             }
         }
-        lives
+        incarnations
     }
 
-    /// The latest known life of the worker of a name.
+    /// Returns the latest known incarnation of a worker name.
     pub(crate) fn latest_incarnation(&self, name: &str) -> Option<&Worker> {
-        let lives = self.incarnations_of(name).into_iter();
-        lives.max_by_key(|worker| worker.entry.order())
+        let incarnations = self.incarnations_of(name).into_iter();
+        incarnations.max_by_key(|worker| worker.entry.order())
     }
 
-    /// True when a later life of this worker is known.
-    fn is_followed(&self, entry: &Entry) -> bool {
+    /// True if a later incarnation of this worker is known.
+    fn has_successor(&self, entry: &Entry) -> bool {
         let latest = self.latest_incarnation(&entry.name);
         latest.is_some_and(|latest| entry.is_before(&latest.entry))
     }
 
-    /// True for an entry of a life that is not known where polls of another life of the worker go to its address: they tell who
-    /// is there, and the listing may be behind. Polled beside that one, a life that is over would show the fence of a later one.
+    /// True for an entry of an unknown incarnation if another incarnation of the worker is polled
+    /// at the same address: its polls show which incarnation runs there, while the listing may be
+    /// stale. If it were polled as well, an incarnation that has ended would present the fence of a
+    /// later one.
     pub(crate) fn is_polled_elsewhere(&self, entry: &Entry) -> bool {
-        let mut lives = self.incarnations_of(&entry.name).into_iter();
-        lives.any(|own| own.confirmed && !own.superseded && own.entry.address == entry.address)
+        let mut incarnations = self.incarnations_of(&entry.name).into_iter();
+        incarnations.any(|other| {
+            other.confirmed && !other.superseded && other.entry.address == entry.address
+        })
     }
 
-    /// True when what another owner may have told a worker is no news of this life of it: a later one is known, which
-    /// refuses what is meant for this one, or it is not known any more.
+    /// True if orders that another owner may have sent to this incarnation no longer matter: a
+    /// later incarnation is known, which refuses them, or the worker is not known any more.
     pub fn is_superseded(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
-        worker.is_none_or(|worker| self.is_followed(&worker.entry))
+        worker.is_none_or(|worker| self.has_successor(&worker.entry))
     }
 
-    /// Forgets lives of which only the listing told, and tells no longer: another writer may have made them up.
+    /// Removes incarnations that are known from the listing alone and have disappeared from it,
+    /// since another writer may have written them.
     pub(crate) fn drop_unconfirmed(&mut self, entry: &Entry, now: u64) {
-        let lives = self.incarnations_of(&entry.name).into_iter();
-        let unproven = lives.filter(|own| !own.confirmed && own.entry.id != entry.id);
-        let unproven: Vec<Arc<str>> = unproven.map(|own| own.entry.id.clone()).collect();
-        for id in unproven {
-            self.remove_worker(&id, "it is listed no longer and has never answered", now);
+        let incarnations = self.incarnations_of(&entry.name).into_iter();
+        let unconfirmed =
+            incarnations.filter(|other| !other.confirmed && other.entry.id != entry.id);
+        let unconfirmed: Vec<Arc<str>> = unconfirmed.map(|other| other.entry.id.clone()).collect();
+        for id in unconfirmed {
+            self.remove_worker(&id, "no longer listed and has never answered", now);
         }
     }
 
-    /// Takes in that a poll of one life of a worker, which was sent at a time, was answered by another one, which began then:
-    /// where that is the later one, it is polled from now on in place of the former. Returns it where it is new.
+    /// Handles an answer to a poll of one incarnation, sent at `sent`, from another incarnation
+    /// that started at `started`. If the latter is the later one, it is polled in place of the
+    /// former. Returns its entry if it is new.
     ///
-    /// Lives do not take turns, so it is later where the one that was asked had answered before, be it to a former owner. Of a
-    /// life that only the listing told of, the time of its beginning tells.
+    /// Incarnations do not alternate, so the answering one is later if the polled one had answered
+    /// before, be it to a former owner. For an incarnation that is known from the listing alone,
+    /// the start times decide.
     pub fn handle_successor(
         &mut self,
         id: &Arc<str>,
-        born: u64,
+        started: u64,
         sent: u64,
         now: u64,
     ) -> Option<Entry> {
         let former = self.workers.get(id)?;
-        let later = former.entry.restarted(born);
+        let later = former.entry.restarted(started);
         let is_later = match former.clock {
             Some(clock) => clock.at < sent,
             None => former.confirmed || former.entry.started < later.started,
         };
-        // What the former life has may only be given up once the later one has answered to a poll of its own.
+        // Tasks of the former incarnation may only be requeued once the later one has answered a
+        // poll of its own.
         self.poll_failed(id, now);
         if !is_later || self.ended_incarnations.contains(&later.id) {
             return None;
@@ -121,43 +131,46 @@
             self.supersede_known(id, &later.id, now);
             return None;
         }
-        log::warn!(target: "cell", worker = &*later.id, former = &**id, address = &*later.address; "A worker has started again under its name.");
+        log::warn!(target: "cell", worker = &*later.id, former = &**id, address = &*later.address; "Worker has restarted under the same name.");
         self.ambiguous.insert(later.name.clone());
         self.fleet_dirty = true;
         self.mark_superseded(id);
         let mut worker = Worker::new(later);
         worker.confirmed = true;
-        // What it has, its own entry must tell.
+        // Its capacity is unknown until its own entry is listed.
         worker.entry_invalid = true;
         Some(self.add_worker(worker))
     }
 
-    /// The later life is known. A new owner met both at once, and went by what a clock had told that had stepped back since,
-    /// where it takes them for the other way round.
+    /// Handles a later incarnation that is known already. A new owner may have learned of both at
+    /// once and ordered them by start times taken from a clock that was set back; then the order is
+    /// the other way round.
     fn supersede_known(&mut self, former: &Arc<str>, later: &str, now: u64) {
         let Some(later) = self.workers.get_mut(later) else {
             return;
         };
         later.confirmed = true;
-        let is_heard = later.clock.is_some();
+        let has_answered = later.clock.is_some();
         let later = later.entry.clone();
         let known = self.workers.get(former);
         if known.is_some_and(|known| known.entry.is_before(&later)) {
             self.mark_superseded(former);
-        } else if is_heard {
-            self.end_incarnation(former, "a later life answers", now);
+        } else if has_answered {
+            self.end_incarnation(former, "a later incarnation answers", now);
         }
     }
 
-    /// Notes that a life is polled no more, since a later one is.
+    /// Marks an incarnation as no longer polled, since a later one is.
     fn mark_superseded(&mut self, id: &Arc<str>) {
         if let Some(former) = self.workers.get_mut(id) {
             former.superseded = true;
         }
     }
 
-    /// True for a life that is known and is polled itself: no later one is in its place.
+    /// True for a known incarnation that is polled and not superseded by a later one.
     pub fn is_polled(&self, id: &str) -> bool {
-        self.workers.get(id).is_some_and(|own| !own.superseded)
+        self.workers
+            .get(id)
+            .is_some_and(|worker| !worker.superseded)
     }
 }
--- a/components/cell/src/summary.rs
+++ b/components/cell/src/summary.rs
@@ -1,13 +1,13 @@
-//! What a cell looks like at a moment, for logs and metrics.
+//! Aggregate figures of a cell for logs and metrics.
 
 use crate::{cell::Cell, slot::Slot};
 
-/// Sums over a cell. Processors are in thousandths of a core.
+/// Aggregate figures of a cell. CPU is in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Jobs that have not ended.
     pub jobs: usize,
-    /// Tasks that are placed.
+    /// Placed tasks.
     pub placed: usize,
     /// Workers.
     pub workers: usize,
@@ -17,30 +17,30 @@
     pub unserving: usize,
     /// Workers with serving tasks of more than one image.
     pub mixed: usize,
-    /// Filling tasks that are slowed down.
+    /// Throttled tasks.
     pub paced: usize,
-    /// Processors of serving tasks.
+    /// CPU of serving tasks.
     pub serving: u64,
-    /// Processors of other tasks that take room.
+    /// CPU reserved by other tasks.
     pub firm: u64,
-    /// Free processors for tasks that take room.
+    /// Free CPU for tasks that reserve it.
     pub free: u64,
-    /// The most that is free on one worker.
+    /// The most free CPU on one worker.
     pub largest: u64,
-    /// Processors that nobody is reckoned to use.
+    /// CPU that is expected to be idle.
     pub unused: u64,
-    /// Processors of ready tasks that take room.
+    /// CPU demand of ready tasks that reserve CPU.
     pub waiting: u64,
-    /// Processors of ready filling tasks.
+    /// CPU demand of ready best-effort tasks.
     pub filling: u64,
-    /// Suspected tasks that are being tried.
+    /// Trials of suspected tasks in progress.
     pub trials: usize,
-    /// For how long the oldest of these trials has gone on, in milliseconds: some seconds, or something is wrong.
+    /// The age of the oldest trial, in milliseconds. More than some seconds indicates a fault.
     pub trial_age: u64,
 }
 
 impl Cell {
-    /// Sums over the cell now.
+    /// Returns the current aggregate figures.
     pub fn summary(&self, now: u64) -> Summary {
         let (trials, trial_age) = self.trials(now);
         let mut summary = Summary {
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -1,10 +1,10 @@
-//! The first moments of a new owner: what the former one may have started, and goes on starting until
-//! the workers know the new fence.
+//! Takeover of a cell by a new owner: runs that the former owner may have started, or may still
+//! start until the workers know the new fence.
 //!
-//! The former owner may be alive: it stood still, the cell was claimed meanwhile, and it wakes up. It
-//! knows jobs that were accepted after the new owner had read them. So until each worker is under the
-//! new fence, no job is started anew; and until the jobs were read once more after that, runs and ends
-//! of jobs that are not known are left alone.
+//! The former owner may be alive: it was suspended, the cell was claimed meanwhile, and it resumes.
+//! It may know jobs that were accepted after the new owner had read them. So no jobs are started
+//! until each worker has accepted the new fence, and runs and ends of unknown jobs are left alone
+//! until the jobs have been read again after that.
 
 use {
     crate::{
@@ -20,71 +20,71 @@
     },
 };
 
-/// The workers that must answer, or whose leases must be over.
+/// Workers that must answer, or whose leases must expire, before the takeover is complete.
 #[derive(Debug)]
 pub(crate) struct Recovery {
-    /// Those that have not told all that they have.
+    /// Workers that have not reported all their runs.
     missing: HashSet<Arc<str>>,
-    /// Those that have not answered at all: they do not know the new fence.
+    /// Workers that have not answered at all and do not know the new fence.
     unfenced: HashSet<Arc<str>>,
-    until: u64,
+    deadline: u64,
 }
 
-/// A worker, and a run there.
-type Name = (Arc<str>, Id, Address);
+/// Worker, job and task address of a run.
+type RunName = (Arc<str>, Id, Address);
 
-/// Runs of jobs that are not known yet, by worker and name, with the moment at which they were listed.
+/// Runs of unknown jobs, with the times of the report that last listed them.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
-    runs: HashMap<Name, (Run, Times)>,
-    /// The jobs are being read once more.
-    asked: bool,
+    runs: HashMap<RunName, (Run, Times)>,
+    /// The jobs are being read again.
+    requested: bool,
 }
 
 impl Cell {
-    /// Holds the tasks of all jobs back until each worker has answered, or until any lease that the
-    /// former owner may have given is over.
+    /// Holds back the tasks of all jobs until each worker has answered, or until any lease granted
+    /// by the former owner has expired.
     pub fn recover(&mut self, now: u64) {
         let missing: HashSet<Arc<str>> = self.workers.keys().cloned().collect();
         self.recovery = Some(Recovery {
             unfenced: missing.clone(),
             missing,
-            until: now + timing::until_over(self.timing.lease),
+            deadline: now + timing::until_over(self.timing.lease),
         });
         self.pending = Some(Pending::default());
         self.update_recovery(now);
     }
 
-    /// Notes that a worker knows the new fence.
+    /// Records that a worker knows the new fence.
     pub(crate) fn mark_fenced(&mut self, id: &Arc<str>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.unfenced.remove(id);
         }
     }
 
-    /// Notes that a worker has told all that it has.
+    /// Records that a worker has reported all its runs.
     pub(crate) fn mark_reported(&mut self, id: &Arc<str>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.missing.remove(id);
         }
     }
 
-    /// Ends the recovery when nothing is missing any more.
+    /// Ends the recovery when no worker is missing, or when the leases of those have expired.
     pub(crate) fn update_recovery(&mut self, now: u64) {
         let Some(recovery) = &self.recovery else {
             return;
         };
-        if !recovery.missing.is_empty() && now < recovery.until {
+        if !recovery.missing.is_empty() && now < recovery.deadline {
             return;
         }
-        log::info!(target: "cell", unheard = recovery.missing.len(); "The takeover is complete.");
+        log::info!(target: "cell", unheard = recovery.missing.len(); "Takeover complete.");
         self.recovery = None;
         for job in self.jobs.values_mut() {
             job.unconfirmed = false;
         }
     }
 
-    /// True, once, when the jobs are to be read once more: the workers are under the new fence.
+    /// True, once, when the jobs must be read again since all workers have accepted the new fence.
     pub fn is_reread_due(&mut self) -> bool {
         let recovery = self.recovery.as_ref();
         if recovery.is_some_and(|recovery| !recovery.unfenced.is_empty()) {
@@ -93,78 +93,82 @@
         let Some(pending) = &mut self.pending else {
             return false;
         };
-        !std::mem::replace(&mut pending.asked, true)
+        !std::mem::replace(&mut pending.requested, true)
     }
 
-    /// Those of the jobs that are not known.
+    /// Returns the jobs that are unknown here.
     pub fn unknown_jobs(&self, ids: Vec<Id>) -> HashSet<Id> {
         ids.into_iter().filter(|id| !self.is_known(id)).collect()
     }
 
-    /// Takes in that all jobs which the former owner may have started are known: what runs of others is
-    /// to be stopped. Returns the workers that have ends left to be taken in.
+    /// Records that all jobs that the former owner may have started are known. Runs of other jobs
+    /// are stopped from then on. Returns the workers with deferred run ends.
     pub fn jobs_reread(&mut self) -> Vec<Arc<str>> {
         if let Some(pending) = self.pending.take() {
-            log::info!(target: "cell", pending = pending.runs.len(); "The jobs are read once more.");
+            log::info!(target: "cell", pending = pending.runs.len(); "Jobs read again after takeover.");
         }
-        let mut left = Vec::new();
+        let mut deferred = Vec::new();
         for (id, worker) in &mut self.workers {
             if std::mem::take(&mut worker.ends_deferred) {
-                left.push(id.clone());
+                deferred.push(id.clone());
             }
         }
-        left
+        deferred
     }
 
     fn is_known(&self, id: &Id) -> bool {
         self.jobs.contains_key(id) || self.ended_jobs.contains_key(id)
     }
 
-    /// True for a job that may still turn out to be one of the former owner's.
+    /// True for an unknown job that may still turn out to be one of the former owner.
     pub(crate) fn is_pending(&self, id: &Id) -> bool {
         self.pending.is_some() && !self.is_known(id)
     }
 
-    /// Takes in the ends that a worker lists. False when some are left for later: they are of jobs that
-    /// are not known yet, or come after such ends.
-    pub(crate) fn handle_ends(&mut self, id: &Arc<str>, ends: &[RunEnd], moment: Times) -> bool {
+    /// Processes the run ends that a worker lists. Returns false if some are deferred, since they
+    /// are of unknown jobs or come after such ends.
+    pub(crate) fn handle_ends(&mut self, id: &Arc<str>, ends: &[RunEnd], times: Times) -> bool {
         for end in ends {
             if self.is_pending(&end.job) {
-                log::info!(target: "cell", job = end.job.as_str(), worker = &**id, run = end.run, how:? = end.how; "A run of a job that is not known yet has ended.");
+                log::info!(target: "cell", job = end.job.as_str(), worker = &**id, run = end.run, how:? = end.how; "Run end of a job that is not known yet.");
                 return false;
             }
-            self.handle_end(id, end, moment);
+            self.handle_end(id, end, times);
         }
         true
     }
 
-    /// Notes a run of a job that is not known yet, as its worker last listed it.
-    pub(crate) fn note_pending(&mut self, id: &Arc<str>, run: &Run, moment: Times) {
+    /// Records a run of an unknown job as its worker last listed it.
+    pub(crate) fn note_pending(&mut self, id: &Arc<str>, run: &Run, times: Times) {
         let Some(pending) = &mut self.pending else {
             return;
         };
         let name = (id.clone(), run.job.clone(), run.address);
-        if pending.runs.insert(name, (run.clone(), moment)).is_none() {
-            log::info!(target: "cell", job = run.job.as_str(), worker = &**id, run = run.run; "A run of a job that is not known yet.");
+        if pending.runs.insert(name, (run.clone(), times)).is_none() {
+            log::info!(target: "cell", job = run.job.as_str(), worker = &**id, run = run.run; "Run of a job that is not known yet.");
         }
     }
 
-    /// Adopts the runs of a job that were found before it was known.
+    /// Adopts the runs of a job that were listed before the job was known.
     pub(crate) fn adopt_pending(&mut self, job: &Id) {
         let Some(pending) = &mut self.pending else {
             return;
         };
-        let of_job = pending.runs.extract_if(|(_, own, _), _| own == job);
+        let of_job = pending.runs.extract_if(|(_, id, _), _| id == job);
         let found: Vec<_> = of_job.collect();
-        for ((id, _, address), (run, moment)) in found {
-            // One that was forgotten and listed again meanwhile has said nothing since: its leases were over, and would
-            // never count as over where it says nothing again.
-            let is_heard = self.workers.get(&id).is_some_and(|own| own.clock.is_some());
-            if !is_heard {
+        for ((id, _, address), (run, times)) in found {
+            // A worker that was removed and listed again has not reported since then. Its leases
+            // had expired, and a lease adopted now would never expire if the worker stays
+            // unreachable.
+            let has_answered = self
+                .workers
+                .get(&id)
+                .is_some_and(|worker| worker.clock.is_some());
+            if !has_answered {
                 continue;
             }
-            if let Some(key) = self.key(&id, job, address) {
-                self.adopt(&id, key, &run, moment);
+            if let Some(key) = self.task_key(&id, job, address) {
+                self.adopt(&id, key, &run, times);
                 self.renew_loss(&id);
             }
         }
--- a/components/cell/src/throttle.rs
+++ b/components/cell/src/throttle.rs
@@ -1,10 +1,11 @@
-//! Slowing down filling tasks that disturb serving ones on the same worker.
+//! Throttling of best-effort tasks that slow down serving tasks on the same worker.
 //!
-//! The load of each serving job is foreseen, and what the filling tasks beside it add is known from
-//! their images: those that disturb get the pace at which the worker's serving tasks stay under
-//! their target. Figures are half a second old, rough, and foresight errs, so there is a second line: a
-//! serving task that stays over its target stops all filling tasks beside it, whatever was learned; they
-//! come back in steps. Stopping at a single figure near the target was tried and cost more than it saved.
+//! The load of each serving job is forecast, and what the best-effort tasks beside it add is known
+//! from their images. Harmful ones get the pace at which the worker's serving tasks stay within
+//! their latency target. Since figures are rough and half a second old, and forecasts can be wrong,
+//! there is a safeguard: a serving task that stays over its target pauses all best-effort tasks
+//! beside it, whatever the model says, and their pace is raised again in steps. Pausing at a single
+//! figure near the target costs more than it saves.
 
 use {
     crate::{
@@ -18,31 +19,32 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// From a change of pace until the figures show it: half a second of measurement, and the time
-/// for the order and the report, in milliseconds.
+/// The time until a change of pace shows in the figures, in milliseconds: half a second of
+/// measurement, plus the order and the report.
 const SETTLE: u64 = 650;
-/// Added to the pace of a task that was stopped for a serving one over its target, when the tails that it
-/// disturbs are low, in hundredths.
-const RAISE: u8 = 20;
-/// Tails under this share of their target are low, in hundredths.
-const LOW: u64 = 75;
-/// A serving task over its target for this long, in milliseconds, stops all filling tasks: a
+/// Percentage points by which the pace of a paused task is raised at a time while the serving tasks
+/// that it slows down have low tail latencies.
+const PACE_STEP: u8 = 20;
+/// Tail latencies below this percentage of their target are low.
+const LOW_TAIL: u64 = 75;
+/// A serving task over its target for this long, in milliseconds, pauses all best-effort tasks. A
 /// target may be missed for 4 s, and an order takes half a second to show.
-const STUBBORN: u64 = 1_000;
-/// The load up to which serving tasks are filled: a little below the load at the target, for what
-/// foresight errs by.
+const MAX_OVER_TARGET: u64 = 1_000;
+/// The load up to which best-effort tasks may load serving ones: slightly below the load at the
+/// target, as a margin for forecast errors.
 pub(crate) const LOAD_LIMIT: f64 = LOAD_AT_TARGET - 0.04;
-/// How far ahead the load is foreseen for a pace, in milliseconds: the next report, and the time
-/// for an order.
-const AHEAD: u64 = 700;
-/// Paces below this are not worth their memory, in hundredths.
-const LEAST: u8 = 15;
-/// Smaller changes of pace are not ordered, in hundredths.
-const CHANGE: u8 = 15;
+/// The forecast horizon for a pace, in milliseconds: until the next report, plus the time for an
+/// order.
+const HORIZON: u64 = 700;
+/// Paces below this percentage are not worth the memory of the task.
+const MIN_PACE: u8 = 15;
+/// Changes of pace by fewer percentage points are not ordered.
+const MIN_CHANGE: u8 = 15;
 
 impl Cell {
-    /// Learns from a worker's newest figures, and sets the pace of its filling tasks by them.
-    pub(crate) fn pace(&mut self, id: &Arc<str>, now: u64) {
+    /// Updates the interference model from a worker's latest figures, and sets the pace of its
+    /// best-effort tasks.
+    pub(crate) fn throttle(&mut self, id: &Arc<str>, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -67,13 +69,13 @@
     }
 }
 
-/// True when the worker has confirmed the run and was not told to stop it.
+/// True if the worker has confirmed the run and has not been told to stop it.
 fn is_running(slot: &Slot) -> bool {
     matches!(slot.stage, Stage::Running { .. }) && slot.stopping.is_none()
 }
 
-/// Takes the figures of serving tasks as readings of their job's load, and of what the filling
-/// tasks beside them add.
+/// Updates the model with the load of each serving job on the worker, as derived from its figures,
+/// and the CPU shares of the best-effort tasks beside it.
 fn learn(known: &mut Disturbance, levels: &mut Levels, worker: &Worker, now: u64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let mut shares: Vec<(Image, f64)> = Vec::new();
@@ -100,7 +102,7 @@
     }
 }
 
-/// The worst tail of each serving image on a worker, in hundredths of its target.
+/// Returns the worst tail latency of each serving image on a worker, as a percentage of its target.
 fn tails(worker: &Worker) -> BTreeMap<Image, u64> {
     let mut tails = BTreeMap::new();
     for slot in worker.slots.values() {
@@ -113,12 +115,12 @@
     tails
 }
 
-/// For each serving image on a worker, the pace in hundredths that keeps it under its target when
-/// all filling tasks that disturb it have it.
+/// Returns for each serving image on a worker the pace, as a percentage, that keeps it within its
+/// target if all best-effort tasks that slow it down run at that pace.
 fn limits(known: &Disturbance, levels: &Levels, worker: &Worker, now: u64) -> Vec<(Image, f64)> {
     let mut loads: BTreeMap<Image, f64> = BTreeMap::new();
     for key in worker.serving_jobs.keys() {
-        let (near, _) = levels.foresee(key, now, AHEAD);
+        let (near, _) = levels.foresee(key, now, HORIZON);
         let load = loads.entry(key.1).or_default();
         *load = load.max(near);
     }
@@ -136,29 +138,37 @@
     limits
 }
 
-/// What the serving tasks of a worker set bounds to the paces of filling ones by.
+/// What limits the pace of best-effort tasks on a worker.
 struct Bounds {
-    /// The worst tail of each serving image, in hundredths of its target.
+    /// The worst tail latency of each serving image, as a percentage of its target.
     tails: BTreeMap<Image, u64>,
-    /// Some serving task has been over its target for long: all filling tasks stop.
-    is_stubborn: bool,
-    /// For each serving image, the pace in hundredths up to which it is not disturbed too much.
+    /// A serving task has been over its target for too long: all best-effort tasks are paused.
+    is_over: bool,
+    /// For each serving image, the highest acceptable pace of best-effort tasks that slow it down,
+    /// as a percentage.
     limits: Vec<(Image, f64)>,
 }
 
 impl Bounds {
-    /// The worst tail that a filling image disturbs, and the pace that it may have.
+    /// Returns the worst tail latency among the serving images that a best-effort image slows down,
+    /// and the pace that these allow.
     fn of(&self, known: &Disturbance, filling: Image) -> (u64, u8) {
-        let harms = |serving: Image| known.weight(serving, filling) >= HARMFUL;
-        let harmed = self.tails.iter().filter(|(serving, _)| harms(**serving));
+        let is_harmed = |serving: Image| known.weight(serving, filling) >= HARMFUL;
+        let harmed = self
+            .tails
+            .iter()
+            .filter(|(serving, _)| is_harmed(**serving));
         let worst = harmed.map(|(_, &tail)| tail).max().unwrap_or_default();
-        let limits = self.limits.iter().filter(|(serving, _)| harms(*serving));
+        let limits = self
+            .limits
+            .iter()
+            .filter(|(serving, _)| is_harmed(*serving));
         let limit = limits.map(|&(_, limit)| limit).fold(100.0, f64::min);
         (worst, limit as u8)
     }
 }
 
-/// Sets the pace of each filling task. Returns the changes to order.
+/// Sets the pace of each best-effort task. Returns the changes to order.
 fn set_paces(
     known: &Disturbance,
     levels: &Levels,
@@ -166,15 +176,15 @@
     now: u64,
 ) -> Vec<(TaskKey, u64, u8)> {
     let tails = tails(worker);
-    note_over(worker, &tails, now);
+    update_over_target(worker, &tails, now);
     if worker.filling_cpu == 0 {
         return Vec::new();
     }
     let bounds = Bounds {
         tails,
-        is_stubborn: worker
+        is_over: worker
             .over_target_since
-            .is_some_and(|since| now >= since + STUBBORN),
+            .is_some_and(|since| now >= since + MAX_OVER_TARGET),
         limits: limits(known, levels, worker, now),
     };
     let mut changes = Vec::new();
@@ -183,10 +193,10 @@
             continue;
         }
         let (worst, limit) = bounds.of(known, slot.image);
-        let Some(percent) = next_pace(slot, bounds.is_stubborn, worst, limit, now) else {
+        let Some(percent) = next_pace(slot, bounds.is_over, worst, limit, now) else {
             continue;
         };
-        log::debug!(target: "cell", worker = &*worker.entry.id, job = key.job.as_str(), place = key.place, worst, limit, from = slot.percent, to = percent; "A filling task changes its pace.");
+        log::debug!(target: "cell", worker = &*worker.entry.id, job = key.job.as_str(), place = key.place, worst, limit, from = slot.percent, to = percent; "Pace of a best-effort task changed.");
         slot.percent = percent;
         slot.pace_set_at = now;
         changes.push((key.clone(), slot.run, percent));
@@ -194,45 +204,47 @@
     changes
 }
 
-/// Notes since when some serving task has been over its target.
-fn note_over(worker: &mut Worker, tails: &BTreeMap<Image, u64>, now: u64) {
-    let is_over = tails.values().any(|&tail| tail > 100);
-    if !is_over {
+/// Updates since when a serving task has been over its target.
+fn update_over_target(worker: &mut Worker, tails: &BTreeMap<Image, u64>, now: u64) {
+    let is_any_over = tails.values().any(|&tail| tail > 100);
+    if !is_any_over {
         worker.over_target_since = None;
     } else if worker.over_target_since.is_none() {
         worker.over_target_since = Some(now);
     }
 }
 
-/// The pace of a filling task, by whether a serving neighbour has been over its target for long, by the
-/// worst tail that it disturbs and by the pace up to which its neighbours are foreseen to stay under their
-/// target; `None` when it stays.
-fn next_pace(slot: &mut Slot, is_stubborn: bool, worst: u64, limit: u8, now: u64) -> Option<u8> {
-    let limit = if limit < LEAST { 0 } else { limit };
+/// Returns the new pace of a best-effort task, or `None` if it is unchanged. `is_over` tells
+/// whether a serving task beside it has been over its target for too long, `worst` is the worst
+/// tail latency that it affects, and `limit` is the pace at which the serving tasks beside it are
+/// forecast to stay within their target.
+fn next_pace(slot: &mut Slot, is_over: bool, worst: u64, limit: u8, now: u64) -> Option<u8> {
+    let limit = if limit < MIN_PACE { 0 } else { limit };
     let mut pace = limit;
-    if is_stubborn {
+    if is_over {
         slot.tripped = true;
         pace = 0;
     } else if slot.tripped && slot.percent != UNKNOWN_PACE {
-        let may_rise = worst < LOW && now >= slot.pace_set_at + SETTLE;
+        let may_rise = worst < LOW_TAIL && now >= slot.pace_set_at + SETTLE;
         pace = if may_rise {
-            (slot.percent + RAISE).min(limit)
+            (slot.percent + PACE_STEP).min(limit)
         } else {
             slot.percent.min(limit)
         };
         slot.tripped = pace < limit;
     }
-    note_slow(slot, pace, now);
+    update_slow(slot, pace, now);
     if slot.percent == UNKNOWN_PACE {
         return Some(pace);
     }
-    let is_end = pace == 0 || pace == 100;
-    let is_worth = pace.abs_diff(slot.percent) >= CHANGE || (is_end && pace != slot.percent);
-    is_worth.then_some(pace)
+    let is_extreme = pace == 0 || pace == 100;
+    let is_worthwhile =
+        pace.abs_diff(slot.percent) >= MIN_CHANGE || (is_extreme && pace != slot.percent);
+    is_worthwhile.then_some(pace)
 }
 
-/// Notes since when a filling task has worked at less than half its speed.
-fn note_slow(slot: &mut Slot, pace: u8, now: u64) {
+/// Updates since when a best-effort task has been running at less than half its speed.
+fn update_slow(slot: &mut Slot, pace: u8, now: u64) {
     if pace >= 50 {
         slot.slow_since = None;
     } else if slot.slow_since.is_none() {
--- a/components/cell/src/worker.rs
+++ b/components/cell/src/worker.rs
@@ -1,4 +1,5 @@
-//! One worker as the owner of its cell sees it.
+//! A worker as seen by the owner of its cell: listing entry, liveness, leases, reserved capacity
+//! and quarantine.
 
 use {
     crate::{disturb::Image, serving_load::ServingLoad, slot::Slot, timing},
@@ -10,83 +11,88 @@
     },
 };
 
-/// A worker as it is listed.
+/// A worker's entry in the listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// The name of this life of the worker, see [`Entry::incarnation_id`].
+    /// The id of this incarnation of the worker, see [`Entry::incarnation_id`].
     pub id: Arc<str>,
-    /// The name of the worker, which its next life may have as well.
+    /// The worker's name, which stays the same when it restarts.
     pub name: Arc<str>,
-    /// When this life began, in milliseconds since 1970; `None` where that is not told.
+    /// When this incarnation started, in Unix milliseconds; `None` if the worker does not report
+    /// it.
     pub started: Option<u64>,
-    /// How many lives of its name the owner of the cell had known before this one. Whoever talks to the worker shows it with
-    /// the owner's fence, so that a life refuses what was meant for an earlier one and comes late.
+    /// The number of incarnations of this name that the owner of the cell knew before this one. It
+    /// is sent to the worker with the owner's fence, so that an incarnation refuses delayed orders
+    /// for an earlier one.
     pub generation: u32,
-    /// The pool that it belongs to.
+    /// The worker's pool.
     pub pool: Arc<str>,
-    /// Its address and port.
+    /// Address and port.
     pub address: Arc<str>,
-    /// Its data hall.
+    /// The data hall.
     pub hall: Arc<str>,
-    /// What it has.
+    /// Total capacity.
     pub size: Size,
-    /// Its kind of hardware and its rack.
+    /// Kind of hardware and rack.
     pub labels: Vec<Arc<str>>,
-    /// It takes no new work and will go.
+    /// The worker accepts no new work and will shut down.
     pub leaving: bool,
-    /// The least time that it stays while it is leaving, in milliseconds.
+    /// The minimum time until a leaving worker shuts down, in milliseconds.
     pub remaining: Option<u64>,
 }
 
 impl Entry {
-    /// The name of the life of a worker that began then.
-    pub fn incarnation_id(name: &str, born: Option<u64>) -> Arc<str> {
-        match born {
-            Some(born) => format!("{name}#{born}").into(),
+    /// Returns the id of the incarnation of a worker that started at this time.
+    pub fn incarnation_id(name: &str, started: Option<u64>) -> Arc<str> {
+        match started {
+            Some(started) => format!("{name}#{started}").into(),
             None => name.into(),
         }
     }
 
-    /// The entry of a later life of the same worker, of which only the beginning is known.
-    pub(crate) fn restarted(&self, born: u64) -> Self {
+    /// Returns an entry for a later incarnation of the same worker, of which only the start time is
+    /// known.
+    pub(crate) fn restarted(&self, started: u64) -> Self {
         Entry {
-            id: Entry::incarnation_id(&self.name, Some(born)),
-            started: Some(born),
+            id: Entry::incarnation_id(&self.name, Some(started)),
+            started: Some(started),
             leaving: false,
             remaining: None,
             ..self.clone()
         }
     }
 
-    /// True for an earlier life of the same worker. The owner has known lives in the order in which they are; only where it
-    /// met two at once, as a new owner may, the times of their beginnings tell, which the worker's clock need not keep to.
+    /// True if this is an earlier incarnation of the same worker. The owner usually learns of
+    /// incarnations in the order in which they started. Only if it learns of two at once, as a new
+    /// owner may, their start times decide; these come from the worker's clock, which may have been
+    /// set back.
     pub fn is_before(&self, other: &Entry) -> bool {
         self.name == other.name && self.order() < other.order()
     }
 
-    /// What orders the lives of a worker, the earliest first.
+    /// Returns the sort key of the incarnations of a worker, the earliest first.
     pub(crate) fn order(&self) -> (u32, Option<u64>) {
         (self.generation, self.started)
     }
 
-    /// True when it bears the label.
+    /// True if the worker has the label.
     pub fn has_label(&self, label: &str) -> bool {
-        self.labels.iter().any(|own| &**own == label)
+        self.labels.iter().any(|other| &**other == label)
     }
 
-    /// Its rack: the last of its labels.
+    /// Returns the rack, which is the last label.
     pub fn rack(&self) -> &str {
         self.labels.last().map_or("", |label| label)
     }
 }
 
-/// All workers as they list themselves.
+/// The listing of all workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Those whose entry can be read.
+    /// Valid entries.
     pub entries: Vec<Entry>,
-    /// The names of workers whose entries cannot be read, or say what no worker says: they are no workers to use, but one
-    /// that is known is not gone by that.
+    /// Names of workers whose entries cannot be decoded or have invalid values. No work is placed
+    /// there, but a known worker does not count as removed.
     pub unreadable: Vec<Arc<str>>,
 }
 
@@ -99,113 +105,113 @@
     }
 }
 
-/// A task: its job and its place among the job's tasks.
+/// A task, identified by its job and its place in the job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskKey {
     /// The job.
     pub job: Id,
-    /// The place.
+    /// The index of the task within the job.
     pub place: usize,
 }
 
 /// A reading of a worker's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// What it showed.
+    /// The value of the worker's clock.
     pub shown: u64,
     /// When the reading arrived, on our clock.
     pub at: u64,
 }
 
-/// Ends of tasks in a row that failed, from which a worker is taken for faulty. Tasks fail by
-/// themselves one time in twenty or fewer, so that this is one time in 400 by chance.
+/// The number of consecutive failed runs from which a worker counts as faulty. One task in twenty
+/// or fewer fails by itself, so two in a row happen by chance once in 400.
 const FAULTY_AFTER: u32 = 2;
-/// How long a faulty worker gets no work, in milliseconds; the sheets name faults of 4 to 8 s.
-const FAULTY_FOR: u64 = 3_000;
-/// How long a lasting task has run on a faulty worker when the next one that has waited for long may go there, in
-/// milliseconds: three reports of a worker with serving tasks.
-const PROBED_FOR: u64 = 1_000;
-/// How long a worker gets no work after it refused or did not answer, in milliseconds.
-const AVOID_FOR: u64 = 500;
-/// The share of a serving task's processors that it is reckoned to use, in hundredths: its load
-/// swings around 45.
-const SERVING_USE: u64 = 48;
-
-/// One worker.
+/// How long a faulty worker is quarantined, in milliseconds. Faults are specified to last 4 to 8 s.
+const QUARANTINE: u64 = 3_000;
+/// How long an overdue long-running task must have run on a faulty worker before the next one may
+/// go there, in milliseconds. This is three reports of a worker with serving tasks.
+const OVERDUE_PROBE: u64 = 1_000;
+/// How long a worker gets no work after it refused an order or did not answer, in milliseconds.
+const BACKOFF: u64 = 500;
+/// The assumed CPU use of a serving task, as a percentage of its reservation: its load varies
+/// around 45%.
+const SERVING_CPU_USE: u64 = 48;
+
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// As listed.
+    /// The listing entry.
     pub entry: Entry,
-    /// True while the listing has an entry under its name.
+    /// The listing has an entry under this worker's name.
     pub listed: bool,
-    /// That entry cannot be read, or is that of another life: it gets no work.
+    /// That entry cannot be decoded or belongs to another incarnation. The worker gets no work.
     pub entry_invalid: bool,
-    /// Not the listing alone tells of this life: it has answered, or a former owner knew it.
+    /// The incarnation is known from more than the listing: it has answered, or a former owner knew
+    /// it.
     pub confirmed: bool,
-    /// A later life has answered in its place, and is polled instead.
+    /// A later incarnation has answered in its place and is polled instead.
     pub superseded: bool,
-    /// The record of the fleet names it: a new owner would ask it.
+    /// The persisted record of workers contains it, so that a new owner would poll it.
     pub recorded: bool,
-    /// When the listing lost it, on our clock.
+    /// Since when the listing has had no entry for it, on our clock.
     pub unlisted_since: Option<u64>,
-    /// Whoever talks to it has as much to tell as it can: it gets no work for now.
+    /// The connection to it is saturated. The worker gets no work for now.
     pub backpressured: bool,
-    /// It is emptied for the upkeep of its machine.
+    /// It is being drained for maintenance of its machine.
     pub draining: bool,
-    /// True once it answered under this owner's fence.
+    /// It has answered under this owner's fence.
     pub fenced: bool,
     /// The last poll was answered.
     pub poll_answered: bool,
-    /// When the answer to the poll on its way is overdue; `None` while there is none.
+    /// When the answer to the open poll is overdue; `None` if no poll is open.
     pub answer_due: Option<u64>,
-    /// Since when it has not been reached.
+    /// Since when it has been unreachable.
     pub unreachable_since: Option<u64>,
     /// The last reading of its clock.
     pub clock: Option<Clock>,
-    /// The highest deadline that it was sent, on its clock.
+    /// The highest deadline of a lease or start that it was sent, on its clock.
     pub max_deadline: u64,
-    /// The highest number of an end that was taken in.
+    /// The highest number of a run end that was processed.
     pub ends_read: u64,
-    /// The highest number of an end that is written down.
+    /// The highest number of a run end that is persisted.
     pub ends_written: u64,
-    /// The ends between the two, and their jobs.
+    /// The numbers of the ends between the two, with their jobs.
     pub unwritten_ends: VecDeque<(u64, Id)>,
-    /// It listed ends that are left for later, see [`crate::Cell::jobs_reread`].
+    /// It has listed ends whose processing is deferred, see [`crate::Cell::jobs_reread`].
     pub ends_deferred: bool,
-    /// What it holds.
+    /// The slots of its tasks.
     pub slots: HashMap<TaskKey, Slot>,
-    /// The sum of what its slots take; processors of filling tasks are left out.
+    /// The sum of all reservations, without the CPU of best-effort tasks.
     pub reserved: Size,
-    /// Processors of filling tasks.
+    /// CPU of best-effort tasks.
     pub filling_cpu: u64,
-    /// Processors of serving tasks, which are part of `firm`.
+    /// CPU of serving tasks, which is part of `reserved`.
     pub serving_cpu: u64,
-    /// Processors of filling tasks, by image.
+    /// CPU of best-effort tasks, by image.
     pub filling_images: BTreeMap<Image, u64>,
     /// The number of serving tasks, by image.
     pub serving_images: BTreeMap<Image, u32>,
     /// The number of serving tasks, by job and image.
     pub serving_jobs: BTreeMap<(Id, Image), u32>,
-    /// How loaded its serving tasks are, by image.
+    /// The load of its serving tasks, by image.
     pub serving_load: Vec<ServingLoad>,
-    /// Something has changed since the last pass that may make room.
+    /// Something has changed since the last pass that may have freed capacity.
     pub changed: bool,
-    /// No work before this time, on our clock, since it refused or did not answer.
+    /// It gets no work before this time, on our clock, since it refused an order or did not answer.
     pub backoff_until: u64,
-    /// No work before this time, on our clock, since its runs failed.
+    /// It gets no work before this time, on our clock, since its runs failed.
     pub quarantined_until: u64,
-    /// Ends in a row that failed.
+    /// Consecutive failed runs.
     pub failures: u32,
-    /// When the last of them came, on our clock.
+    /// When the last of them was reported, on our clock.
     pub last_failure: u64,
-    /// The task that a faulty worker is tried with.
+    /// The task that a faulty worker is probed with.
     pub probe: Option<TaskKey>,
-    /// Since when some serving task has been over its target without a break.
+    /// Since when at least one serving task has continuously been over its latency target.
     pub over_target_since: Option<u64>,
 }
 
 impl Worker {
-    /// A worker that was just listed.
+    /// Returns the state of a worker that was just listed.
     pub fn new(entry: Entry) -> Self {
         Worker {
             entry,
@@ -245,13 +251,13 @@
         }
     }
 
-    /// True when ends were taken in that are not written down yet.
+    /// True if run ends were processed that are not persisted yet.
     pub fn has_unwritten_ends(&self) -> bool {
         self.ends_read > self.ends_written
     }
 
-    /// How long a poll is held when it has nothing to report, in milliseconds: less when its next
-    /// report is wanted soon.
+    /// How long the worker may delay the answer to a poll if there is nothing to report, in
+    /// milliseconds. The wait is shorter if its next report is needed soon.
     pub fn poll_wait(&self) -> u64 {
         let mut wait = timing::POLL_WAIT;
         if self.serving_cpu > 0 {
@@ -268,94 +274,100 @@
         wait
     }
 
-    /// Its clock now, as reckoned from the last reading.
+    /// Its current clock, extrapolated from the last reading.
     pub fn clock_at(&self, now: u64) -> Option<u64> {
         self.clock
             .map(|clock| clock.shown + now.saturating_sub(clock.at))
     }
 
-    /// When all leases that it was granted are over, on our clock.
+    /// When all leases granted to it have expired, on our clock.
     pub fn leases_end(&self) -> Option<u64> {
         let clock = self.clock?;
         let length = self.max_deadline.saturating_sub(clock.shown);
         Some(clock.at + timing::until_over(length))
     }
 
-    /// True when the last poll that is over had no answer: the worker is not to be reached.
+    /// True if the last completed poll was not answered.
     pub const fn is_unreachable(&self) -> bool {
         self.unreachable_since.is_some()
     }
 
-    /// True when it may be given work: not before a new owner would know of it, whose listing may lack it for a while; and
-    /// not while it cannot be reached, since each start puts off the moment at which all its leases are over. Where five
-    /// short tasks came a second, a lasting one on a worker that was cut off ran again after 17.8 s, and does within 6 s.
+    /// True if the worker may be given work. It may not before it is in the persisted record: the
+    /// listing may lack it for a while, and a new owner would not know of it. It may not while it
+    /// is unreachable either, since each start postpones the time at which all its leases have
+    /// expired: with five short tasks a second, a long-running task on a partitioned worker was
+    /// restarted after 17.8 s instead of within 6 s.
     pub fn is_schedulable(&self, now: u64) -> bool {
         let is_known = self.fenced && self.listed && self.recorded && !self.entry_invalid;
         let is_usable = is_known && !self.is_unreachable() && !self.entry.leaving && !self.draining;
         is_usable && now >= self.backoff_until && now >= self.quarantined_until
     }
 
-    /// True when it may be given work but for the failures that it was set aside for.
+    /// True if failed runs are all that keeps it from being given work.
     pub fn is_quarantined(&self) -> bool {
         self.is_faulty() && self.is_schedulable(u64::MAX)
     }
 
-    /// True when it may be given a task that has failed so often. A worker whose last run failed
-    /// just now gets none that has failed before, since attempts are few. A faulty one gets one
-    /// task to try it with, and the next one once that has run for as long as a faulty one gets none: a batch task may
-    /// run for hours, for which the worker would stand still.
+    /// True if the worker may be given a task that has failed this often. A worker whose last run
+    /// has just failed gets no task that has failed before, since attempts are limited. A faulty
+    /// worker gets one task as a probe, and the next one as soon as the probe has run for the
+    /// length of a quarantine: a batch task may run for hours, and the worker would be idle that
+    /// long.
     pub fn is_trusted(&self, failures: u32, now: u64) -> bool {
-        if self.failures > 0 && failures > 0 && now < self.last_failure + FAULTY_FOR {
+        if self.failures > 0 && failures > 0 && now < self.last_failure + QUARANTINE {
             return false;
         }
-        !self.is_faulty() || self.has_probe_run(FAULTY_FOR)
+        !self.is_faulty() || self.has_probe_run(QUARANTINE)
     }
 
-    /// True when it may be given a lasting task that has waited for long, which may fail as often as it likes: a faulty one
-    /// gets the next soon. With 3 s between two, 26 cores stood open for that long beside lasting tasks that waited.
+    /// True if the worker may be given an overdue long-running task, which may fail any number of
+    /// times. A faulty worker gets the next one after a shorter time: with 3 s between two, 26
+    /// cores were left free that long while long-running tasks were waiting.
     pub fn accepts_overdue(&self) -> bool {
-        !self.is_faulty() || self.has_probe_run(PROBED_FOR)
+        !self.is_faulty() || self.has_probe_run(OVERDUE_PROBE)
     }
 
-    /// True unless it is being tried with a task that has not run for so long, in milliseconds. It goes by the last report:
-    /// the one that shows it clears the worker where the probe lasts, and comes first.
+    /// True unless a probe is running that has not run for this long, in milliseconds, as of the
+    /// last report. That report also ends the quarantine if the probe is long-running, and is
+    /// processed first.
     fn has_probe_run(&self, time: u64) -> bool {
-        let probing = self.probe.as_ref().and_then(|key| self.slots.get(key));
-        let heard = self.clock.map_or(0, |clock| clock.at);
-        probing.is_none_or(|slot| slot.has_run(time, heard))
+        let probe = self.probe.as_ref().and_then(|key| self.slots.get(key));
+        let reported = self.clock.map_or(0, |clock| clock.at);
+        probe.is_none_or(|slot| slot.has_run(time, reported))
     }
 
-    /// True when it is faulty and has run a task that it was tried with for as long as a faulty one gets none.
+    /// True if the worker is faulty and has run this task, started after its last failure, for the
+    /// length of a quarantine.
     pub fn passed_probe(&self, key: &TaskKey, now: u64) -> bool {
         let is_probe = |slot: &&Slot| slot.began_after(self.last_failure);
         let slot = self.slots.get(key).filter(is_probe);
-        self.is_faulty() && slot.is_some_and(|slot| slot.has_run(FAULTY_FOR, now))
+        self.is_faulty() && slot.is_some_and(|slot| slot.has_run(QUARANTINE, now))
     }
 
-    /// True after several runs in a row that failed.
+    /// True after several consecutive failed runs.
     pub fn is_faulty(&self) -> bool {
         self.failures >= FAULTY_AFTER
     }
 
-    /// The key under which it holds a task of a job that is not known any more.
+    /// Returns the key under which it holds a task of a job that is no longer known.
     pub fn key_of(&self, job: &Id, address: Address) -> Option<TaskKey> {
-        let is_it = |(key, slot): &(&TaskKey, &Slot)| key.job == *job && slot.address == address;
-        self.slots.iter().find(is_it).map(|(key, _)| key.clone())
+        let is_match = |(key, slot): &(&TaskKey, &Slot)| key.job == *job && slot.address == address;
+        self.slots.iter().find(is_match).map(|(key, _)| key.clone())
     }
 
-    /// What is free for tasks that take room.
+    /// The capacity that is free for reservations.
     pub fn free(&self) -> Size {
         self.entry.size.minus(self.reserved)
     }
 
-    /// Processors that nobody is reckoned to use.
+    /// CPU that is expected to be idle.
     pub fn idle_cpu(&self) -> u64 {
-        let others = self.reserved.cpu - self.serving_cpu;
-        let used = others + self.serving_cpu * SERVING_USE / 100 + self.filling_cpu;
+        let non_serving = self.reserved.cpu - self.serving_cpu;
+        let used = non_serving + self.serving_cpu * SERVING_CPU_USE / 100 + self.filling_cpu;
         self.entry.size.cpu.saturating_sub(used)
     }
 
-    /// Puts a slot in.
+    /// Adds the slot of a task.
     pub fn add_slot(&mut self, key: TaskKey, slot: Slot) {
         self.remove_slot(&key);
         let (cpu, firm) = (slot.size.cpu, slot.reserved());
@@ -373,7 +385,7 @@
         self.slots.insert(key, slot);
     }
 
-    /// Takes a slot out.
+    /// Removes the slot of a task.
     pub fn remove_slot(&mut self, key: &TaskKey) -> Option<Slot> {
         let slot = self.slots.remove(key)?;
         self.changed = true;
@@ -391,9 +403,10 @@
         Some(slot)
     }
 
-    /// Notes how a run ended, and sets the worker aside when one run after the other fails. One that ends well takes that
-    /// back, with the time for which nothing was to go there: 36 cores stood open for 2.1 s beside lasting tasks that
-    /// waited, which may go to workers that are set aside and not to ones that were.
+    /// Records the result of a run. Consecutive failures quarantine the worker. A success ends the
+    /// quarantine at once: 36 cores were left free for 2.1 s while overdue long-running tasks were
+    /// waiting, since these may go to quarantined workers, but not to ones that were quarantined
+    /// and have recovered.
     pub fn record_result(&mut self, failed: bool, now: u64) {
         if !failed {
             self.failures = 0;
@@ -403,18 +416,18 @@
         self.failures += 1;
         self.last_failure = now;
         if self.is_faulty() {
-            self.quarantined_until = now + FAULTY_FOR;
-            log::warn!(target: "cell", worker = &*self.entry.id, failures = self.failures; "A worker fails its tasks and is set aside.");
+            self.quarantined_until = now + QUARANTINE;
+            log::warn!(target: "cell", worker = &*self.entry.id, failures = self.failures; "Worker quarantined after consecutive failed runs.");
         }
     }
 
-    /// Gives it no work for a moment.
+    /// Gives the worker no work for a short time.
     pub fn back_off(&mut self, now: u64) {
-        self.backoff_until = self.backoff_until.max(now + AVOID_FOR);
+        self.backoff_until = self.backoff_until.max(now + BACKOFF);
     }
 }
 
-/// Takes an amount off an entry, and the entry out when nothing is left.
+/// Subtracts an amount from an entry, and removes the entry if nothing is left.
 fn subtract<K, T>(entries: &mut BTreeMap<K, T>, key: K, amount: T)
 where
     K: Ord,
--- a/components/cell/src/write_queue.rs
+++ b/components/cell/src/write_queue.rs
@@ -1,14 +1,14 @@
-//! A queue of jobs in which each job stands once.
+//! A FIFO queue of jobs to be written, which holds each job at most once.
 
 use {
     job::Id,
     std::collections::{HashSet, VecDeque},
 };
 
-/// Jobs in the order in which they came, each once; some go before all others.
+/// A queue without duplicates, with a lane for urgent jobs.
 #[derive(Debug, Default)]
 pub(crate) struct WriteQueue {
-    first: VecDeque<Id>,
+    urgent: VecDeque<Id>,
     order: VecDeque<Id>,
     all: HashSet<Id>,
 }
@@ -20,23 +20,23 @@
         }
     }
 
-    /// Puts a job behind those that go first, and before all others.
+    /// Queues a job behind other urgent jobs and before all others.
     pub fn insert_first(&mut self, id: Id) {
         if !self.all.insert(id.clone()) {
             self.order.retain(|other| *other != id);
         }
-        if !self.first.contains(&id) {
-            self.first.push_back(id);
+        if !self.urgent.contains(&id) {
+            self.urgent.push_back(id);
         }
     }
 
-    /// The job whose turn it is.
+    /// Returns the next job.
     pub fn peek(&self) -> Option<&Id> {
-        self.first.front().or(self.order.front())
+        self.urgent.front().or(self.order.front())
     }
 
     pub fn pop(&mut self) -> Option<Id> {
-        let id = self.first.pop_front().or_else(|| self.order.pop_front())?;
+        let id = self.urgent.pop_front().or_else(|| self.order.pop_front())?;
         self.all.remove(&id);
         Some(id)
     }
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -105,7 +105,9 @@
 #[test]
 fn new_worker_in_shut_hall_gets_nothing() {
     let mut world = world();
-    world.cell.set_closed_halls(names(&["h1", "h2", "h3", "h4"]));
+    world
+        .cell
+        .set_closed_halls(names(&["h1", "h2", "h3", "h4"]));
     world.list(vec![entry_in("w5", "h4")]);
     world.report("w5", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
