--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -4,7 +4,8 @@
     crate::{
         advice::{AdviceQuery, StepAdvice},
         crashes,
-        disturb::{Disturbance, level::Levels},
+        interference::Interference,
+        interference::forecast::Forecasts,
         maintenance,
         order::Order,
         place::Unplaceable,
@@ -141,9 +142,9 @@
     /// Runs of jobs that are not known yet, from a takeover until the jobs have been read again.
     pub(crate) pending: Option<Pending>,
     /// Which best-effort images slow down which serving images.
-    pub(crate) disturbance: Disturbance,
+    pub(crate) interference: Interference,
     /// The load of serving jobs.
-    pub(crate) levels: Levels,
+    pub(crate) forecasts: Forecasts,
     /// More best-effort work is waiting than running.
     pub(crate) backlogged: bool,
     /// Demands for which a scan of all workers found no capacity.
@@ -169,7 +170,7 @@
     /// Leases may not be extended: another owner may already count them as expired.
     pub(crate) leases_frozen: bool,
     /// Tasks suspected of crashing their workers, and workers that were lost.
-    pub(crate) crashes: crashes::State,
+    pub(crate) crashes: crashes::CrashTracker,
 }
 
 impl Cell {
@@ -198,8 +199,8 @@
             waves: BTreeMap::new(),
             recovery: None,
             pending: None,
-            disturbance: Disturbance::default(),
-            levels: Levels::default(),
+            interference: Interference::default(),
+            forecasts: Forecasts::default(),
             backlogged: false,
             unplaceable: Vec::new(),
             unknown_jobs: HashSet::new(),
@@ -212,7 +213,7 @@
             finished_runs: Vec::new(),
             overcommitting: HashSet::new(),
             leases_frozen: false,
-            crashes: crashes::State::default(),
+            crashes: crashes::CrashTracker::default(),
         }
     }
 
@@ -222,8 +223,8 @@
     }
 
     /// Restores the interference model that a former owner has persisted.
-    pub fn restore_interference(&mut self, model: Disturbance) {
-        self.disturbance = model;
+    pub fn restore_interference(&mut self, model: Interference) {
+        self.interference = model;
     }
 
     /// Returns the state of a job to show to callers, or `None` if the job is unknown.
--- a/components/cell/src/choose.rs
+++ b/components/cell/src/choose.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         cell::{Cell, Job, Rank},
-        crashes::{Suspicion, harm},
-        disturb::Image,
+        crashes::{Suspicion, crash_cost},
+        interference::Image,
         overdue::Obstacle,
         worker::{TaskKey, Worker},
     },
@@ -92,7 +92,7 @@
         };
         let cost = |worker: &Worker| {
             if history.suspicion.is_risky() {
-                harm(worker)
+                crash_cost(worker)
             } else {
                 self.cost(step, image, worker)
             }
@@ -118,7 +118,7 @@
 
     /// Returns the number of a step's image.
     pub(crate) fn image(&self, step: &Step) -> Image {
-        self.disturbance.find(step.image.as_ref())
+        self.interference.lookup(step.image.as_ref())
     }
 
     /// True if a task of the step, which has this image, may run on the worker beside `before`
@@ -164,7 +164,7 @@
         if !self.is_capacity_known(worker, now) {
             return Some(Obstacle::RoomUnknown);
         }
-        if self.is_kept_alone(&worker.entry.id) {
+        if self.is_reserved_for_trial(&worker.entry.id) {
             return Some(Obstacle::KeptAlone);
         }
         if worker.entry.pool != job.progress.submission.queue.pool {
@@ -211,7 +211,7 @@
         if !job.is_advised(address, id, now) {
             return Some(Obstacle::Unadvised);
         }
-        (!self.may_try(id, history.suspicion)).then_some(Obstacle::Trial)
+        (!self.allows_trial(id, history.suspicion)).then_some(Obstacle::Trial)
     }
 
     /// Returns the cost of placing a task on the worker; the lowest is best. Workers near the
@@ -246,7 +246,7 @@
     fn mixing_cost(&self, image: Image, worker: &Worker) -> u64 {
         let images = worker.serving_images.keys();
         let unlike = images
-            .filter(|other| !self.disturbance.is_alike(**other, image))
+            .filter(|other| !self.interference.is_similar(**other, image))
             .count();
         let has_alike = worker.serving_images.len() > unlike;
         match (has_alike, unlike) {
--- a/components/cell/src/incarnations.rs
+++ b/components/cell/src/incarnations.rs
@@ -154,18 +154,18 @@
     /// Handles proof that an incarnation has ended: its entry is ignored from then on, however long
     /// it stays listed.
     pub fn end_incarnation(&mut self, id: &Arc<str>, cause: &str, now: u64) {
-        self.suspect_crashed(id, now);
+        self.record_crash(id, now);
         self.remove_worker(id, cause, now);
         self.ended_incarnations.insert(id.clone());
     }
 
     /// Removes a worker and requeues its tasks.
     pub(crate) fn remove_worker(&mut self, id: &Arc<str>, cause: &str, now: u64) {
-        self.tell_lost(id, cause, now);
+        self.log_lost_worker(id, cause, now);
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
-        self.crashes.losses.leave(&worker);
+        self.crashes.losses.remove_worker(&worker);
         log::warn!(target: "cell", worker = &**id, address = &*worker.entry.address, cause, tasks = worker.slots.len(), listed = worker.listed; "Worker removed.");
         self.fleet_dirty = true;
         self.removed.push(id.clone());
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -82,7 +82,7 @@
         if submission.spec.timetable.is_some() {
             self.timetabled.insert(id.clone());
         }
-        self.condemn_known(&id);
+        self.check_crash_limits(&id);
         self.ready_steps(&id, wall);
         true
     }
@@ -130,7 +130,7 @@
     /// `wall` is Unix time, `now` is on our clock.
     pub fn rerank(&mut self, wall: u64, now: u64) {
         self.update_backlog();
-        self.give_up(wall, now);
+        self.fail_over_limit(wall, now);
         let mut late = Vec::new();
         let mut waiting = Vec::new();
         for rank in &self.ready_jobs {
--- a/components/cell/src/lease_expiry.rs
+++ b/components/cell/src/lease_expiry.rs
@@ -17,7 +17,7 @@
             worker.back_off(now);
             if worker.unreachable_since.is_none() {
                 worker.unreachable_since = Some(now);
-                self.crashes.losses.renew(worker);
+                self.crashes.losses.refresh(worker);
             }
         }
     }
@@ -43,8 +43,8 @@
         }
         for (id, may_report) in expired {
             if !may_report {
-                self.tell_lost(&id, "its leases have expired", now);
-                self.suspect_lapsed(&id, now);
+                self.log_lost_worker(&id, "its leases have expired", now);
+                self.record_presumed_crash(&id, now);
             }
             self.release_expired(&id, may_report);
             let is_listed = self.workers.get(&id).is_some_and(|worker| worker.listed);
@@ -52,7 +52,7 @@
                 self.remove_worker(&id, "its leases have expired and it is not listed", now);
             }
         }
-        self.forget_crashes(now);
+        self.expire_crash_state(now);
         self.update_recovery(now);
     }
 
--- a/components/cell/src/outcome.rs
+++ b/components/cell/src/outcome.rs
@@ -31,7 +31,7 @@
             // This also holds if another incarnation refused the start: it was surely not carried
             // out, so the task has crashed nothing.
             self.start_answered(id, start, outcome, now);
-            self.renew_loss(id);
+            self.refresh_loss(id);
         }
         if outcome == Outcome::Refused(Refusal::OtherLife) {
             self.end_incarnation(id, "another incarnation answers", now);
--- a/components/cell/src/overdue.rs
+++ b/components/cell/src/overdue.rs
@@ -81,9 +81,9 @@
             .waiting_since
             .map_or(0, |since| wall.saturating_sub(since));
         let is_queued = self.ready_jobs.contains(&job.rank);
-        let must_wait = self.must_wait(&key.job, key.place);
+        let must_wait = self.is_start_blocked(&key.job, key.place);
         let history = self.history(&job.rank, key.place);
-        let trials = self.trials_of(&key.job);
+        let trials = self.job_trials(&key.job);
         let cpu = job.progress.step(key.place).size.cpu;
         let is_unconfirmed = job.unconfirmed && self.recovery.is_some();
         let obstacles = self.obstacles(job, key.place, history, now);
--- a/components/cell/src/persistence.rs
+++ b/components/cell/src/persistence.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::{Cell, Job},
-        disturb::Disturbance,
+        interference::Interference,
         worker::Entry,
     },
     job::{Id, Record},
@@ -51,8 +51,8 @@
     /// Returns the interference model if it is due to be written. It is written separately, since
     /// no other write depends on it, and with 16 serving and 30 best-effort images it is larger
     /// than many batches.
-    pub fn take_interference(&mut self) -> Option<Disturbance> {
-        std::mem::take(&mut self.interference_due).then(|| self.disturbance.clone())
+    pub fn take_interference(&mut self) -> Option<Interference> {
+        std::mem::take(&mut self.interference_due).then(|| self.interference.clone())
     }
 
     /// Returns the next batch, whose records take at most `most` store entries. The record of an
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -44,7 +44,7 @@
         if most == 0 {
             return;
         }
-        self.end_trials();
+        self.end_stale_trials();
         let changed = self.take_changed(now);
         self.unplaceable
             .retain(|known| now < known.since + RESCAN_AFTER);
@@ -175,7 +175,7 @@
             if self.is_pass_over() {
                 return;
             }
-            if self.must_wait(&rank.id, place) {
+            if self.is_start_blocked(&rank.id, place) {
                 continue;
             }
             let among = is_unplaceable.then_some(changed);
@@ -184,7 +184,7 @@
                 continue;
             }
             if history.suspicion == Suspicion::Alone {
-                self.strand(&rank.id, place);
+                self.mark_unplaceable(&rank.id, place);
             }
             let is_advised = submission.queue.advised;
             if is_advised {
@@ -192,7 +192,7 @@
             }
             // A task that has failed or is suspected is feasible on fewer workers, so other tasks
             // may still be placeable.
-            if history.failures > 0 || history.suspicion.is_tried() {
+            if history.failures > 0 || history.suspicion.needs_trial() {
                 continue;
             }
             if is_unplaceable || is_advised {
@@ -304,14 +304,14 @@
         };
         let step = job.progress.step(place);
         let address = job.progress.submission.spec.address(place);
-        let image = self.disturbance.number(step.image.as_ref());
+        let image = self.interference.intern(step.image.as_ref());
         let slot = Slot::new(step, address, image, run, Stage::Sent { deadline });
         worker.add_slot(key.clone(), slot);
         if worker.is_faulty() {
             worker.probe = Some(key.clone());
         }
         let start = job.assign(key.clone(), run, id, deadline, now);
-        self.try_out(id, key, run, now);
+        self.begin_trial(id, key, run, now);
         self.placements_left = self.placements_left.saturating_sub(1);
         self.placed.push((place, run, id.clone()));
         self.orders.push((id.clone(), Order::Start(start)));
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -52,9 +52,9 @@
         });
         let had_unwritten = worker.has_unwritten_ends();
         if was_unreachable {
-            self.renew_loss(id);
+            self.refresh_loss(id);
         }
-        self.withdraw(id);
+        self.revoke_crash(id);
         self.end_predecessors(id, sent, now);
         let times = Times { sent, now, wall };
         let dirty_before = self.dirty.len();
@@ -138,7 +138,7 @@
         self.mark_started(&key);
         self.record_checkpoint(&key, run.saved.as_ref());
         self.clear_quarantine(id, &key, times.now);
-        self.survived(id, &key, times.now);
+        self.record_survival(id, &key, times.now);
     }
 
     /// Ends the quarantine of a worker that is probed with a long-running task, once the task has
@@ -175,7 +175,7 @@
             job.reset_waiting();
         }
         let step = job.progress.step(key.place);
-        let image = self.disturbance.number(step.image.as_ref());
+        let image = self.interference.intern(step.image.as_ref());
         let stage = Stage::Running { at: times.now };
         let slot = Slot {
             adopted: true,
@@ -246,7 +246,7 @@
                 }
             }
             if holds_runs {
-                self.crashes.losses.renew(worker);
+                self.crashes.losses.refresh(worker);
             }
         }
     }
--- a/components/cell/src/run_end.rs
+++ b/components/cell/src/run_end.rs
@@ -38,8 +38,8 @@
         self.record_worker_result(id, end.how, times.now);
         self.record_checkpoint(&key, end.saved.as_ref());
         if matches!(end.how, EndCause::Done | EndCause::Failed) {
-            self.pass_trial(id, &key);
-            self.absolve(&key);
+            self.complete_trial(id, &key);
+            self.reset_crashes(&key);
         }
         match end.how {
             EndCause::Done => self.run_done(id, &key, was_held, times),
--- a/components/cell/src/serving_load.rs
+++ b/components/cell/src/serving_load.rs
@@ -4,7 +4,8 @@
 use {
     crate::{
         cell::{Cell, Job},
-        disturb::{Disturbance, HARMFUL, Image, LOAD_AT_TARGET, level::Levels},
+        interference::forecast::Forecasts,
+        interference::{HARMFUL_WEIGHT, Image, Interference, LOAD_AT_TARGET},
         throttle::LOAD_LIMIT,
         worker::Worker,
     },
@@ -94,7 +95,7 @@
             if !std::mem::take(&mut worker.changed) {
                 continue;
             }
-            worker.serving_load = serving_load(&self.disturbance, &self.levels, worker, now);
+            worker.serving_load = serving_load(&self.interference, &self.forecasts, worker, now);
             changed.push(id.clone());
         }
         changed
@@ -103,7 +104,7 @@
     /// Updates the cached load of a worker.
     pub(crate) fn update_serving_load(&mut self, id: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.serving_load = serving_load(&self.disturbance, &self.levels, worker, now);
+            worker.serving_load = serving_load(&self.interference, &self.forecasts, worker, now);
         }
     }
 
@@ -113,13 +114,13 @@
         let mut impact = Impact::default();
         let share = (step.size.cpu * more) as f64 / worker.entry.size.cpu.max(1) as f64;
         for load in &worker.serving_load {
-            let weight = self.disturbance.weight(load.image, image);
+            let weight = self.interference.weight(load.image, image);
             let added = load.harmless + share * weight;
             impact.peak = impact.peak.max(load.peak + added);
             impact.soon = impact.soon.max(load.near + added);
-            if weight >= HARMFUL {
+            if weight >= HARMFUL_WEIGHT {
                 impact.harms = true;
-                impact.is_known |= self.disturbance.is_known(load.image, image);
+                impact.is_known |= self.interference.is_known(load.image, image);
                 impact.near = impact.near.max(load.near + added + load.harmful);
             }
         }
@@ -174,14 +175,14 @@
 
 /// Returns the load of a worker by serving image.
 fn serving_load(
-    known: &Disturbance,
-    levels: &Levels,
+    known: &Interference,
+    levels: &Forecasts,
     worker: &Worker,
     now: u64,
 ) -> Vec<ServingLoad> {
     let mut loads: Vec<ServingLoad> = Vec::with_capacity(worker.serving_images.len());
     for key in worker.serving_jobs.keys() {
-        let (near, peak) = levels.foresee(key, now, HORIZON);
+        let (near, peak) = levels.forecast(key, now, HORIZON);
         match loads.iter_mut().find(|load| load.image == key.1) {
             Some(load) => {
                 load.near = load.near.max(near);
@@ -204,13 +205,13 @@
 
 /// Returns what the best-effort tasks of a worker add to the load of a serving image at full speed:
 /// first the harmful ones, then the others.
-pub(crate) fn added_by_all(known: &Disturbance, serving: Image, worker: &Worker) -> (f64, f64) {
+pub(crate) fn added_by_all(known: &Interference, serving: Image, worker: &Worker) -> (f64, f64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let (mut harmful, mut harmless) = (0.0, 0.0);
     for (&filling, &cpu) in &worker.filling_images {
         let weight = known.weight(serving, filling);
         let added = weight * cpu as f64 / capacity;
-        if weight >= HARMFUL {
+        if weight >= HARMFUL_WEIGHT {
             harmful += added;
         } else {
             harmless += added;
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -2,7 +2,7 @@
 //! throttling.
 
 use {
-    crate::disturb::Image,
+    crate::interference::Image,
     job::{Address, Step, spec::Size},
 };
 
--- a/components/cell/src/successor.rs
+++ b/components/cell/src/successor.rs
@@ -28,7 +28,7 @@
     fn add_with_generation(&mut self, mut worker: Worker, generation: u32) -> Entry {
         worker.entry.generation = generation;
         let entry = worker.entry.clone();
-        self.crashes.losses.join(&worker);
+        self.crashes.losses.add_worker(&worker);
         self.workers.insert(entry.id.clone(), worker);
         entry
     }
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -169,7 +169,7 @@
             }
             if let Some(key) = self.task_key(&id, job, address) {
                 self.adopt(&id, key, &run, times);
-                self.renew_loss(&id);
+                self.refresh_loss(&id);
             }
         }
     }
--- a/components/cell/src/worker.rs
+++ b/components/cell/src/worker.rs
@@ -2,7 +2,10 @@
 //! and quarantine.
 
 use {
-    crate::{disturb::Image, serving_load::ServingLoad, slot::Slot, timing},
+    crate::interference::Image,
+    crate::serving_load::ServingLoad,
+    crate::slot::Slot,
+    crate::timing,
     job::{Address, Id, spec::Size},
     serde::{Deserialize, Serialize},
     std::{
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -3,31 +3,30 @@
 use {
     crate::{
         callers::Reply,
-        comeback::SOONEST,
         core::Node,
-        follow,
         group::put,
         keys,
-        message::{Ask, Told},
-        peer,
-        settings::{TELL_FOR, TELL_GAP},
-        store::{Applied, Change},
+        message::{PeerRequest, PeerResponse},
+        owner_watch, peer,
+        retry_after::MIN_RETRY_AFTER,
+        settings::{NOTIFY_INTERVAL, NOTIFY_TIMEOUT_MS},
+        store::{ApplyResult, Change},
         time,
     },
     job::Id,
     kernel::{Verdict, wall},
     std::{
         collections::VecDeque,
-        sync::mpsc::{self, Receiver, Sender},
+        sync::mpsc::{self, Receiver},
         thread,
     },
 };
 
 /// The way to the task that tells the owner again.
-pub type Door = Sender<Id>;
+pub type Sender = mpsc::Sender<Id>;
 
 /// The way to the task that tells the owner again, and its end.
-pub fn door() -> (Door, Receiver<Id>) {
+pub fn channel() -> (Sender, Receiver<Id>) {
     mpsc::channel()
 }
 
@@ -36,20 +35,20 @@
 pub fn cancel(node: &Node, id: &Id, may_pass: bool) -> Reply {
     let reply = cancel_here(node, id);
     match reply {
-        Reply::Busy(_) if may_pass => peer::pass_on(node, &Ask::Cancel(id.clone()), reply),
+        Reply::Busy(_) if may_pass => peer::forward(node, &PeerRequest::Cancel(id.clone()), reply),
         _ => reply,
     }
 }
 
 fn cancel_here(node: &Node, id: &Id) -> Reply {
-    if node.shared.is_cut_off() {
-        return Reply::Busy(SOONEST);
+    if node.shared.is_store_unreachable() {
+        return Reply::Busy(MIN_RETRY_AFTER);
     }
-    let store = &node.outside.store;
+    let store = &node.external.store;
     let job = match store.get(&keys::job(id)) {
         Ok(Some(item)) => item,
         Ok(None) => return cancel_ended(node, id),
-        Err(_) => return Reply::Busy(SOONEST),
+        Err(_) => return Reply::Busy(MIN_RETRY_AFTER),
     };
     let change = Change {
         expect: vec![(job.key, job.revision)],
@@ -57,24 +56,24 @@
         remove: Vec::new(),
     };
     match store.apply(&change) {
-        Ok(Applied::Done(_)) => {
+        Ok(ApplyResult::Done(_)) => {
             log::info!(target: "cancel", job = id.as_str(); "A job is cancelled.");
             tell_owner(node, id);
             Reply::Cancelled
         }
-        Ok(Applied::Conflict(_)) => cancel_ended(node, id),
-        Ok(Applied::NoLease) => Reply::Unsure,
-        Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(SOONEST),
+        Ok(ApplyResult::Conflict(_)) => cancel_ended(node, id),
+        Ok(ApplyResult::NoLease) => Reply::Unsure,
+        Err(failure) if failure.verdict == Verdict::NotRun => Reply::Busy(MIN_RETRY_AFTER),
         Err(_) => Reply::Unsure,
     }
 }
 
 /// A job that has ended has nothing left to cancel; one that never was cannot be.
 fn cancel_ended(node: &Node, id: &Id) -> Reply {
-    match node.outside.store.get(&keys::state(id)) {
+    match node.external.store.get(&keys::state(id)) {
         Ok(Some(_)) => Reply::Cancelled,
         Ok(None) => Reply::Gone,
-        Err(_) => Reply::Busy(SOONEST),
+        Err(_) => Reply::Busy(MIN_RETRY_AFTER),
     }
 }
 
@@ -86,7 +85,7 @@
     }
     log::info!(target: "cancel", job = id.as_str(); "The owner has not confirmed a cancellation; it is told again.");
     // The task lives as long as the box.
-    let _ = node.untold.send(id.clone());
+    let _ = node.unconfirmed.send(id.clone());
 }
 
 /// What a try to tell the owner brought.
@@ -105,8 +104,8 @@
     if is_taken_in(node, id) {
         return Heard::Known;
     }
-    match peer::ask_owner(node, &Ask::Cancelled(id.clone())) {
-        Some(Told::Reply(Reply::Cancelled)) => Heard::Known,
+    match peer::call_owner(node, &PeerRequest::Cancelled(id.clone())) {
+        Some(PeerResponse::Reply(Reply::Cancelled)) => Heard::Known,
         Some(_) => Heard::Unknown,
         None => Heard::Nothing,
     }
@@ -116,11 +115,11 @@
 /// not know the job yet.
 fn is_taken_in(node: &Node, id: &Id) -> bool {
     let id = id.clone();
-    node.remote.ask(move |core, cx| core.cancelled(cx, &id)) == Ok(true)
+    node.remote.ask(move |core, cx| core.handle_cancel(cx, &id)) == Ok(true)
 }
 
 /// Answers a box that tells of a cancellation: it is told again until the job is known here.
-pub(crate) fn told(node: &Node, id: &Id) -> Reply {
+pub(crate) fn receive(node: &Node, id: &Id) -> Reply {
     if is_taken_in(node, id) {
         Reply::Cancelled
     } else {
@@ -144,9 +143,9 @@
         for id in fresh.try_iter() {
             untold.add(id, time::now());
         }
-        follow::look(node);
+        owner_watch::refresh(node);
         untold.round(time::now(), |id| tell(node, id));
-        thread::sleep(TELL_GAP);
+        thread::sleep(NOTIFY_INTERVAL);
     }
 }
 
@@ -170,7 +169,7 @@
             let Some((id, since)) = self.waiting.pop_front() else {
                 return;
             };
-            if now > since + TELL_FOR {
+            if now > since + NOTIFY_TIMEOUT_MS {
                 log::warn!(target: "cancel", job = id.as_str(); "The owner has not confirmed a cancellation in time; its watch has to bring it.");
                 continue;
             }
@@ -246,10 +245,10 @@
     fn round_gives_up() {
         let mut untold = untold(1);
         assert_eq!(
-            round(&mut untold, 1_000 + TELL_FOR, Heard::Nothing).len(),
+            round(&mut untold, 1_000 + NOTIFY_TIMEOUT_MS, Heard::Nothing).len(),
             1
         );
-        assert!(round(&mut untold, 1_001 + TELL_FOR, Heard::Nothing).is_empty());
+        assert!(round(&mut untold, 1_001 + NOTIFY_TIMEOUT_MS, Heard::Nothing).is_empty());
         assert!(untold.waiting.is_empty());
     }
 
@@ -258,7 +257,7 @@
     fn add_twice() {
         let mut untold = untold(1);
         untold.add(id(1), 5_000);
-        let told = round(&mut untold, 5_000 + TELL_FOR, Heard::Unknown);
+        let told = round(&mut untold, 5_000 + NOTIFY_TIMEOUT_MS, Heard::Unknown);
         assert_eq!(told, [id(1)]);
     }
 }
--- a/components/node/src/relays/idle.rs
+++ b/components/node/src/relays/idle_offers.rs
@@ -1,16 +1,16 @@
 //! The boxes that offer themselves as relays and are not needed.
 
 use {
-    crate::settings::{IDLE_OFFERS, RELAY_IDLE, RELAY_REST},
+    crate::settings::{IDLE_MAX_INTERVAL_MS, IDLE_MIN_INTERVAL, IDLE_REQUEST_RATE},
     std::{collections::HashSet, sync::Arc},
 };
 
 /// Boxes are counted anew this often, in milliseconds.
-const COUNT_FOR: u64 = 2 * RELAY_REST;
+const COUNT_FOR: u64 = 2 * IDLE_MAX_INTERVAL_MS;
 
 /// How many boxes there are.
 #[derive(Default)]
-pub struct Idle {
+pub struct IdleOffers {
     /// Those heard since `since`.
     names: HashSet<Arc<str>>,
     since: u64,
@@ -18,7 +18,7 @@
     counted: usize,
 }
 
-impl Idle {
+impl IdleOffers {
     /// How long a box waits before it offers itself again, in milliseconds: the more boxes the longer, so that offers take a
     /// bounded part of the owner's processor. While workers wait for a relay, boxes offer themselves as often as they may.
     pub fn pause(&mut self, name: &str, is_complete: bool, now: u64) -> u64 {
@@ -30,12 +30,12 @@
         if !self.names.contains(name) {
             self.names.insert(name.into());
         }
-        let least = RELAY_IDLE.as_millis() as u64;
+        let least = IDLE_MIN_INTERVAL.as_millis() as u64;
         if !is_complete {
             return least;
         }
         let boxes = self.counted.max(self.names.len()) as u64;
-        (boxes * 1_000 / IDLE_OFFERS).clamp(least, RELAY_REST)
+        (boxes * 1_000 / IDLE_REQUEST_RATE).clamp(least, IDLE_MAX_INTERVAL_MS)
     }
 }
 
@@ -49,7 +49,7 @@
     #[test_case(1_174, 1_500; "twice that")]
     #[test_case(2_348, 1_500; "four times")]
     fn pause_offers_a_second(boxes: u64, offers: u64) {
-        let mut idle = Idle::default();
+        let mut idle = IdleOffers::default();
         let mut made = 0;
         let mut due: Vec<u64> = (0..boxes).collect();
         for now in 0..20_000 {
@@ -65,10 +65,13 @@
 
     #[test]
     fn pause_while_workers_wait() {
-        let mut idle = Idle::default();
+        let mut idle = IdleOffers::default();
         for number in 0..587 {
             idle.pause(&format!("b{number}"), true, 0);
         }
-        assert_eq!(idle.pause("b1", false, 1), RELAY_IDLE.as_millis() as u64);
+        assert_eq!(
+            idle.pause("b1", false, 1),
+            IDLE_MIN_INTERVAL.as_millis() as u64
+        );
     }
 }
--- a/components/node/src/relays/allowance.rs
+++ b/components/node/src/relays/text_budget.rs
@@ -1,6 +1,6 @@
 //! How much of the owner's link specifications may take.
 
-use crate::settings::AHEAD;
+use crate::settings::MAX_IN_FLIGHT_MS;
 
 /// The part of the owner's link that specifications may take.
 const TEXT_PART: u64 = 4;
@@ -9,7 +9,7 @@
 /// sends (480 of 610 KB a second, for 17 jobs a second of 2.4 KB and 12 relays), and any relay can read them from the
 /// store, whose link is wide. While the store fails they go through the owner all the same.
 #[derive(Default)]
-pub(super) struct Allowance {
+pub(super) struct TextBudget {
     /// Bytes that may be sent now.
     left: u64,
     /// When it last grew.
@@ -18,12 +18,12 @@
     pub is_all: bool,
 }
 
-impl Allowance {
+impl TextBudget {
     /// Grows with the time, for an owner with this link.
     pub fn grow(&mut self, link: u64, now: u64) {
         let rate = link / TEXT_PART;
         let since = now.saturating_sub(self.grown);
-        self.left = (self.left + since * rate).min(rate * AHEAD);
+        self.left = (self.left + since * rate).min(rate * MAX_IN_FLIGHT_MS);
         self.grown = now;
     }
 
