--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -176,7 +176,7 @@
 impl Cell {
     /// Returns an empty cell.
     pub fn new(timing: Timing) -> Self {
-        let lease = timing.lease.min(timing::LEASE);
+        let lease = timing.lease.min(timing::MAX_LEASE);
         Cell {
             timing: Timing { lease, ..timing },
             jobs: HashMap::new(),
@@ -222,7 +222,7 @@
         std::mem::take(&mut self.orders)
     }
 
-    /// Restores the interference model that a former owner has persisted.
+    /// Restores the interference model that a previous owner has persisted.
     pub fn restore_interference(&mut self, model: Interference) {
         self.interference = model;
     }
@@ -286,7 +286,7 @@
         } else {
             worker.poll_wait()
         };
-        worker.answer_due = Some(now + wait + timing::POLL_LATE);
+        worker.answer_due = Some(now + wait + timing::POLL_GRACE);
         Some(Poll {
             deadline,
             seen: worker.ends_written,
@@ -312,7 +312,7 @@
         let mut reach = Reachability::default();
         for worker in self.workers.values() {
             let is_overdue = worker.answer_due.is_some_and(|due| now > due);
-            let is_fresh = |clock: Clock| now <= clock.at + timing::HEARD_WITHIN;
+            let is_fresh = |clock: Clock| now <= clock.at + timing::REACHABLE_WITHIN;
             if worker.is_unreachable() || is_overdue {
                 reach.unreachable += 1;
             } else if worker.clock.is_some_and(is_fresh) {
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -230,5 +230,5 @@
 /// Cost of a crash of the worker, in millicores.
 pub(crate) fn crash_cost(worker: &Worker) -> u64 {
     let new_runs = worker.slots.values().filter(|slot| worker.is_early(slot));
-    worker.reserved.cpu + worker.filling_cpu + new_runs.count() as u64 * NEW_RUN_COST
+    worker.reserved.cpu + worker.best_effort_cpu + new_runs.count() as u64 * NEW_RUN_COST
 }
--- a/components/cell/src/incarnations.rs
+++ b/components/cell/src/incarnations.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds workers that a former owner knew and that are not listed. Returns the new ones; the
+    /// Adds workers that a previous owner knew and that are not listed. Returns the new ones; the
     /// address of one may be listed for another incarnation.
     pub fn restore_workers(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let mut added = Vec::new();
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -37,7 +37,7 @@
         is_new
     }
 
-    /// Adds a job that a former owner has started.
+    /// Adds a job that a previous owner has started.
     pub fn resume(&mut self, submission: Submission, record: &Record, wall: u64) {
         let progress = Progress::resume(Arc::new(submission), record);
         self.insert_job(progress, true, wall);
@@ -153,7 +153,7 @@
             }
         }
         for (rank, is_long) in waiting {
-            let goes_last = !is_long && !self.has_spare(&rank, now);
+            let goes_last = !is_long && !self.has_spare_capacity(&rank, now);
             self.ready_jobs.remove(&rank);
             if let Some(job) = self.jobs.get_mut(&rank.id) {
                 job.rank.lasting = goes_last;
@@ -170,7 +170,7 @@
     }
 
     /// True if at least two workers have capacity for the next task of a job.
-    fn has_spare(&self, rank: &Rank, now: u64) -> bool {
+    fn has_spare_capacity(&self, rank: &Rank, now: u64) -> bool {
         let Some(job) = self.jobs.get(&rank.id) else {
             return false;
         };
--- a/components/cell/src/lib.rs
+++ b/components/cell/src/lib.rs
@@ -17,7 +17,7 @@
 //! - An *incarnation* is one process lifetime of a worker; its id is the worker's name and its
 //!   start time.
 //! - The *owner* is the process that holds the cell's lease; its *fence* (fencing token) makes
-//!   workers refuse orders of former owners.
+//!   workers refuse orders of previous owners.
 
 mod advice;
 mod capacity;
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -33,12 +33,12 @@
 impl Cell {
     /// Places all ready tasks for which there is capacity.
     pub fn place(&mut self, now: u64) {
-        self.place_some(now, usize::MAX);
+        self.place_up_to(now, usize::MAX);
     }
 
     /// Places at most `most` ready tasks, in rank order. Tasks whose start could not be sent soon
     /// stay queued, so that more urgent ones can overtake them. Gangs are placed whole.
-    pub fn place_some(&mut self, now: u64, most: usize) {
+    pub fn place_up_to(&mut self, now: u64, most: usize) {
         self.placements_left = most;
         self.worker_checks = 0;
         if most == 0 {
@@ -48,8 +48,8 @@
         let changed = self.take_changed(now);
         self.unplaceable
             .retain(|known| now < known.since + RESCAN_AFTER);
-        let line: Vec<Rank> = self.ready_jobs.iter().cloned().collect();
-        for rank in line {
+        let queue: Vec<Rank> = self.ready_jobs.iter().cloned().collect();
+        for rank in queue {
             self.place_job(&rank, now, &changed);
             if self.is_pass_over() {
                 // Jobs that were not reached must still check the changed workers.
--- a/components/cell/src/relocate.rs
+++ b/components/cell/src/relocate.rs
@@ -18,12 +18,12 @@
     pub fn relocate(&mut self, now: u64) {
         let mut slow = Vec::new();
         for (id, worker) in &self.workers {
-            if !worker.fenced || worker.filling_cpu == 0 {
+            if !worker.fenced || worker.best_effort_cpu == 0 {
                 continue;
             }
             for (key, slot) in &worker.slots {
                 let is_slow = slot.slow_since.is_some_and(|since| now >= since + SLOW_FOR);
-                if slot.fills && is_slow && slot.stopping.is_none() && !slot.is_sent() {
+                if slot.best_effort && is_slow && slot.stopping.is_none() && !slot.is_sent() {
                     slow.push((slot.slow_since, id.clone(), key.clone()));
                 }
             }
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -37,7 +37,7 @@
         };
         if !worker.fenced {
             log::info!(target: "cell", worker = &**id, running = report.running.len(), ended = report.ended.len(); "Worker has accepted the fence of this owner.");
-            // A former owner may have granted a full lease just before.
+            // A previous owner may have granted a full lease just before.
             worker.max_deadline = worker.max_deadline.max(report.clock + lease);
         }
         worker.fenced = true;
@@ -47,7 +47,7 @@
         let was_unreachable = worker.unreachable_since.take().is_some();
         worker.changed = true;
         worker.clock = Some(Clock {
-            shown: report.clock,
+            value: report.clock,
             at: now,
         });
         let had_unwritten = worker.has_unwritten_ends();
@@ -63,7 +63,7 @@
         let mut listed = HashSet::new();
         for run in &report.running {
             if self.is_pending(&run.job) {
-                self.note_pending(id, run, times);
+                self.record_pending(id, run, times);
                 continue;
             }
             if let Some(key) = self.task_key(id, &run.job, run.address) {
--- a/components/cell/src/run_end.rs
+++ b/components/cell/src/run_end.rs
@@ -191,7 +191,7 @@
         let attempts = job.progress.submission.queue.attempts;
         let is_lasting = job.progress.step(key.place).lasting;
         let is_done = job.progress.tasks[key.place].phase == Phase::Done;
-        // Long-running tasks may fail any number of times. A former owner may have recorded this
+        // Long-running tasks may fail any number of times. A previous owner may have recorded this
         // failure already.
         if is_done || is_lasting || !job.progress.fail(key.place, run) {
             if was_held {
--- a/components/cell/src/serving_load.rs
+++ b/components/cell/src/serving_load.rs
@@ -47,7 +47,7 @@
     /// The serving image.
     pub image: Image,
     /// The load forecast for the near future, without best-effort tasks.
-    pub near: f64,
+    pub forecast: f64,
     /// The highest load observed, without best-effort tasks.
     pub peak: f64,
     /// The load added by harmless best-effort tasks.
@@ -70,7 +70,11 @@
 
     /// Updates whether more best-effort work is waiting than running.
     pub(crate) fn update_backlog(&mut self) {
-        let running: u64 = self.workers.values().map(|worker| worker.filling_cpu).sum();
+        let running: u64 = self
+            .workers
+            .values()
+            .map(|worker| worker.best_effort_cpu)
+            .sum();
         let mut waiting = 0;
         for rank in &self.ready_jobs {
             let Some(job) = self.jobs.get(&rank.id) else {
@@ -117,11 +121,11 @@
             let weight = self.interference.weight(load.image, image);
             let added = load.harmless + share * weight;
             impact.peak = impact.peak.max(load.peak + added);
-            impact.soon = impact.soon.max(load.near + added);
+            impact.forecast = impact.forecast.max(load.forecast + added);
             if weight >= HARMFUL_WEIGHT {
                 impact.harms = true;
                 impact.is_known |= self.interference.is_known(load.image, image);
-                impact.near = impact.near.max(load.near + added + load.harmful);
+                impact.harmed = impact.harmed.max(load.forecast + added + load.harmful);
             }
         }
         impact
@@ -138,9 +142,9 @@
     /// Their harm was observed, not just assumed.
     pub is_known: bool,
     /// The worst load in the near future among the serving tasks to which they are harmful.
-    pub near: f64,
+    pub harmed: f64,
     /// The worst load in the near future, without harmful tasks.
-    pub soon: f64,
+    pub forecast: f64,
     /// The worst load that can be expected at all.
     pub peak: f64,
 }
@@ -151,7 +155,7 @@
     /// For harmful tasks the limit rises with their urgency.
     pub fn is_acceptable(&self, urgency: Urgency) -> bool {
         if !self.harms {
-            return self.is_harmless() || self.soon <= LOAD_LIMIT;
+            return self.is_harmless() || self.forecast <= LOAD_LIMIT;
         }
         let limit = match urgency {
             Urgency::Hurried => URGENT_LIMIT,
@@ -159,7 +163,7 @@
             Urgency::None if !self.is_known => EXPLORE_LIMIT,
             Urgency::None => HARM_LIMIT,
         };
-        self.near <= limit
+        self.harmed <= limit
     }
 
     /// True if the impact is acceptable at any time.
@@ -175,22 +179,22 @@
 
 /// Returns the load of a worker by serving image.
 fn serving_load(
-    known: &Interference,
-    levels: &Forecasts,
+    model: &Interference,
+    forecasts: &Forecasts,
     worker: &Worker,
     now: u64,
 ) -> Vec<ServingLoad> {
     let mut loads: Vec<ServingLoad> = Vec::with_capacity(worker.serving_images.len());
     for key in worker.serving_jobs.keys() {
-        let (near, peak) = levels.forecast(key, now, HORIZON);
+        let (forecast, peak) = forecasts.forecast(key, now, HORIZON);
         match loads.iter_mut().find(|load| load.image == key.1) {
             Some(load) => {
-                load.near = load.near.max(near);
+                load.forecast = load.forecast.max(forecast);
                 load.peak = load.peak.max(peak);
             }
             None => loads.push(ServingLoad {
                 image: key.1,
-                near,
+                forecast,
                 peak,
                 harmless: 0.0,
                 harmful: 0.0,
@@ -198,18 +202,18 @@
         }
     }
     for load in &mut loads {
-        (load.harmful, load.harmless) = added_by_all(known, load.image, worker);
+        (load.harmful, load.harmless) = added_by_all(model, load.image, worker);
     }
     loads
 }
 
 /// Returns what the best-effort tasks of a worker add to the load of a serving image at full speed:
 /// first the harmful ones, then the others.
-pub(crate) fn added_by_all(known: &Interference, serving: Image, worker: &Worker) -> (f64, f64) {
+pub(crate) fn added_by_all(model: &Interference, serving: Image, worker: &Worker) -> (f64, f64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let (mut harmful, mut harmless) = (0.0, 0.0);
-    for (&filling, &cpu) in &worker.filling_images {
-        let weight = known.weight(serving, filling);
+    for (&filling, &cpu) in &worker.best_effort_images {
+        let weight = model.weight(serving, filling);
         let added = weight * cpu as f64 / capacity;
         if weight >= HARMFUL_WEIGHT {
             harmful += added;
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -36,7 +36,7 @@
     /// The resources of the task.
     pub size: Size,
     /// The task is best-effort: it reserves no CPU.
-    pub fills: bool,
+    pub best_effort: bool,
     /// See [`job::Step::target`].
     pub target: u64,
     /// The image that it runs.
@@ -71,7 +71,7 @@
             run,
             adopted: false,
             size: step.size,
-            fills: step.fills,
+            best_effort: step.fills,
             target: step.target,
             image,
             stage,
@@ -88,7 +88,7 @@
 
     /// The part of the worker's capacity that it reserves.
     pub fn reserved(&self) -> Size {
-        let cpu = if self.fills { 0 } else { self.size.cpu };
+        let cpu = if self.best_effort { 0 } else { self.size.cpu };
         Size { cpu, ..self.size }
     }
 
--- a/components/cell/src/successor.rs
+++ b/components/cell/src/successor.rs
@@ -16,7 +16,7 @@
         self.add_with_generation(worker, generation)
     }
 
-    /// Adds a worker that a former owner knew. It gets the generation of the incarnation that the
+    /// Adds a worker that a previous owner knew. It gets the generation of the incarnation that the
     /// listing contains, if there is one, since either may be the later one.
     pub(crate) fn add_restored_worker(&mut self, worker: Worker) -> Entry {
         let other = self.latest_incarnation(&worker.entry.name);
@@ -106,7 +106,7 @@
     /// former. Returns its entry if it is new.
     ///
     /// Incarnations do not alternate, so the answering one is later if the polled one had answered
-    /// before, be it to a former owner. For an incarnation that is known from the listing alone,
+    /// before, be it to a previous owner. For an incarnation that is known from the listing alone,
     /// the start times decide.
     pub fn handle_successor(
         &mut self,
--- a/components/cell/src/summary.rs
+++ b/components/cell/src/summary.rs
@@ -12,27 +12,27 @@
     /// Workers.
     pub workers: usize,
     /// Workers that may be given work.
-    pub open: usize,
+    pub schedulable: usize,
     /// Workers without serving tasks.
-    pub unserving: usize,
+    pub without_serving: usize,
     /// Workers with serving tasks of more than one image.
     pub mixed: usize,
     /// Throttled tasks.
-    pub paced: usize,
+    pub throttled: usize,
     /// CPU of serving tasks.
-    pub serving: u64,
+    pub serving_cpu: u64,
     /// CPU reserved by other tasks.
-    pub firm: u64,
+    pub other_cpu: u64,
     /// Free CPU for tasks that reserve it.
-    pub free: u64,
+    pub free_cpu: u64,
     /// The most free CPU on one worker.
-    pub largest: u64,
+    pub largest_free: u64,
     /// CPU that is expected to be idle.
-    pub unused: u64,
+    pub idle_cpu: u64,
     /// CPU demand of ready tasks that reserve CPU.
-    pub waiting: u64,
+    pub waiting_cpu: u64,
     /// CPU demand of ready best-effort tasks.
-    pub filling: u64,
+    pub waiting_best_effort: u64,
     /// Trials of suspected tasks in progress.
     pub trials: usize,
     /// The age of the oldest trial, in milliseconds. More than some seconds indicates a fault.
@@ -52,27 +52,27 @@
         };
         for worker in self.workers.values() {
             summary.placed += worker.slots.len();
-            summary.serving += worker.serving_cpu;
-            summary.firm += worker.reserved.cpu - worker.serving_cpu;
+            summary.serving_cpu += worker.serving_cpu;
+            summary.other_cpu += worker.reserved.cpu - worker.serving_cpu;
             if !worker.is_schedulable(now) || self.is_in_closed_hall(worker) {
                 continue;
             }
-            summary.open += 1;
+            summary.schedulable += 1;
             summary.mixed += usize::from(worker.serving_images.len() > 1);
-            summary.unserving += usize::from(worker.serving_cpu == 0);
+            summary.without_serving += usize::from(worker.serving_cpu == 0);
             let is_paced = |slot: &&Slot| slot.percent < 100;
-            summary.paced += worker.slots.values().filter(is_paced).count();
-            summary.free += worker.free().cpu;
-            summary.largest = summary.largest.max(worker.free().cpu);
-            summary.unused += worker.idle_cpu();
+            summary.throttled += worker.slots.values().filter(is_paced).count();
+            summary.free_cpu += worker.free().cpu;
+            summary.largest_free = summary.largest_free.max(worker.free().cpu);
+            summary.idle_cpu += worker.idle_cpu();
         }
         for job in self.jobs.values() {
             for &place in &job.ready {
                 let step = job.progress.step(place);
                 if step.fills {
-                    summary.filling += step.size.cpu;
+                    summary.waiting_best_effort += step.size.cpu;
                 } else {
-                    summary.waiting += step.size.cpu;
+                    summary.waiting_cpu += step.size.cpu;
                 }
             }
         }
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -1,7 +1,7 @@
-//! Takeover of a cell by a new owner: runs that the former owner may have started, or may still
+//! Takeover of a cell by a new owner: runs that the previous owner may have started, or may still
 //! start until the workers know the new fence.
 //!
-//! The former owner may be alive: it was suspended, the cell was claimed meanwhile, and it resumes.
+//! The previous owner may be alive: it was suspended, the cell was claimed meanwhile, and it resumes.
 //! It may know jobs that were accepted after the new owner had read them. So no jobs are started
 //! until each worker has accepted the new fence, and runs and ends of unknown jobs are left alone
 //! until the jobs have been read again after that.
@@ -43,13 +43,13 @@
 
 impl Cell {
     /// Holds back the tasks of all jobs until each worker has answered, or until any lease granted
-    /// by the former owner has expired.
+    /// by the previous owner has expired.
     pub fn recover(&mut self, now: u64) {
         let missing: HashSet<Arc<str>> = self.workers.keys().cloned().collect();
         self.recovery = Some(Recovery {
             unfenced: missing.clone(),
             missing,
-            deadline: now + timing::until_over(self.timing.lease),
+            deadline: now + timing::max_lease_duration(self.timing.lease),
         });
         self.pending = Some(Pending::default());
         self.update_recovery(now);
@@ -101,7 +101,7 @@
         ids.into_iter().filter(|id| !self.is_known(id)).collect()
     }
 
-    /// Records that all jobs that the former owner may have started are known. Runs of other jobs
+    /// Records that all jobs that the previous owner may have started are known. Runs of other jobs
     /// are stopped from then on. Returns the workers with deferred run ends.
     pub fn jobs_reread(&mut self) -> Vec<Arc<str>> {
         if let Some(pending) = self.pending.take() {
@@ -120,7 +120,7 @@
         self.jobs.contains_key(id) || self.ended_jobs.contains_key(id)
     }
 
-    /// True for an unknown job that may still turn out to be one of the former owner.
+    /// True for an unknown job that may still turn out to be one of the previous owner.
     pub(crate) fn is_pending(&self, id: &Id) -> bool {
         self.pending.is_some() && !self.is_known(id)
     }
@@ -139,7 +139,7 @@
     }
 
     /// Records a run of an unknown job as its worker last listed it.
-    pub(crate) fn note_pending(&mut self, id: &Arc<str>, run: &Run, times: Times) {
+    pub(crate) fn record_pending(&mut self, id: &Arc<str>, run: &Run, times: Times) {
         let Some(pending) = &mut self.pending else {
             return;
         };
--- a/components/cell/src/throttle.rs
+++ b/components/cell/src/throttle.rs
@@ -79,7 +79,7 @@
 
 /// Updates the model with the load of each serving job on the worker, as derived from its figures,
 /// and the CPU shares of the best-effort tasks beside it.
-fn learn(known: &mut Interference, levels: &mut Forecasts, worker: &Worker, now: u64) {
+fn learn(model: &mut Interference, forecasts: &mut Forecasts, worker: &Worker, now: u64) {
     let capacity = worker.entry.size.cpu.max(1) as f64;
     let mut shares: Vec<(Image, f64)> = Vec::new();
     let mut loads = BTreeMap::new();
@@ -87,7 +87,7 @@
         if !is_running(slot) || slot.figure == 0 {
             continue;
         }
-        if slot.fills {
+        if slot.best_effort {
             shares.push((slot.image, slot.figure as f64 / capacity));
         } else if slot.target > 0 {
             let load = load_from_tail(slot.figure as f64 / slot.target as f64);
@@ -99,9 +99,9 @@
     if loads.is_empty() {
         return;
     }
-    let row = known.dense_row(&shares);
+    let row = model.dense_row(&shares);
     for (job, (sum, count)) in loads {
-        levels.observe(known, job, sum / count, &row, now);
+        forecasts.observe(model, job, sum / count, &row, now);
     }
 }
 
@@ -121,23 +121,23 @@
 /// Returns for each serving image on a worker the pace, as a percentage, that keeps it within its
 /// target if all best-effort tasks that slow it down run at that pace.
 fn limits(
-    known: &Interference,
-    levels: &Forecasts,
+    model: &Interference,
+    forecasts: &Forecasts,
     worker: &Worker,
     now: u64,
 ) -> Vec<(Image, f64)> {
     let mut loads: BTreeMap<Image, f64> = BTreeMap::new();
     for key in worker.serving_jobs.keys() {
-        let (near, _) = levels.forecast(key, now, HORIZON);
+        let (forecast, _) = forecasts.forecast(key, now, HORIZON);
         let load = loads.entry(key.1).or_default();
-        *load = load.max(near);
+        *load = load.max(forecast);
     }
     let mut limits = Vec::with_capacity(loads.len());
     for (serving, load) in loads {
-        let (harmful, harmless) = added_by_all(known, serving, worker);
-        let room = LOAD_LIMIT - load - harmless;
-        let limit = if harmful > room {
-            (room / harmful).max(0.0) * 100.0
+        let (harmful, harmless) = added_by_all(model, serving, worker);
+        let headroom = LOAD_LIMIT - load - harmless;
+        let limit = if harmful > headroom {
+            (headroom / harmful).max(0.0) * 100.0
         } else {
             100.0
         };
@@ -160,8 +160,8 @@
 impl Bounds {
     /// Returns the worst tail latency among the serving images that a best-effort image slows down,
     /// and the pace that these allow.
-    fn of(&self, known: &Interference, filling: Image) -> (u64, u8) {
-        let is_harmed = |serving: Image| known.weight(serving, filling) >= HARMFUL_WEIGHT;
+    fn of(&self, model: &Interference, filling: Image) -> (u64, u8) {
+        let is_harmed = |serving: Image| model.weight(serving, filling) >= HARMFUL_WEIGHT;
         let harmed = self
             .tails
             .iter()
@@ -178,14 +178,14 @@
 
 /// Sets the pace of each best-effort task. Returns the changes to order.
 fn set_paces(
-    known: &Interference,
-    levels: &Forecasts,
+    model: &Interference,
+    forecasts: &Forecasts,
     worker: &mut Worker,
     now: u64,
 ) -> Vec<(TaskKey, u64, u8)> {
     let tails = tails(worker);
     update_over_target(worker, &tails, now);
-    if worker.filling_cpu == 0 {
+    if worker.best_effort_cpu == 0 {
         return Vec::new();
     }
     let bounds = Bounds {
@@ -193,14 +193,14 @@
         is_over: worker
             .over_target_since
             .is_some_and(|since| now >= since + MAX_OVER_TARGET),
-        limits: limits(known, levels, worker, now),
+        limits: limits(model, forecasts, worker, now),
     };
     let mut changes = Vec::new();
     for (key, slot) in &mut worker.slots {
-        if !slot.fills || !is_running(slot) {
+        if !slot.best_effort || !is_running(slot) {
             continue;
         }
-        let (worst, limit) = bounds.of(known, slot.image);
+        let (worst, limit) = bounds.of(model, slot.image);
         let Some(percent) = next_pace(slot, bounds.is_over, worst, limit, now) else {
             continue;
         };
--- a/components/cell/src/timing.rs
+++ b/components/cell/src/timing.rs
@@ -3,7 +3,7 @@
 /// The longest lease that is requested. It must outlive a takeover, which takes 2 to 3.5 s from the
 /// failure of an owner to the polls of the new one. Tasks of a worker that has failed are restarted
 /// elsewhere once the lease has expired, which must happen within 6 s for long-running tasks.
-pub const LEASE: u64 = 4_500;
+pub const MAX_LEASE: u64 = 4_500;
 
 /// Times that depend on the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,18 +29,18 @@
 pub const POLL_WAIT: u64 = 2_000;
 /// How long a poll may be held on a worker that has not answered an order to start. Its next report
 /// shows whether the run exists.
-pub const POLL_DOUBT: u64 = 100;
+pub const POLL_UNANSWERED: u64 = 100;
 /// How long a poll may be held on a worker with serving tasks. Its figures cover the last half
 /// second, and best-effort tasks may be placed beside these tasks meanwhile.
-pub const POLL_SHARED: u64 = 500;
+pub const POLL_SERVING: u64 = 500;
 
 /// The answer to a poll is overdue this long after its wait: the client times out after 0.8 s, and
 /// the rest is the round trip through a relay.
-pub const POLL_LATE: u64 = 1_000;
+pub const POLL_GRACE: u64 = 1_000;
 /// A worker that has answered within this time counts as reachable. It is the wait of a poll of a
 /// worker with serving tasks plus the time that its answer may take.
-pub const HEARD_WITHIN: u64 = POLL_SHARED + POLL_LATE;
+pub const REACHABLE_WITHIN: u64 = POLL_SERVING + POLL_GRACE;
 /// The time on our clock after which a lease of this length on a worker's clock has surely expired.
-pub const fn until_over(length: u64) -> u64 {
+pub const fn max_lease_duration(length: u64) -> u64 {
     length + length * CLOCK_DRIFT / 1_000 + LEASE_SLACK
 }
--- a/components/cell/src/worker.rs
+++ b/components/cell/src/worker.rs
@@ -121,7 +121,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// The value of the worker's clock.
-    pub shown: u64,
+    pub value: u64,
     /// When the reading arrived, on our clock.
     pub at: u64,
 }
@@ -148,7 +148,7 @@
     pub listed: bool,
     /// That entry cannot be decoded or belongs to another incarnation. The worker gets no work.
     pub entry_invalid: bool,
-    /// The incarnation is known from more than the listing: it has answered, or a former owner knew
+    /// The incarnation is known from more than the listing: it has answered, or a previous owner knew
     /// it.
     pub confirmed: bool,
     /// A later incarnation has answered in its place and is polled instead.
@@ -186,11 +186,11 @@
     /// The sum of all reservations, without the CPU of best-effort tasks.
     pub reserved: Size,
     /// CPU of best-effort tasks.
-    pub filling_cpu: u64,
+    pub best_effort_cpu: u64,
     /// CPU of serving tasks, which is part of `reserved`.
     pub serving_cpu: u64,
     /// CPU of best-effort tasks, by image.
-    pub filling_images: BTreeMap<Image, u64>,
+    pub best_effort_images: BTreeMap<Image, u64>,
     /// The number of serving tasks, by image.
     pub serving_images: BTreeMap<Image, u32>,
     /// The number of serving tasks, by job and image.
@@ -238,9 +238,9 @@
             ends_deferred: false,
             slots: HashMap::new(),
             reserved: Size::default(),
-            filling_cpu: 0,
+            best_effort_cpu: 0,
             serving_cpu: 0,
-            filling_images: BTreeMap::new(),
+            best_effort_images: BTreeMap::new(),
             serving_images: BTreeMap::new(),
             serving_jobs: BTreeMap::new(),
             serving_load: Vec::new(),
@@ -264,14 +264,14 @@
     pub fn poll_wait(&self) -> u64 {
         let mut wait = timing::POLL_WAIT;
         if self.serving_cpu > 0 {
-            wait = timing::POLL_SHARED;
+            wait = timing::POLL_SERVING;
         }
         for slot in self.slots.values() {
             if slot.is_sent() && slot.unanswered.is_some() {
-                return timing::POLL_DOUBT;
+                return timing::POLL_UNANSWERED;
             }
             if slot.is_sent() || slot.stopping.is_some() {
-                wait = timing::POLL_SHARED;
+                wait = timing::POLL_SERVING;
             }
         }
         wait
@@ -280,14 +280,14 @@
     /// Its current clock, extrapolated from the last reading.
     pub fn clock_at(&self, now: u64) -> Option<u64> {
         self.clock
-            .map(|clock| clock.shown + now.saturating_sub(clock.at))
+            .map(|clock| clock.value + now.saturating_sub(clock.at))
     }
 
     /// When all leases granted to it have expired, on our clock.
     pub fn leases_end(&self) -> Option<u64> {
         let clock = self.clock?;
-        let length = self.max_deadline.saturating_sub(clock.shown);
-        Some(clock.at + timing::until_over(length))
+        let length = self.max_deadline.saturating_sub(clock.value);
+        Some(clock.at + timing::max_lease_duration(length))
     }
 
     /// True if the last completed poll was not answered.
@@ -366,7 +366,7 @@
     /// CPU that is expected to be idle.
     pub fn idle_cpu(&self) -> u64 {
         let non_serving = self.reserved.cpu - self.serving_cpu;
-        let used = non_serving + self.serving_cpu * SERVING_CPU_USE / 100 + self.filling_cpu;
+        let used = non_serving + self.serving_cpu * SERVING_CPU_USE / 100 + self.best_effort_cpu;
         self.entry.size.cpu.saturating_sub(used)
     }
 
@@ -374,9 +374,9 @@
     pub fn add_slot(&mut self, key: TaskKey, slot: Slot) {
         self.remove_slot(&key);
         let (cpu, firm) = (slot.size.cpu, slot.reserved());
-        if slot.fills {
-            self.filling_cpu += cpu;
-            *self.filling_images.entry(slot.image).or_default() += cpu;
+        if slot.best_effort {
+            self.best_effort_cpu += cpu;
+            *self.best_effort_images.entry(slot.image).or_default() += cpu;
         }
         if slot.target > 0 {
             self.serving_cpu += firm.cpu;
@@ -393,9 +393,9 @@
         let slot = self.slots.remove(key)?;
         self.changed = true;
         let (cpu, firm) = (slot.size.cpu, slot.reserved());
-        if slot.fills {
-            self.filling_cpu -= cpu;
-            subtract(&mut self.filling_images, slot.image, cpu);
+        if slot.best_effort {
+            self.best_effort_cpu -= cpu;
+            subtract(&mut self.best_effort_images, slot.image, cpu);
         }
         if slot.target > 0 {
             self.serving_cpu -= firm.cpu;
@@ -436,11 +436,11 @@
     K: Ord,
     T: Copy + Default + PartialEq + std::ops::SubAssign,
 {
-    let Some(held) = entries.get_mut(&key) else {
+    let Some(value) = entries.get_mut(&key) else {
         return;
     };
-    *held -= amount;
-    if *held == T::default() {
+    *value -= amount;
+    if *value == T::default() {
         entries.remove(&key);
     }
 }
--- a/components/cell/tests/decisions/place.rs
+++ b/components/cell/tests/decisions/place.rs
@@ -541,15 +541,15 @@
 fn place_some_goes_by_the_line() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(6, 500)]);
-    world.cell.place_some(world.now, 2);
+    world.cell.place_up_to(world.now, 2);
     assert_eq!(world.cell.take_orders().len(), 2);
     let mut urgent = submission("00000000000000b2", vec![step(1, 500)]);
     urgent.queue.target = 1;
     urgent.queue.stretch = 1.0;
     world.cell.admit(urgent, 1);
-    world.cell.place_some(world.now, 0);
+    world.cell.place_up_to(world.now, 0);
     assert!(world.cell.take_orders().is_empty());
-    world.cell.place_some(world.now, 1);
+    world.cell.place_up_to(world.now, 1);
     let starts = world.cell.take_orders();
     let [(_, Order::Start(start))] = &starts[..] else {
         panic!("{starts:?}");
@@ -564,7 +564,7 @@
     world.submit(JOB, vec![step(7, 1_000)]);
     let mut placed = 0;
     for _ in 0..7 {
-        world.cell.place_some(world.now, 1);
+        world.cell.place_up_to(world.now, 1);
         placed += world.cell.take_orders().len();
     }
     assert_eq!(placed, 7);
--- a/components/cell/tests/decisions/waits.rs
+++ b/components/cell/tests/decisions/waits.rs
@@ -319,11 +319,11 @@
     farm.remove(0);
     for _ in 0..1_000 {
         farm.run(10);
-        if farm.cell.summary(farm.now).waiting > 0 {
+        if farm.cell.summary(farm.now).waiting_cpu > 0 {
             break;
         }
     }
-    assert!(farm.cell.summary(farm.now).waiting > 0);
+    assert!(farm.cell.summary(farm.now).waiting_cpu > 0);
     farm.run(200);
     assert_eq!(farm.cell.log_overdue(farm.now, farm.now), 0);
 }
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -219,13 +219,14 @@
             return;
         };
         let sum = ownership.cell.summary(time::now());
-        log::info!(target: "cell", fence, jobs = sum.jobs, placed = sum.placed, workers = sum.workers, open = sum.open, unserving = sum.unserving, mixed = sum.mixed, paced = sum.paced, serving = sum.serving, firm = sum.firm, free = sum.free, largest = sum.largest, unused = sum.unused, waiting = sum.waiting, filling = sum.filling, trials = sum.trials, trial_age = sum.trial_age; "The cell now.");
+        log::info!(target: "cell", fence, jobs = sum.jobs, placed = sum.placed, workers = sum.workers, open = sum.schedulable, unserving = sum.without_serving, mixed = sum.mixed, paced = sum.throttled, serving = sum.serving_cpu, firm = sum.other_cpu, free = sum.free_cpu, largest = sum.largest_free, unused = sum.idle_cpu, waiting = sum.waiting_cpu, filling = sum.waiting_best_effort, trials = sum.trials, trial_age = sum.trial_age; "The cell now.");
         metrics::gauge!("magpie_cell_jobs").set(sum.jobs as f64);
         metrics::gauge!("magpie_cell_tasks_placed").set(sum.placed as f64);
-        metrics::gauge!("magpie_cell_workers_open").set(sum.open as f64);
-        metrics::gauge!("magpie_cell_cores_free").set(sum.free as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_filling_waiting").set(sum.filling as f64 / 1e3);
+        metrics::gauge!("magpie_cell_workers_open").set(sum.schedulable as f64);
+        metrics::gauge!("magpie_cell_cores_free").set(sum.free_cpu as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting_cpu as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_filling_waiting")
+            .set(sum.waiting_best_effort as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(sum.trials as f64);
         let overdue = ownership.cell.log_overdue(wall::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(overdue as f64);
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -56,7 +56,7 @@
             ownership
                 .cell
                 .set_backpressured(ownership.relays.busy_workers());
-            ownership.cell.place_some(begun, most);
+            ownership.cell.place_up_to(begun, most);
         }
         ownership.passed = time::now();
         ownership.pass_took = ownership.passed - begun;
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -214,7 +214,7 @@
     fn pass(&mut self) {
         self.cell.set_backpressured(self.relays.busy_workers());
         let most = self.relays.start_budget(LINK);
-        self.cell.place_some(self.now, most);
+        self.cell.place_up_to(self.now, most);
         self.relays.refill_text_budget(LINK, false, self.now);
         for (id, order) in self.cell.take_orders() {
             let relay = name(self.links[&id]);
