--- a/components/cell/src/capacity.rs
+++ b/components/cell/src/capacity.rs
@@ -17,7 +17,7 @@
 };
 
 /// How long a listing is valid for the capacity of overcommitting workers, in milliseconds. A
-/// worker reports within a heartbeat (1.1 s) that its capacity has shrunk, and starts are held to
+/// worker reports within a heartbeat (1.1 s) that its capacity has shrunk, and starts must respect
 /// that from 3 to 5 s after it. Listings are 0.7 to 1.6 s apart, so an older one means that the
 /// store is unavailable.
 const LISTING_VALID: u64 = 3_000;
--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -49,7 +49,7 @@
     /// Tasks whose workers crashed while running them, by place.
     pub suspects: BTreeSet<usize>,
     /// Suspects for which the last placement pass found no worker to try them on.
-    pub untried: BTreeSet<usize>,
+    pub unplaceable: BTreeSet<usize>,
     /// Trial runs that have succeeded since the last early crash of a worker under a task of this
     /// job.
     pub passed_trials: usize,
@@ -136,7 +136,7 @@
     pub(crate) advice_queries: Vec<AdviceQuery>,
     /// The number of scans over all workers for a task.
     pub(crate) full_scans: u64,
-    pub(crate) waves: BTreeMap<u64, maintenance::Progress>,
+    pub(crate) waves: BTreeMap<u64, maintenance::WaveState>,
     /// What a takeover still waits for.
     pub(crate) recovery: Option<Recovery>,
     /// Runs of jobs that are not known yet, from a takeover until the jobs have been read again.
@@ -235,7 +235,7 @@
         let job = self.jobs.get(id)?;
         match job.written_state {
             State::Queued if job.started => Some(State::Running),
-            shown => Some(shown),
+            written => Some(written),
         }
     }
 
@@ -280,8 +280,8 @@
             None => 0,
         };
         worker.max_deadline = worker.max_deadline.max(deadline);
-        let was_heard = std::mem::take(&mut worker.poll_answered);
-        let wait = if worker.clock.is_none() || !was_heard {
+        let was_answered = std::mem::take(&mut worker.poll_answered);
+        let wait = if worker.clock.is_none() || !was_answered {
             0
         } else {
             worker.poll_wait()
@@ -309,17 +309,17 @@
 
     /// Returns how many workers are reachable and how many are not.
     pub fn reachability(&self, now: u64) -> Reachability {
-        let mut reach = Reachability::default();
+        let mut counts = Reachability::default();
         for worker in self.workers.values() {
             let is_overdue = worker.answer_due.is_some_and(|due| now > due);
             let is_fresh = |clock: Clock| now <= clock.at + timing::REACHABLE_WITHIN;
             if worker.is_unreachable() || is_overdue {
-                reach.unreachable += 1;
+                counts.unreachable += 1;
             } else if worker.clock.is_some_and(is_fresh) {
-                reach.reachable += 1;
+                counts.reachable += 1;
             }
         }
-        reach
+        counts
     }
 
     /// Returns the number of known workers.
--- a/components/cell/src/choose.rs
+++ b/components/cell/src/choose.rs
@@ -14,26 +14,26 @@
 
 /// Cost of a worker away from the task's data, in thousandths of a core of capacity left unused.
 /// Workers near the data are chosen first unless they are full. All costs below use this unit.
-const FAR: u64 = 1_000_000;
+const FAR_COST: u64 = 1_000_000;
 /// Cost of a best-effort task for each unit of load by which it takes serving tasks over the limit
 /// at their peak.
-const OVERLOAD: f64 = 2_000_000.0;
+const OVERLOAD_COST: f64 = 2_000_000.0;
 /// Additional cost of a best-effort task that slows down serving tasks.
-const HARMS: u64 = 200_000;
+const HARM_COST: u64 = 200_000;
 /// Cost of a best-effort task beside serving ones, even if it does not slow them down.
-const BESIDE: u64 = 4_000;
+const SHARED_COST: u64 = 4_000;
 /// Cost of a serving task beside tasks that are sensitive to the same best-effort images, if there
 /// are also others. A best-effort image is harmless only on workers whose serving tasks are alike
 /// in this respect.
-const MIXED_ALIKE: u64 = 50_000;
+const MIXED_ALIKE_COST: u64 = 50_000;
 /// Cost of a serving task on a worker that has none yet.
-const EMPTY: u64 = 100_000;
+const EMPTY_COST: u64 = 100_000;
 /// Cost of a serving task beside several unlike images. Most best-effort images are harmful on such
 /// a worker already.
-const MIXED: u64 = 200_000;
+const MIXED_COST: u64 = 200_000;
 /// Cost of a serving task beside a single unlike image. It spoils a worker on which some
 /// best-effort image is harmless.
-const MIXES: u64 = 300_000;
+const MIXING_COST: u64 = 300_000;
 
 /// Results of a task's earlier runs.
 #[derive(Debug, Clone, Copy)]
@@ -151,8 +151,8 @@
         if !has_capacity(step, worker, before) {
             return Some(Obstacle::Room);
         }
-        let is_open = worker.is_schedulable(now) || (job.overdue && worker.is_quarantined());
-        if !is_open {
+        let is_schedulable = worker.is_schedulable(now) || (job.overdue && worker.is_quarantined());
+        if !is_schedulable {
             return Some(Obstacle::Closed);
         }
         if worker.backpressured {
@@ -182,9 +182,9 @@
         {
             return Some(Obstacle::Disturbs);
         }
-        let is_apart = step.spread == 0
+        let is_within_spread = step.spread == 0
             || self.count_held(job, address, worker) + before < u64::from(step.spread);
-        (!is_apart).then_some(Obstacle::Spread)
+        (!is_within_spread).then_some(Obstacle::Spread)
     }
 
     /// Returns what keeps a task with these earlier runs from running on a worker that is otherwise
@@ -223,16 +223,16 @@
         if let Some(rack) = &step.rack
             && !worker.entry.has_label(rack)
         {
-            cost += FAR;
+            cost += FAR_COST;
         }
         if step.fills {
             let impact = self.impact(step, image, worker, 1);
-            cost += (impact.excess() * OVERLOAD) as u64;
+            cost += (impact.excess() * OVERLOAD_COST) as u64;
             if impact.harms {
-                cost += HARMS;
+                cost += HARM_COST;
             }
             if worker.serving_cpu > 0 {
-                cost += BESIDE;
+                cost += SHARED_COST;
             }
             return cost + worker.entry.size.cpu.saturating_sub(worker.idle_cpu());
         }
@@ -251,10 +251,10 @@
         let has_alike = worker.serving_images.len() > unlike;
         match (has_alike, unlike) {
             (true, 0) => 0,
-            (true, _) => MIXED_ALIKE,
-            (false, 0) => EMPTY,
-            (false, 1) => MIXES,
-            (false, _) => MIXED,
+            (true, _) => MIXED_ALIKE_COST,
+            (false, 0) => EMPTY_COST,
+            (false, 1) => MIXING_COST,
+            (false, _) => MIXED_COST,
         }
     }
 
--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -140,7 +140,7 @@
     /// rack may be gone for good.
     fn has_isolated_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            let mut places = job.suspects.difference(&job.untried);
+            let mut places = job.suspects.difference(&job.unplaceable);
             places.any(|&place| self.suspicion(id, place) == Suspicion::Alone)
         })
     }
@@ -148,7 +148,7 @@
     /// Notes that no worker can take a task that needs an isolated trial.
     pub(crate) fn mark_unplaceable(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.untried.insert(place);
+            job.unplaceable.insert(place);
         }
     }
 
--- a/components/cell/src/gang.rs
+++ b/components/cell/src/gang.rs
@@ -38,9 +38,9 @@
             .map_or(0, |job| job.progress.left(address.time, address.step));
         let has_unpersisted_crashes =
             |&place: &usize| self.has_unpersisted_crashes(&rank.id, place);
-        let is_held =
+        let is_blocked =
             self.has_task_over_limit(&rank.id) || places.iter().any(has_unpersisted_crashes);
-        if places.len() < left as usize || is_held {
+        if places.len() < left as usize || is_blocked {
             return;
         }
         for site in self.sites(rank, places, step) {
--- a/components/cell/src/halls.rs
+++ b/components/cell/src/halls.rs
@@ -44,7 +44,7 @@
 }
 
 /// Revokes the unsent starts of a worker. A start that was sent begins within 1.5 s or never.
-/// Stopping it afterwards would end long-running tasks that have just become ready, several of a
+/// Stopping it afterwards would end long-running tasks that have just started, several of a
 /// step at once.
 fn revoke_starts(id: &Arc<str>, worker: &Worker, orders: &mut Vec<(Arc<str>, Order)>) {
     let sent = worker.slots.iter().filter(|(_, slot)| slot.is_sent());
--- a/components/cell/src/incarnations.rs
+++ b/components/cell/src/incarnations.rs
@@ -128,19 +128,20 @@
     /// Ends the predecessors of this incarnation: earlier ones of its name, and others at its
     /// address if it answered a poll that was sent after their last answer.
     pub(crate) fn end_predecessors(&mut self, id: &Arc<str>, sent: u64, now: u64) {
-        let Some(own) = self.workers.get(id).map(|worker| &worker.entry) else {
+        let Some(current) = self.workers.get(id).map(|worker| &worker.entry) else {
             return;
         };
-        if !self.ambiguous.contains(&own.address) && !self.ambiguous.contains(&own.name) {
+        if !self.ambiguous.contains(&current.address) && !self.ambiguous.contains(&current.name) {
             return;
         }
         let mut predecessors = Vec::new();
         for (other, worker) in &self.workers {
             let entry = &worker.entry;
-            let is_predecessor = if entry.name == own.name {
-                entry.is_before(own)
+            let is_predecessor = if entry.name == current.name {
+                entry.is_before(current)
             } else {
-                entry.address == own.address && worker.clock.is_some_and(|clock| clock.at < sent)
+                entry.address == current.address
+                    && worker.clock.is_some_and(|clock| clock.at < sent)
             };
             if is_predecessor {
                 predecessors.push(other.clone());
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -62,7 +62,7 @@
             urgent: false,
             overdue: false,
             crash_unpersisted: false,
-            untried: BTreeSet::new(),
+            unplaceable: BTreeSet::new(),
             passed_trials: 0,
             suspects: progress
                 .crashed()
@@ -114,8 +114,8 @@
 
     /// Makes the tasks of all due repetitions ready.
     pub fn ready_due_steps(&mut self, wall: u64) {
-        let timed: Vec<Id> = self.timetabled.iter().cloned().collect();
-        for id in timed {
+        let timetabled: Vec<Id> = self.timetabled.iter().cloned().collect();
+        for id in timetabled {
             if !self.jobs.contains_key(&id) {
                 self.timetabled.remove(&id);
                 continue;
@@ -127,18 +127,18 @@
     /// Updates the ranks of jobs. Jobs that are about to miss their objective become urgent. Jobs
     /// that have missed it, or surely will, go last, since they would make others miss theirs too.
     /// Long-running tasks that have waited go first if there is capacity for more than one of them.
-    /// `wall` is Unix time, `now` is on our clock.
+    /// `wall` is Unix time, `now` is on the owner's clock.
     pub fn rerank(&mut self, wall: u64, now: u64) {
         self.update_backlog();
         self.fail_over_limit(wall, now);
         let mut late = Vec::new();
         let mut waiting = Vec::new();
         for rank in &self.ready_jobs {
-            let is_near = wall + rank.span / URGENT_PART > rank.objective;
+            let is_urgent = wall + rank.span / URGENT_PART > rank.objective;
             let Some(job) = self.jobs.get_mut(&rank.id) else {
                 continue;
             };
-            job.urgent |= is_near;
+            job.urgent |= is_urgent;
             if job.progress.submission.spec.is_lasting() {
                 let since = *job.waiting_since.get_or_insert(wall);
                 job.overdue = wall > since + OVERDUE_AFTER;
@@ -147,13 +147,13 @@
                 }
                 continue;
             }
-            let least = job.progress.rest() * MIN_ESTIMATE / 100;
-            if !rank.late && wall + least > rank.objective {
+            let min_rest = job.progress.rest() * MIN_ESTIMATE / 100;
+            if !rank.late && wall + min_rest > rank.objective {
                 late.push(rank.clone());
             }
         }
-        for (rank, is_long) in waiting {
-            let goes_last = !is_long && !self.has_spare_capacity(&rank, now);
+        for (rank, is_long_overdue) in waiting {
+            let goes_last = !is_long_overdue && !self.has_spare_capacity(&rank, now);
             self.ready_jobs.remove(&rank);
             if let Some(job) = self.jobs.get_mut(&rank.id) {
                 job.rank.lasting = goes_last;
--- a/components/cell/src/maintenance.rs
+++ b/components/cell/src/maintenance.rs
@@ -61,17 +61,17 @@
 
 /// The owner's state of a wave.
 #[derive(Debug, Default)]
-pub(crate) struct Progress {
+pub(crate) struct WaveState {
     done: HashSet<Arc<str>>,
     /// Machines that went down, with their state before.
-    started: HashMap<Arc<str>, Before>,
+    started: HashMap<Arc<str>, PriorState>,
     /// Machines that are being drained, and since when.
     draining: HashMap<Arc<str>, u64>,
 }
 
 /// The state of a machine before it went down.
 #[derive(Debug)]
-struct Before {
+struct PriorState {
     /// The name of its worker.
     worker: Option<Arc<str>>,
     /// The id of the latest incarnation of that worker.
@@ -101,7 +101,7 @@
             self.start_draining(wave, &mut progress, &listed, now);
             for machine in self.drained(&progress, &listed, now) {
                 let worker = listed[&*machine].worker.clone();
-                let before = Before {
+                let before = PriorState {
                     incarnation: worker.as_deref().and_then(|name| self.incarnation_of(name)),
                     worker,
                     was_down: false,
@@ -186,7 +186,7 @@
     fn start_draining(
         &mut self,
         wave: &Wave,
-        progress: &mut Progress,
+        progress: &mut WaveState,
         listed: &BTreeMap<&str, &Machine>,
         now: u64,
     ) {
@@ -214,7 +214,7 @@
     /// Returns the machines that may go down now.
     fn drained(
         &self,
-        progress: &Progress,
+        progress: &WaveState,
         listed: &BTreeMap<&str, &Machine>,
         now: u64,
     ) -> Vec<Arc<str>> {
@@ -257,7 +257,12 @@
     /// Records machines as done that have returned with another worker or another incarnation of
     /// theirs, or that are no longer listed. The worker may keep its id, so a machine also counts
     /// as returned if it has been seen down for maintenance.
-    fn update_done(&self, wave: &Wave, progress: &mut Progress, listed: &BTreeMap<&str, &Machine>) {
+    fn update_done(
+        &self,
+        wave: &Wave,
+        progress: &mut WaveState,
+        listed: &BTreeMap<&str, &Machine>,
+    ) {
         for name in &wave.machines {
             let Some(machine) = listed.get(&**name) else {
                 progress.draining.remove(name);
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -334,7 +334,7 @@
         task.run = run;
         task.phase = Phase::Placed(id.clone());
         self.ready.remove(&place);
-        self.untried.remove(&place);
+        self.unplaceable.remove(&place);
         let saved = task.saved.clone();
         let spec = &self.progress.submission.spec;
         let address = spec.address(place);
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -16,7 +16,7 @@
     },
     /// Confirmed.
     Running {
-        /// When it was confirmed, on our clock in milliseconds.
+        /// When it was confirmed, on the owner's clock in milliseconds.
         at: u64,
     },
 }
@@ -43,16 +43,16 @@
     pub image: Image,
     /// Progress of its start.
     pub stage: Stage,
-    /// When the order to start it timed out without an answer, on our clock.
+    /// When the order to start it timed out without an answer, on the owner's clock.
     pub unanswered: Option<u64>,
-    /// When the worker confirmed an order to stop the run before it had started, on our clock. It
-    /// cannot start after that.
+    /// When the worker confirmed an order to stop the run before it had started, on the owner's
+    /// clock. It cannot start after that.
     pub start_cancelled: Option<u64>,
-    /// When it was last ordered to stop, on our clock.
+    /// When it was last ordered to stop, on the owner's clock.
     pub stopping: Option<u64>,
     /// The pace last ordered, as a percentage of full speed.
     pub percent: u8,
-    /// When that was ordered, on our clock; 0 if no pace was ordered.
+    /// When that was ordered, on the owner's clock; 0 if no pace was ordered.
     pub pace_set_at: u64,
     /// It was paused because a serving task stayed over its latency target. Its pace is raised
     /// again in steps.
@@ -97,7 +97,7 @@
         matches!(self.stage, Stage::Running { at } if now >= at + time)
     }
 
-    /// True if the run started after this time, on our clock.
+    /// True if the run started after this time, on the owner's clock.
     pub const fn began_after(&self, time: u64) -> bool {
         matches!(self.stage, Stage::Running { at } if at > time)
     }
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -1,10 +1,10 @@
 //! Takeover of a cell by a new owner: runs that the previous owner may have started, or may still
 //! start until the workers know the new fence.
 //!
-//! The previous owner may be alive: it was suspended, the cell was claimed meanwhile, and it resumes.
-//! It may know jobs that were accepted after the new owner had read them. So no jobs are started
-//! until each worker has accepted the new fence, and runs and ends of unknown jobs are left alone
-//! until the jobs have been read again after that.
+//! The previous owner may be alive: it was suspended, the cell was claimed meanwhile, and it
+//! resumes. It may know jobs that were accepted after the new owner had read them. So no jobs are
+//! started until each worker has accepted the new fence, and runs and ends of unknown jobs are left
+//! alone until the jobs have been read again after that.
 
 use {
     crate::{
--- a/components/cell/src/timing.rs
+++ b/components/cell/src/timing.rs
@@ -40,7 +40,8 @@
 /// A worker that has answered within this time counts as reachable. It is the wait of a poll of a
 /// worker with serving tasks plus the time that its answer may take.
 pub const REACHABLE_WITHIN: u64 = POLL_SERVING + POLL_GRACE;
-/// The time on our clock after which a lease of this length on a worker's clock has surely expired.
+/// The time on the owner's clock after which a lease of this length on a worker's clock has surely
+/// expired.
 pub const fn max_lease_duration(length: u64) -> u64 {
     length + length * CLOCK_DRIFT / 1_000 + LEASE_SLACK
 }
--- a/components/cell/src/worker.rs
+++ b/components/cell/src/worker.rs
@@ -122,7 +122,7 @@
 pub struct Clock {
     /// The value of the worker's clock.
     pub value: u64,
-    /// When the reading arrived, on our clock.
+    /// When the reading arrived, on the owner's clock.
     pub at: u64,
 }
 
@@ -148,14 +148,14 @@
     pub listed: bool,
     /// That entry cannot be decoded or belongs to another incarnation. The worker gets no work.
     pub entry_invalid: bool,
-    /// The incarnation is known from more than the listing: it has answered, or a previous owner knew
-    /// it.
+    /// The incarnation is known from more than the listing: it has answered, or a previous owner
+    /// knew it.
     pub confirmed: bool,
     /// A later incarnation has answered in its place and is polled instead.
     pub superseded: bool,
     /// The persisted record of workers contains it, so that a new owner would poll it.
     pub recorded: bool,
-    /// Since when the listing has had no entry for it, on our clock.
+    /// Since when the listing has had no entry for it, on the owner's clock.
     pub unlisted_since: Option<u64>,
     /// The connection to it is saturated. The worker gets no work for now.
     pub backpressured: bool,
@@ -199,13 +199,14 @@
     pub serving_load: Vec<ServingLoad>,
     /// Something has changed since the last pass that may have freed capacity.
     pub changed: bool,
-    /// It gets no work before this time, on our clock, since it refused an order or did not answer.
+    /// It gets no work before this time, on the owner's clock, since it refused an order or did not
+    /// answer.
     pub backoff_until: u64,
-    /// It gets no work before this time, on our clock, since its runs failed.
+    /// It gets no work before this time, on the owner's clock, since its runs failed.
     pub quarantined_until: u64,
     /// Consecutive failed runs.
     pub failures: u32,
-    /// When the last of them was reported, on our clock.
+    /// When the last of them was reported, on the owner's clock.
     pub last_failure: u64,
     /// The task that a faulty worker is probed with.
     pub probe: Option<TaskKey>,
@@ -283,7 +284,7 @@
             .map(|clock| clock.value + now.saturating_sub(clock.at))
     }
 
-    /// When all leases granted to it have expired, on our clock.
+    /// When all leases granted to it have expired, on the owner's clock.
     pub fn leases_end(&self) -> Option<u64> {
         let clock = self.clock?;
         let length = self.max_deadline.saturating_sub(clock.value);
