--- a/components/cell/src/drain.rs
+++ b/components/cell/src/drain.rs
@@ -36,10 +36,10 @@
     /// listing without notice, since such a worker may keep running for a while and then end.
     /// Entries that were lost with the store reappear soon after its return.
     fn must_drain(&self, worker: &Worker, now: u64) -> bool {
-        let is_gone = worker
+        let is_unlisted = worker
             .unlisted_since
             .is_some_and(|since| now >= since.max(self.listings_since + RELIST_TIME));
-        worker.entry.leaving || worker.draining || is_gone
+        worker.entry.leaving || worker.draining || is_unlisted
     }
 
     /// Stops tasks on a leaving worker that can continue elsewhere, a few at a time.
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -78,17 +78,17 @@
             progress,
         };
         self.jobs.insert(id.clone(), job);
-        self.rekey_strays(&id);
+        self.rekey_orphans(&id);
         if submission.spec.timetable.is_some() {
             self.timetabled.insert(id.clone());
         }
         self.check_crash_limits(&id);
-        self.ready_steps(&id, wall);
+        self.activate_steps(&id, wall);
         true
     }
 
     /// Makes the tasks ready of all steps that are due and whose dependencies are done.
-    pub(crate) fn ready_steps(&mut self, id: &Id, wall: u64) {
+    pub(crate) fn activate_steps(&mut self, id: &Id, wall: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -113,14 +113,14 @@
     }
 
     /// Makes the tasks of all due repetitions ready.
-    pub fn ready_due_steps(&mut self, wall: u64) {
+    pub fn activate_due_steps(&mut self, wall: u64) {
         let timetabled: Vec<Id> = self.timetabled.iter().cloned().collect();
         for id in timetabled {
             if !self.jobs.contains_key(&id) {
                 self.timetabled.remove(&id);
                 continue;
             }
-            self.ready_steps(&id, wall);
+            self.activate_steps(&id, wall);
         }
     }
 
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -121,7 +121,7 @@
             return;
         };
         if slot.run != run.run {
-            self.stop_stray(id, key, run, times);
+            self.stop_orphan(id, key, run, times);
             return;
         }
         if slot.is_sent() {
@@ -159,12 +159,12 @@
     /// waiting.
     pub(crate) fn adopt(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, times: Times) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
-            self.stop_stray(id, key, run, times);
+            self.stop_orphan(id, key, run, times);
             return;
         };
         let task = &mut job.progress.tasks[key.place];
         if job.progress.state.is_final() || task.phase != Phase::Waiting {
-            self.stop_stray(id, key, run, times);
+            self.stop_orphan(id, key, run, times);
             return;
         }
         task.phase = Phase::Placed(id.clone());
@@ -192,7 +192,7 @@
     }
 
     /// Stops a run that must not exist. It occupies capacity until its end is listed.
-    fn stop_stray(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, times: Times) {
+    fn stop_orphan(&mut self, id: &Arc<str>, key: TaskKey, run: &Run, times: Times) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -201,11 +201,11 @@
         {
             return;
         }
-        let step = self.stray_resources(id, &key);
+        let step = self.orphan_resources(id, &key);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run = run.run; "Stopping an unexpected run.");
+        log::info!(target: "cell", job = key.job.as_str(), place = key.place, worker = &**id, run = run.run; "Stopping an orphaned run.");
         self.orders.push((id.clone(), stop_order(&key, run)));
         if worker.slots.contains_key(&key) {
             return;
@@ -224,7 +224,7 @@
 
     /// Gives slots of runs of a formerly unknown job their real keys, now that the job is known, so
     /// that lookups by key find them.
-    pub(crate) fn rekey_strays(&mut self, id: &Id) {
+    pub(crate) fn rekey_orphans(&mut self, id: &Id) {
         if !self.unknown_jobs.remove(id) {
             return;
         }
@@ -252,7 +252,7 @@
     }
 
     /// Returns a step with the assumed resources of a run that must not exist.
-    fn stray_resources(&self, id: &Arc<str>, key: &TaskKey) -> Step {
+    fn orphan_resources(&self, id: &Arc<str>, key: &TaskKey) -> Step {
         let known = self.jobs.get(&key.job);
         let known = known.map(|job| job.progress.step(key.place));
         let worker = self.workers.get(id);
--- a/components/cell/src/run_end.rs
+++ b/components/cell/src/run_end.rs
@@ -144,7 +144,7 @@
         if is_done {
             self.finish(&key.job, State::Completed, times.now, times.wall);
         } else {
-            self.ready_steps(&key.job, times.wall);
+            self.activate_steps(&key.job, times.wall);
         }
     }
 
--- a/components/cell/src/throttle.rs
+++ b/components/cell/src/throttle.rs
@@ -24,7 +24,7 @@
 
 /// The time until a change of pace shows in the figures, in milliseconds: half a second of
 /// measurement, plus the order and the report.
-const SETTLE: u64 = 650;
+const SETTLE_TIME: u64 = 650;
 /// Percentage points by which the pace of a paused task is raised at a time while the serving tasks
 /// that it slows down have low tail latencies.
 const PACE_STEP: u8 = 20;
@@ -233,7 +233,7 @@
         slot.tripped = true;
         pace = 0;
     } else if slot.tripped && slot.percent != UNKNOWN_PACE {
-        let may_rise = worst < LOW_TAIL && now >= slot.pace_set_at + SETTLE;
+        let may_rise = worst < LOW_TAIL && now >= slot.pace_set_at + SETTLE_TIME;
         pace = if may_rise {
             (slot.percent + PACE_STEP).min(limit)
         } else {
--- a/components/cell/tests/decisions/place.rs
+++ b/components/cell/tests/decisions/place.rs
@@ -126,11 +126,11 @@
     world.cell.admit(timed, 999);
     assert!(workers(&mut world).is_empty());
     assert_eq!(world.cell.queued_jobs("queue"), 0);
-    world.cell.ready_due_steps(1_000);
+    world.cell.activate_due_steps(1_000);
     assert_eq!(workers(&mut world).len(), 1);
-    world.cell.ready_due_steps(1_499);
+    world.cell.activate_due_steps(1_499);
     assert!(workers(&mut world).is_empty());
-    world.cell.ready_due_steps(1_500);
+    world.cell.activate_due_steps(1_500);
     assert_eq!(workers(&mut world).len(), 1);
 }
 
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -266,7 +266,7 @@
         ownership.ticked = time::now();
         ownership.doubt_if_alone();
         ownership.cell.log_done(time::now());
-        ownership.cell.ready_due_steps(wall::millis());
+        ownership.cell.activate_due_steps(wall::millis());
         ownership.cell.rerank(wall::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
