--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -150,7 +150,7 @@
             return;
         };
         if is_lasting && worker.passed_probe(key, now) {
-            log::info!(target: "cell", worker = &**id, job = key.job.as_str(), place = key.place; "Quarantine of a worker ended: its probe is running.");
+            log::info!(target: "cell", worker = &**id, job = key.job.as_str(), place = key.place; "Quarantine of a worker ended: its probe keeps running.");
             worker.record_result(false, now);
         }
     }
