--- a/components/kernel/src/actor.rs
+++ b/components/kernel/src/actor.rs
@@ -1,8 +1,7 @@
-//! Actors on threads of their own, and handles to them from blocking tasks.
+//! Actors on their own threads, and handles to call them from other threads and async tasks.
 //!
-//! A [`Host`] runs one `stakker` main loop with one actor in it. Tasks that block, one for each
-//! connection and each peer, hold a [`Remote`] and run closures on the actor with it, so shared
-//! state needs no locks and code in a task reads straight down.
+//! An [`ActorThread`] runs one `stakker` main loop with one actor. Other threads hold an [`ActorRef`] and
+//! run closures on the actor through it, so shared state needs no locks and blocking code stays sequential.
 
 use {
     crate::{
@@ -23,14 +22,14 @@
     tokio::{sync::oneshot, time::timeout},
 };
 
-/// The longest sleep of a main loop without any timer.
+/// Longest sleep of a main loop that has no timer.
 const MAX_IDLE: Duration = Duration::from_secs(10);
 
-type Job<A> = Box<dyn FnOnce(&mut A, &mut Cx<'_, A>) + Send>;
+type Action<A> = Box<dyn FnOnce(&mut A, &mut Cx<'_, A>) + Send>;
 
 /// A handle to an actor on another thread.
 pub struct ActorRef<A: 'static> {
-    channel: Channel<Job<A>>,
+    channel: Channel<Action<A>>,
 }
 
 impl<A: 'static> Clone for ActorRef<A> {
@@ -41,95 +40,96 @@
     }
 }
 
-/// The way back for one answer that an actor may give later.
+/// Sends the single response of an actor, possibly after the call that asked for it has returned.
 pub struct Responder<R> {
     sender: oneshot::Sender<R>,
 }
 
 impl<R> Responder<R> {
-    /// A way back and its far end, for those who are on the actor's thread themselves.
+    /// A responder and the receiver of its response, for callers on the actor's own thread.
     pub fn channel() -> (Self, oneshot::Receiver<R>) {
         let (sender, receiver) = oneshot::channel();
         (Responder { sender }, receiver)
     }
 
-    /// Gives the answer. Who asked may have gone: then nothing happens.
-    pub fn send(self, answer: R) {
-        let _ = self.sender.send(answer);
+    /// Sends the response. Does nothing if the receiver was dropped.
+    pub fn send(self, response: R) {
+        let _ = self.sender.send(response);
     }
 }
 
 impl<A: 'static> ActorRef<A> {
-    /// Runs the closure on the actor and does not wait. Returns false when the actor is gone.
-    pub fn tell(&self, job: impl FnOnce(&mut A, &mut Cx<'_, A>) + Send + 'static) -> bool {
-        self.channel.send(Box::new(job))
+    /// Runs the closure on the actor without waiting for it. Returns false if the actor has stopped.
+    pub fn tell(&self, action: impl FnOnce(&mut A, &mut Cx<'_, A>) + Send + 'static) -> bool {
+        self.channel.send(Box::new(action))
     }
 
     /// Runs the closure on the actor and waits for its result.
     ///
     /// # Errors
     ///
-    /// `Stopping` when the actor is gone; the closure then did not run, or ran on an actor that
-    /// was about to go.
+    /// `Stopping` if the actor has stopped: the closure did not run, or ran while the actor was stopping.
     pub fn ask<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>) -> R + Send + 'static,
+        action: impl FnOnce(&mut A, &mut Cx<'_, A>) -> R + Send + 'static,
     ) -> Result<R, Failure> {
-        self.ask_deferred(move |actor, cx, answerer| answerer.send(job(actor, cx)))
+        self.ask_deferred(move |actor, cx, responder| responder.send(action(actor, cx)))
     }
 
-    /// Like [`Remote::ask`], for an answer that the actor may give later.
+    /// Like [`ActorRef::ask`], for a response that the actor may send after the closure has returned.
     ///
     /// # Errors
     ///
-    /// `Stopping` when the actor is gone or dropped the [`Answerer`].
+    /// `Stopping` if the actor has stopped or dropped the [`Responder`].
     pub fn ask_deferred<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
+        action: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Responder::channel();
-        self.tell(move |actor, cx| job(actor, cx, answerer));
-        receiver.blocking_recv().map_err(|_| gone())
+        let (responder, receiver) = Responder::channel();
+        self.tell(move |actor, cx| action(actor, cx, responder));
+        receiver.blocking_recv().map_err(|_| stopped_failure())
     }
 
-    /// Like [`Remote::ask_later`], for a task.
+    /// Like [`ActorRef::ask_deferred`], for async tasks.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// As for [`ActorRef::ask_deferred`].
     pub async fn ask_async<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
+        action: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Responder::channel();
-        self.tell(move |actor, cx| job(actor, cx, answerer));
-        receiver.await.map_err(|_| gone())
+        let (responder, receiver) = Responder::channel();
+        self.tell(move |actor, cx| action(actor, cx, responder));
+        receiver.await.map_err(|_| stopped_failure())
     }
 
-    /// Like [`Remote::ask_later`], but waits no longer than this.
+    /// Like [`ActorRef::ask_deferred`], with a time-out.
     ///
     /// # Errors
     ///
-    /// `Stopping` as there; `Timeout` with `may-have-run` when the time passes first.
+    /// `Stopping` as for [`ActorRef::ask_deferred`]; `Timeout` with the verdict `may-have-run` after the time-out.
     pub fn ask_within<R: Send + 'static>(
         &self,
         time: Duration,
-        job: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
+        action: impl FnOnce(&mut A, &mut Cx<'_, A>, Responder<R>) + Send + 'static,
     ) -> Result<R, Failure> {
-        let (answerer, receiver) = Responder::channel();
-        self.tell(move |actor, cx| job(actor, cx, answerer));
-        let late = || Failure::may_have_run(Cause::Timeout, "it is not written down yet");
-        let waited = runtime::block_on(async { timeout(time, receiver).await });
-        let answered = waited.map_err(|error| Failure::not_run(Cause::Stopping, error.to_string()));
-        answered?.map_err(|_| late())?.map_err(|_| gone())
+        let (responder, receiver) = Responder::channel();
+        self.tell(move |actor, cx| action(actor, cx, responder));
+        let timed_out = || Failure::may_have_run(Cause::Timeout, "the change is not persisted yet");
+        let result = runtime::block_on(async { timeout(time, receiver).await });
+        let received = result.map_err(|error| Failure::not_run(Cause::Stopping, error.to_string()));
+        received?
+            .map_err(|_| timed_out())?
+            .map_err(|_| stopped_failure())
     }
 }
 
-fn gone() -> Failure {
-    Failure::not_run(Cause::Stopping, "the actor is gone")
+fn stopped_failure() -> Failure {
+    Failure::not_run(Cause::Stopping, "the actor has stopped")
 }
 
-/// A thread with one main loop and one actor.
+/// A thread that runs one main loop with one actor. Dropping it stops the actor.
 pub struct ActorThread<A: 'static> {
     remote: ActorRef<A>,
     stopped: Arc<AtomicBool>,
@@ -137,21 +137,21 @@
 }
 
 impl<A: 'static> ActorThread<A> {
-    /// Starts the thread and makes the actor on it.
+    /// Starts the thread and creates the actor on it.
     ///
-    /// `init` gets the actor's own handle, to pass to tasks that it starts.
+    /// `init` receives a handle to the new actor, to pass on to tasks that it starts.
     ///
     /// # Errors
     ///
-    /// The system has no room for a thread.
+    /// The thread cannot be created.
     pub fn start(
         name: &str,
         init: impl FnOnce(&mut Cx<'_, A>, ActorRef<A>) -> A + Send + 'static,
     ) -> io::Result<Self> {
         let stopped = Arc::new(AtomicBool::new(false));
-        let flag = stopped.clone();
+        let stop_flag = stopped.clone();
         let (sender, receiver) = mpsc::sync_channel(1);
-        let thread = task::spawn(name, move || run(init, &sender, &flag))?;
+        let thread = task::spawn(name, move || run(init, &sender, &stop_flag))?;
         let remote = receiver.recv().map_err(io::Error::other)?;
         Ok(ActorThread {
             remote,
@@ -160,19 +160,19 @@
         })
     }
 
-    /// The handle to the actor.
+    /// A handle to the actor.
     pub fn remote(&self) -> &ActorRef<A> {
         &self.remote
     }
 
-    /// Ends the main loop, drops the actor and waits for the thread.
+    /// Stops the main loop, drops the actor and joins the thread.
     pub fn stop(&mut self) {
         self.stopped.store(true, Ordering::Release);
         let Some(thread) = self.thread.take() else {
             return;
         };
         thread.thread().unpark();
-        // A panic on the thread was already printed by the panic hook.
+        // The panic hook has already printed a panic of the thread.
         let _ = thread.join();
     }
 }
@@ -183,7 +183,7 @@
     }
 }
 
-/// The body of a host's thread.
+/// Main function of an actor thread.
 fn run<A: 'static>(
     init: impl FnOnce(&mut Cx<'_, A>, ActorRef<A>) -> A,
     sender: &SyncSender<ActorRef<A>>,
@@ -194,11 +194,11 @@
     stakker.set_poll_waker(move || this.unpark());
     let actor: ActorOwn<A> = ActorOwn::new(&mut stakker, ret_nop!(), LogID::default());
     let target = actor.clone();
-    let jobs = Fwd::new(move |job: Job<A>| {
+    let actions = Fwd::new(move |action: Action<A>| {
         let actor = target.clone();
-        target.defer(move |s| actor.apply(s, job));
+        target.defer(move |s| actor.apply(s, action));
     });
-    let (channel, guard) = Channel::new(&mut stakker, jobs);
+    let (channel, guard) = Channel::new(&mut stakker, actions);
     let remote = ActorRef { channel };
     let own = remote.clone();
     actor.apply_prep(&mut stakker, move |cx| Some(init(cx, own)));
@@ -221,8 +221,8 @@
     struct Counter(u64);
 
     impl Counter {
-        fn later(&mut self, cx: &mut Cx<'_, Self>, answerer: Responder<u64>) {
-            after!(Duration::from_millis(1), [cx], |this, _| answerer
+        fn send_later(&mut self, cx: &mut Cx<'_, Self>, responder: Responder<u64>) {
+            after!(Duration::from_millis(1), [cx], |this, _| responder
                 .send(this.0));
         }
     }
@@ -244,29 +244,31 @@
     #[test]
     fn ask_later_after_timer() {
         let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
-        let answer = host
+        let response = host
             .remote()
-            .ask_deferred(|counter, cx, answerer| counter.later(cx, answerer));
-        assert_eq!(answer, Ok(7));
+            .ask_deferred(|counter, cx, responder| counter.send_later(cx, responder));
+        assert_eq!(response, Ok(7));
     }
 
     #[test]
     fn ask_within_time() {
         let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
-        let (keep, kept) = mpsc::channel();
-        let late: Result<u64, _> =
+        let (sender, receiver) = mpsc::channel();
+        let timed_out: Result<u64, _> =
             host.remote()
-                .ask_within(Duration::ZERO, move |_, _, answerer| {
-                    let _ = keep.send(answerer);
+                .ask_within(Duration::ZERO, move |_, _, responder| {
+                    let _ = sender.send(responder);
                 });
-        assert_eq!(late.unwrap_err().cause, Cause::Timeout);
-        kept.recv().unwrap().send(1);
+        assert_eq!(timed_out.unwrap_err().cause, Cause::Timeout);
+        receiver.recv().unwrap().send(1);
     }
 
     #[test]
-    fn ask_dropped_answerer() {
+    fn ask_dropped_responder() {
         let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
-        let answer: Result<u64, _> = host.remote().ask_deferred(|_, _, answerer| drop(answerer));
-        assert!(answer.is_err());
+        let response: Result<u64, _> = host
+            .remote()
+            .ask_deferred(|_, _, responder| drop(responder));
+        assert!(response.is_err());
     }
 }
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -9,9 +9,9 @@
 use {
     crate::{
         clock::BootInstant,
-        reuse::Trust,
+        reuse::ReusePolicy,
         runtime,
-        timeout::Span,
+        timeout::AttemptTimeout,
         token::Token,
         traffic,
         verdict::{Cause, Failure},
@@ -126,7 +126,7 @@
     /// A client with limits of its own.
     pub fn with_limits(token: Option<Token>, limits: PoolLimits) -> Self {
         Client {
-            pool: Arc::new(Pool::new(limits, Trust::new(limits.idle_timeout))),
+            pool: Arc::new(Pool::new(limits, ReusePolicy::new(limits.idle_timeout))),
             token,
             limits,
             stretch: 1,
@@ -165,7 +165,7 @@
         call: &Call<'_>,
         connection: ConnectionId,
     ) -> Result<HttpResponse, Failure> {
-        let span = call.timeout.stretched(self.stretch).first(call.body.len());
+        let span = call.timeout.scaled(self.stretch).first(call.body.len());
         self.attempt(call, span, Some(connection)).await
     }
 
@@ -176,11 +176,11 @@
     /// `not-run` only when no byte left for the receiver; else `may-have-run`. An answer without
     /// a length of its own, or one that is cut, is `BadAnswer`.
     pub async fn call(&self, call: &Call<'_>) -> Result<HttpResponse, Failure> {
-        let time = call.timeout.stretched(self.stretch);
+        let time = call.timeout.scaled(self.stretch);
         let body = call.body.len();
         let begun = Instant::now();
         let first = match self.attempt(call, time.first(body), None).await {
-            Err(failure) if time.is_twice() && failure.is_connection_failure() => failure,
+            Err(failure) if time.has_retry() && failure.is_connection_failure() => failure,
             result => return result,
         };
         let span = time.second(body, begun.elapsed());
@@ -201,7 +201,7 @@
     async fn attempt(
         &self,
         call: &Call<'_>,
-        span: Span,
+        span: AttemptTimeout,
         bound: Option<ConnectionId>,
     ) -> Result<HttpResponse, Failure> {
         let begun = Instant::now();
@@ -235,7 +235,8 @@
     /// The failure that a fault is after so many bytes were handed over.
     fn failed(&self, call: &Call, fault: &Fault, sent: usize) -> Failure {
         if matches!(fault, Fault::Connecting | Fault::Late) {
-            self.pool.distrust(receiver(call.url), BootInstant::now());
+            self.pool
+                .record_timeout(receiver(call.url), BootInstant::now());
         }
         classify(fault, sent)
     }
@@ -355,7 +356,7 @@
 async fn exchange(
     kept: &mut Kept,
     request: Request<Full<Bytes>>,
-    span: Span,
+    span: AttemptTimeout,
     begun: Instant,
 ) -> Result<HttpResponse, Fault> {
     let (connection, meter) = (kept.number, kept.meter.clone());
--- a/components/kernel/src/client/pool.rs
+++ b/components/kernel/src/client/pool.rs
@@ -5,7 +5,7 @@
         Fault, PoolLimits,
         metered::{ConnectionId, Meter, Metered},
     },
-    crate::{clock::BootInstant, reuse::Trust, sync::lock},
+    crate::{clock::BootInstant, reuse::ReusePolicy, sync::lock},
     http_body_util::Full,
     hyper::{
         body::Bytes,
@@ -44,7 +44,7 @@
 /// Idle connections, by receiver, the last used one last.
 pub(super) struct Pool {
     limits: PoolLimits,
-    trust: Trust,
+    reuse: ReusePolicy,
     idle: Mutex<Idle>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Pool {
-    pub fn new(limits: PoolLimits, trust: Trust) -> Self {
+    pub fn new(limits: PoolLimits, reuse: ReusePolicy) -> Self {
         let idle = Idle {
             by_receiver: HashMap::new(),
             count: 0,
@@ -63,14 +63,14 @@
         };
         Pool {
             limits,
-            trust,
+            reuse,
             idle: Mutex::new(idle),
         }
     }
 
     /// Notes that a call to a receiver has timed out now.
-    pub fn distrust(&self, receiver: &str, now: BootInstant) {
-        self.trust.distrust(receiver, now);
+    pub fn record_timeout(&self, receiver: &str, now: BootInstant) {
+        self.reuse.record_timeout(receiver, now);
     }
 
     /// A connection to a receiver, an idle one where there is one that may be used; the bound one or none.
@@ -105,7 +105,7 @@
         let list = by_receiver.get_mut(receiver)?;
         while let Some(kept) = list.pop() {
             let is_young = kept.since.elapsed() < self.limits.idle_timeout;
-            if !is_young || !self.trust.is_trusted(receiver, kept.meter.proof()) {
+            if !is_young || !self.reuse.may_reuse(receiver, kept.meter.proof()) {
                 *count -= 1;
                 continue;
             }
--- a/components/kernel/src/clock.rs
+++ b/components/kernel/src/clock.rs
@@ -1,8 +1,9 @@
-//! The clock by which beliefs age.
+//! Monotonic clock that includes the time while the machine is suspended, and detection of suspensions.
 //!
-//! A machine may be suspended for seconds. The kernel's steady clock, and so `std::time::Instant`, does not count that
-//! time; leases, owners and configurations elsewhere went on meanwhile. [`Moment`] counts it. Waits, sockets and
-//! measurements of work stay with `Instant`: the kernel's own timers go by the steady clock.
+//! A machine may be suspended for seconds. The monotonic clock of the operating system, and so
+//! `std::time::Instant`, does not count that time, while leases, owners and configurations elsewhere
+//! advance. [`BootInstant`] counts it. Waits, sockets and measurements of work use `Instant`, since the
+//! timers of the operating system follow the monotonic clock.
 
 use {
     nix::time::{ClockId, clock_gettime},
@@ -13,30 +14,30 @@
     },
 };
 
-/// A suspension shorter than this is none: nothing that a box believes becomes wrong in so short a time, and between the
-/// readings that show it the process may be kept waiting for a turn.
-const LEAST: Duration = Duration::from_millis(100);
+/// Shorter suspensions are ignored: no cached state becomes invalid in so short a time, and the process may be
+/// descheduled for a while between reading the two clocks.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Time that was added by [`suspend`], in milliseconds.
+/// Time added by [`simulate_suspension`], in milliseconds.
 static ADDED: AtomicU64 = AtomicU64::new(0);
 
-/// A moment on a clock that only goes up and counts the time for which the machine was suspended.
+/// A point in time on `CLOCK_BOOTTIME`, which is monotonic and includes suspended time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present moment.
+    /// The current time.
     pub fn now() -> Self {
         let added = Duration::from_millis(ADDED.load(Ordering::Acquire));
-        BootInstant(read(ClockId::CLOCK_BOOTTIME) + added)
+        BootInstant(read_clock(ClockId::CLOCK_BOOTTIME) + added)
     }
 
-    /// The time since an earlier moment; nothing for a later one.
+    /// The time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: BootInstant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The time since then.
+    /// The time since this point.
     pub fn elapsed(self) -> Duration {
         BootInstant::now().since(self)
     }
@@ -50,18 +51,18 @@
     }
 }
 
-/// A moment on both clocks, which tells later whether the machine was suspended since.
+/// A point in time on both clocks, from which a later suspension of the machine can be detected.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockPair {
-    /// The moment.
+    /// The time that includes suspensions.
     pub at: BootInstant,
     pub(crate) monotonic: Instant,
 }
 
 impl ClockPair {
-    /// The present moment.
+    /// The current time.
     pub fn now() -> Self {
-        // Whatever comes between the two readings, here and below, looks like a suspension: a doubt too many.
+        // A delay between the two readings, here and below, looks like a suspension: a false positive is safe.
         let at = BootInstant::now();
         let steady = Instant::now();
         ClockPair {
@@ -70,24 +71,24 @@
         }
     }
 
-    /// True when the machine was suspended since then.
+    /// True if the machine was suspended for more than 100 ms since this point.
     pub fn was_suspended(self) -> bool {
-        let steady = self.monotonic.elapsed();
-        self.at.elapsed() > steady + LEAST
+        let monotonic = self.monotonic.elapsed();
+        self.at.elapsed() > monotonic + MIN_SUSPENSION
     }
 }
 
-/// Moves the clock as a suspension of this length would. For tests.
+/// Advances [`BootInstant`] as a suspension of this length would. For tests.
 pub fn simulate_suspension(time: Duration) {
     ADDED.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
 }
 
-/// Reads a clock of the kernel. All that are asked for here are part of it since version 2.6.39.
-fn read(clock: ClockId) -> Duration {
+/// Reads a clock of the operating system. Linux has `CLOCK_BOOTTIME` since version 2.6.39.
+fn read_clock(clock: ClockId) -> Duration {
     match clock_gettime(clock) {
         Ok(time) => Duration::from(time),
         Err(error) => {
-            log::error!(target: "kernel", clock:? = clock, error:% = error; "A clock cannot be read.");
+            log::error!(target: "kernel", clock:? = clock, error:% = error; "Cannot read_clock a system clock; using 0.");
             Duration::ZERO
         }
     }
--- a/components/kernel/src/daemon.rs
+++ b/components/kernel/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What every daemon does around its own part: arguments, logs, metrics, the orderly stop.
+//! Start and shutdown of daemons: arguments, common settings, logging, metrics and the stop signal.
 
 use {
     crate::{
@@ -12,10 +12,10 @@
     std::{env, process},
 };
 
-/// Exit code of a daemon that could not start, for a reason that is not in its settings.
+/// Exit code of a daemon that could not start for a reason other than its settings.
 pub const EXIT_START: i32 = 1;
 
-/// Reads the arguments. Ends the process with 0 after `--help`, and with 2 when they are wrong.
+/// Parses the command line. Exits with 0 after `--help` and with 2 on invalid arguments.
 pub fn parse_arguments<T: TopLevelCommand>() -> T {
     let strings: Vec<String> = env::args_os()
         .map(|arg| arg.to_string_lossy().into_owned())
@@ -31,21 +31,21 @@
         }
         Err(exit) => {
             eprintln!("{}", exit.output.trim_end());
-            eprintln!("{name} --help tells more.");
+            eprintln!("{name} --help lists all options.");
             process::exit(EXIT_SETTINGS)
         }
     }
 }
 
-/// Settings that every daemon has.
+/// Settings common to all daemons.
 pub struct CommonSettings {
-    /// The level of the logs.
+    /// The log level.
     pub level: LevelFilter,
-    /// The secret of the internal ports.
+    /// The token that authenticates requests to the internal ports.
     pub token: Option<Token>,
 }
 
-/// Reads the settings that every daemon has.
+/// Reads the settings common to all daemons; `None` if one of them is invalid.
 pub fn read_common(
     reader: &mut Reader<'_>,
     level: Option<String>,
@@ -67,35 +67,37 @@
     })
 }
 
-/// Starts logs and metrics; ends the process when they cannot be started.
+/// Starts text logging and metrics; exits the process on failure.
 pub fn init_telemetry(level: LevelFilter) {
     if let Err(error) = logs::start(level).and_then(|()| ops::start_metrics()) {
         exit_with_error(&error);
     }
 }
 
-/// Like [`begin`], with logs as lines of JSON on the standard output.
+/// Like [`init_telemetry`], with logs as JSON lines on the standard output.
 pub fn init_telemetry_json(level: LevelFilter) {
     if let Err(error) = logs::start_json(level).and_then(|()| ops::start_metrics()) {
         exit_with_error(&error);
     }
 }
 
-/// Ends the process: it could not start.
+/// Prints the error and exits with [`EXIT_START`].
 pub fn exit_with_error(error: &str) -> ! {
     eprintln!("cannot start: {error}");
     process::exit(EXIT_START)
 }
 
-/// Unwraps what a daemon started, or ends the process.
+/// Unwraps the result of a start step, or exits the process with its error.
 pub fn started_or_exit<T, E: std::fmt::Display>(result: Result<T, E>) -> T {
     result.unwrap_or_else(|error| exit_with_error(&error.to_string()))
 }
 
-/// Waits for the signal to stop.
+/// Blocks until SIGTERM or SIGINT; exits the process if the handlers cannot be installed.
 pub fn wait_for_shutdown() {
     match shutdown::wait_for_signal() {
-        Ok(signal) => log::info!(target: "kernel", "The process is asked to stop. signal={signal}"),
+        Ok(signal) => {
+            log::info!(target: "kernel", "Received a stop signal, shutting down. signal={signal}")
+        }
         Err(error) => exit_with_error(&error.to_string()),
     }
 }
--- a/components/kernel/src/json_log.rs
+++ b/components/kernel/src/json_log.rs
@@ -1,7 +1,7 @@
-//! The form of log lines for machines: one event as one line of JSON.
+//! Encodes log events as JSON, one line per event.
 //!
-//! What keeps the output of a process keeps the end of it only, so a line is short: its time in UTC,
-//! level, target and message, then the key-values beside them.
+//! The log storage keeps only the last part of a process's output, so lines are short: time in UTC, level,
+//! target and message, followed by the key-values at the same level.
 
 use {
     crate::wall_clock,
@@ -18,32 +18,32 @@
     },
 };
 
-/// The keys that each line begins with.
-const FIXED: [&str; 4] = ["time", "level", "target", "message"];
-/// Is added to a key that is in the line already.
-const TAKEN: char = '_';
-/// The key of the reason why the rest of the key-values is missing.
-const MISSING: &str = "missing";
-/// Stands for what cannot be written.
+/// Keys at the beginning of each line.
+const FIXED_KEYS: [&str; 4] = ["time", "level", "target", "message"];
+/// Appended to a key that already occurs in the line.
+const DUPLICATE_SUFFIX: char = '_';
+/// Key of the error because of which the remaining key-values are missing.
+const ERROR_KEY: &str = "missing";
+/// Replaces a value that cannot be formatted.
 const UNWRITABLE: &str = "(cannot be written)";
-/// Bytes set aside for a line; most take less.
-const ROOM: usize = 256;
+/// Initial capacity of a line in bytes; most lines are shorter.
+const LINE_CAPACITY: usize = 256;
 
-/// Encodes events as lines of JSON.
+/// Encodes events as JSON lines.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Compact;
+pub(crate) struct JsonEncoder;
 
-impl Encode for Compact {
+impl Encode for JsonEncoder {
     fn encode(&self, output: &mut dyn encode::Write, record: &Record<'_>) -> anyhow::Result<()> {
         output.write_all(&line(record, wall_clock::millis()))?;
         Ok(())
     }
 }
 
-/// The line of an event at a time, in milliseconds since 1970.
+/// Encodes an event as a line; `at` is in milliseconds since the Unix epoch.
 fn line(record: &Record<'_>, at: u64) -> Vec<u8> {
     let mut line = Line {
-        text: Vec::with_capacity(ROOM),
+        text: Vec::with_capacity(LINE_CAPACITY),
         keys: Vec::new(),
     };
     line.text.extend_from_slice(b"{\"time\":");
@@ -58,19 +58,19 @@
         None => write(&mut line.text, &text(record.args())),
     }
     if let Err(error) = record.key_values().visit(&mut line) {
-        line.key(Cow::Borrowed(MISSING));
+        line.key(Cow::Borrowed(ERROR_KEY));
         write(&mut line.text, &text(&error));
     }
     line.text.extend_from_slice(b"}\n");
     line.text
 }
 
-/// A time as text, as in `2026-08-27T13:05:20.238Z`; empty beyond what the calendar holds.
+/// Formats a time as in `2026-08-27T13:05:20.238Z`; empty if out of range for the calendar.
 fn utc(millis: u64) -> String {
     wall_clock::utc(millis, SecondsFormat::Millis).unwrap_or_default()
 }
 
-/// What a value shows of itself, also when it fails on its way.
+/// Formats a value; if this fails, the text so far is kept and marked.
 fn text(value: impl fmt::Display) -> String {
     let mut text = String::new();
     if write!(text, "{value}").is_err() {
@@ -79,7 +79,7 @@
     text
 }
 
-/// Adds a value in JSON.
+/// Appends a value in JSON.
 fn write<T: Serialize + ?Sized>(line: &mut Vec<u8>, value: &T) {
     let start = line.len();
     if serde_json::to_writer(&mut *line, value).is_err() {
@@ -88,18 +88,18 @@
     }
 }
 
-/// A line on its way.
+/// A line that is being built.
 struct Line<'a> {
     text: Vec<u8>,
-    /// The keys of key-values that are in it.
+    /// Keys of the key-values in the line.
     keys: Vec<Cow<'a, str>>,
 }
 
 impl<'a> Line<'a> {
-    /// Begins a key-value. A key that is in the line already gets another name.
+    /// Appends the key of a key-value. A key that already occurs in the line is made unique.
     fn key(&mut self, mut key: Cow<'a, str>) {
-        while FIXED.contains(&&*key) || self.keys.contains(&key) {
-            key.to_mut().push(TAKEN);
+        while FIXED_KEYS.contains(&&*key) || self.keys.contains(&key) {
+            key.to_mut().push(DUPLICATE_SUFFIX);
         }
         self.text.push(b',');
         write(&mut self.text, &*key);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Writes one value: numbers and truth values as such, all else as text.
+/// Appends one value: numbers and booleans as such, everything else as text.
 struct Writer<'a>(&'a mut Vec<u8>);
 
 impl<'v> VisitValue<'v> for Writer<'_> {
@@ -143,7 +143,7 @@
     }
 
     fn visit_f64(&mut self, value: f64) -> Result<(), kv::Error> {
-        // JSON has no number for these.
+        // JSON cannot represent these as numbers.
         if !value.is_finite() {
             return self.visit_any(Value::from(value));
         }
@@ -174,7 +174,7 @@
     /// 2026-08-27T13:05:20.238Z.
     const AT: u64 = 1_787_835_920_238;
 
-    /// The line of a cell's event with these key-values.
+    /// The line of an event of a cell with these key-values.
     fn line_of(message: fmt::Arguments<'_>, values: &dyn Source) -> String {
         let record = Record::builder()
             .args(message)
@@ -188,26 +188,26 @@
         String::from_utf8(line(&record, AT)).unwrap()
     }
 
-    /// What a reader of JSON finds under a key.
+    /// Parses the line and returns the value of a key.
     fn read(line: &str, key: &str) -> serde_json::Value {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
         value[key].clone()
     }
 
-    /// Fails after some text.
-    struct Broken;
+    /// Fails to format after part of the text.
+    struct FailingValue;
 
-    impl fmt::Display for Broken {
+    impl fmt::Display for FailingValue {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("half")?;
             Err(fmt::Error)
         }
     }
 
-    /// Key-values that break off after the first.
-    struct Cut;
+    /// Key-values that fail after the first.
+    struct FailingSource;
 
-    impl Source for Cut {
+    impl Source for FailingSource {
         fn visit<'kvs>(&'kvs self, visitor: &mut dyn VisitSource<'kvs>) -> Result<(), kv::Error> {
             visitor.visit_pair("job".into(), "a1".into())?;
             Err(kv::Error::msg("no more"))
@@ -215,7 +215,7 @@
     }
 
     #[test]
-    fn line_whole_form() {
+    fn line_complete() {
         let values = [
             ("job", Value::from("50edb6e5c0ea7808")),
             ("count", Value::from(4_u64)),
@@ -228,7 +228,7 @@
         );
     }
 
-    /// This event took 340 bytes with module, file, thread and nested attributes.
+    /// Guards against long lines: with module, file, thread and nested attributes, this event took 340 bytes.
     #[test]
     fn line_typical_is_short() {
         let values = [
@@ -256,12 +256,12 @@
     #[test_case(Value::from(0.5), "0.5")]
     #[test_case(Value::from(true), "true")]
     #[test_case(Value::from("7"), "\"7\""; "text of digits stays text")]
-    #[test_case(Value::from(f64::NAN), "\"NaN\""; "no number")]
-    #[test_case(Value::from(f64::INFINITY), "\"inf\""; "no finite number")]
+    #[test_case(Value::from(f64::NAN), "\"NaN\""; "not a number")]
+    #[test_case(Value::from(f64::INFINITY), "\"inf\""; "infinite")]
     #[test_case(Value::from('x'), "\"x\"")]
     #[test_case(Value::from_debug(&Some(4)), "\"Some(4)\"")]
     #[test_case(Value::from(u128::MAX), "\"340282366920938463463374607431768211455\"")]
-    fn line_kinds_of_values(value: Value<'_>, expected: &str) {
+    fn line_value_types(value: Value<'_>, expected: &str) {
         let line = line_of(format_args!("x"), &("value", value));
         assert!(
             line.ends_with(&format!(",\"value\":{expected}}}\n")),
@@ -272,15 +272,15 @@
 
     #[test]
     fn line_escapes() {
-        let odd = "a \"b\" \\ \n\r\t\u{1} \u{2028} ü";
-        let line = line_of(format_args!("{odd}"), &(odd, odd));
+        let special = "a \"b\" \\ \n\r\t\u{1} \u{2028} ü";
+        let line = line_of(format_args!("{special}"), &(special, special));
         assert_eq!(line.matches('\n').count(), 1);
-        assert_eq!(read(&line, "message"), odd);
-        assert_eq!(read(&line, odd), odd);
+        assert_eq!(read(&line, "message"), special);
+        assert_eq!(read(&line, special), special);
     }
 
     #[test]
-    fn line_clash_keeps_both() {
+    fn line_duplicate_keys() {
         let values = [
             ("target", 1),
             ("message", 2),
@@ -291,25 +291,25 @@
         let line = line_of(format_args!("x"), &values);
         assert_eq!(read(&line, "target"), "cell");
         assert_eq!(read(&line, "message"), "x");
-        let kept = ["target_", "message_", "job", "job_", "job__"].map(|key| read(&line, key));
-        assert_eq!(json!(kept), json!([1, 2, 3, 4, 5]));
+        let values = ["target_", "message_", "job", "job_", "job__"].map(|key| read(&line, key));
+        assert_eq!(json!(values), json!([1, 2, 3, 4, 5]));
     }
 
     #[test]
-    fn line_broken_value_keeps_the_rest() {
+    fn line_failing_value() {
         let values = [
-            ("bad", Value::from_display(&Broken)),
+            ("bad", Value::from_display(&FailingValue)),
             ("good", Value::from(1)),
         ];
-        let line = line_of(format_args!("{Broken}"), &values);
+        let line = line_of(format_args!("{FailingValue}"), &values);
         assert_eq!(read(&line, "message"), "half(cannot be written)");
         assert_eq!(read(&line, "bad"), "half(cannot be written)");
         assert_eq!(read(&line, "good"), 1);
     }
 
     #[test]
-    fn line_broken_source_tells_so() {
-        let line = line_of(format_args!("x"), &Cut);
+    fn line_failing_source() {
+        let line = line_of(format_args!("x"), &FailingSource);
         assert_eq!(read(&line, "job"), "a1");
         assert_eq!(read(&line, "missing"), "no more");
     }
--- a/components/kernel/src/lib.rs
+++ b/components/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Kernel of magpiesaddle: what every part needs and no part should write twice.
+//! Infrastructure shared by all crates of magpiesaddle.
 //!
-//! Settings, logs, metrics, verdicts, the registry of plug-ins, actors on their threads, and
-//! HTTP in both directions. Nothing in here knows what is scheduled.
+//! Settings, logging, metrics, request verdicts, the plug-in registry, actors on their own threads,
+//! and an HTTP client and server. It contains no scheduling logic.
 
 pub mod actor;
 pub mod client;
@@ -31,5 +31,5 @@
 pub use server::{Reply, Request, Server};
 pub use verdict::{Failure, Verdict};
 
-// Parts that hold actors name the runtime through the kernel, so that one version is used.
+// Re-exported so that all crates with actors use the same version of the runtime.
 pub use stakker;
--- a/components/kernel/src/logs.rs
+++ b/components/kernel/src/logs.rs
@@ -1,11 +1,11 @@
-//! Logs by `log4rs`: one line an event, with the part's fixed prefix as the target.
+//! Logging with `log4rs`: one line per event, with a fixed target per component.
 //!
-//! Two forms: text on the error output for people, and JSON on the standard output for machines.
-//! The second never blocks the caller and is bounded: lines wait in a queue for a task of their
-//! own, and what is too much is dropped and counted.
+//! Two formats: text on the standard error output for people, and JSON on the standard output for programs.
+//! The JSON output never blocks the caller and is rate-limited: lines are queued for a writer thread, and
+//! excess lines are dropped and counted.
 
 use {
-    crate::{json_log::Compact, sync::lock, task},
+    crate::{json_log::JsonEncoder, sync::lock, task},
     log::{Level, LevelFilter, Record},
     log4rs::{
         Handle,
@@ -28,30 +28,30 @@
     },
 };
 
-/// Time in UTC, level, prefix of the part, text.
+/// Time in UTC, level, target, message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:<5} {t}: {m}{n}";
-/// Lines that may wait to be written; some 100 KB.
-const QUEUE: usize = 512;
-/// Lines a second; the busiest box of today's sites writes 400.
-const RATE: f64 = 600.0;
-/// Lines at once beyond the rate.
-const BURST: f64 = 1_200.0;
-/// Lines of one kind, that is from one place in the code, may take this part of the room: a flood of
-/// one kind leaves the others.
-const SHARE: f64 = 0.5;
-/// The least time between two notes of how many lines were dropped.
-const NOTE_GAP: Duration = Duration::from_secs(1);
-/// Bytes that one write takes at most: a pipe keeps so many together (`PIPE_BUF` on Linux), while of a
-/// longer write a reader was seen to keep the beginning only. A longer line is a write of its own.
-const WHOLE: usize = 4_096;
+/// Capacity of the queue to the writer, in lines; about 100 KB.
+const QUEUE_LINES: usize = 512;
+/// Sustained rate in lines per second. The busiest production box writes 400.
+const LINES_PER_SECOND: f64 = 600.0;
+/// Lines that may exceed the rate in a burst.
+const BURST_LINES: f64 = 1_200.0;
+/// Share of the rate for the lines of one source location, so that a flood from one location does not
+/// displace the others.
+const LOCATION_SHARE: f64 = 0.5;
+/// Minimum interval between two reports of dropped lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of one write in bytes: writes of up to `PIPE_BUF` (4,096 on Linux) to a pipe are atomic, whereas
+/// readers have kept only the beginning of longer writes. A longer line is written on its bucket.
+const MAX_WRITE: usize = 4_096;
 
 static HANDLE: OnceLock<Handle> = OnceLock::new();
 
-/// Starts logs as text on the error output, once a process; a second call changes the level.
+/// Starts logging as text on the standard error output; a second call changes the level.
 ///
 /// # Errors
 ///
-/// The configuration is refused, or another logger was installed before, as a sentence.
+/// The message of the library if the configuration is rejected or another logger is already installed.
 pub fn start(level: LevelFilter) -> Result<(), String> {
     let console = ConsoleAppender::builder()
         .target(Target::Stderr)
@@ -60,16 +60,16 @@
     install(level, Box::new(console))
 }
 
-/// Starts logs as lines of JSON on the standard output.
+/// Starts logging as JSON lines on the standard output.
 ///
 /// # Errors
 ///
-/// As for [`start`]; or the system has no room for the writing task.
+/// As for [`start`], or if the writer thread cannot be created.
 pub fn start_json(level: LevelFilter) -> Result<(), String> {
-    let (sender, lines) = mpsc::sync_channel(QUEUE);
+    let (sender, lines) = mpsc::sync_channel(QUEUE_LINES);
     task::spawn("log", move || write(&lines, &mut io::stdout().lock()))
         .map_err(|error| error.to_string())?;
-    install(level, Box::new(Bounded::new(sender)))
+    install(level, Box::new(QueuedAppender::new(sender)))
 }
 
 fn install(level: LevelFilter, appender: Box<dyn Append>) -> Result<(), String> {
@@ -86,12 +86,12 @@
     Ok(())
 }
 
-/// Room for lines, refilled at a steady rate.
+/// Token bucket for lines, refilled at a constant rate.
 #[derive(Debug)]
 struct Bucket {
-    /// The part of the whole rate that it has.
+    /// Its share of the total rate.
     share: f64,
-    room: f64,
+    tokens: f64,
     filled: Instant,
 }
 
@@ -99,86 +99,89 @@
     fn full(share: f64, now: Instant) -> Self {
         Bucket {
             share,
-            room: BURST * share,
+            tokens: BURST_LINES * share,
             filled: now,
         }
     }
 
-    /// True when there is room for a line.
-    fn has_room(&mut self, now: Instant) -> bool {
+    /// Refills the bucket; true if a line may pass.
+    fn has_token(&mut self, now: Instant) -> bool {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.room = (self.room + passed * RATE * self.share).min(BURST * self.share);
+        self.tokens =
+            (self.tokens + passed * LINES_PER_SECOND * self.share).min(BURST_LINES * self.share);
         self.filled = now;
-        self.room >= 1.0
+        self.tokens >= 1.0
     }
 }
 
-/// The place in the code that a line comes from.
-type Kind = (Option<&'static str>, Option<u32>);
+/// Source location of a line.
+type Location = (Option<&'static str>, Option<u32>);
 
-/// The room of all lines, and that of each kind.
+/// Rate limit of all lines, and of each source location.
 #[derive(Debug)]
-struct Room {
+struct RateLimit {
     all: Bucket,
-    kinds: HashMap<Kind, Bucket>,
-    /// When it was last told how many lines were dropped.
-    noted: Option<Instant>,
+    locations: HashMap<Location, Bucket>,
+    /// Time of the last report of dropped lines.
+    last_report: Option<Instant>,
 }
 
-impl Room {
+impl RateLimit {
     fn full(now: Instant) -> Self {
-        Room {
+        RateLimit {
             all: Bucket::full(1.0, now),
-            kinds: HashMap::new(),
-            noted: None,
+            locations: HashMap::new(),
+            last_report: None,
         }
     }
 
-    /// Takes room for one line of a kind; false when there is none.
-    fn take(&mut self, kind: Kind, now: Instant) -> bool {
-        let own = self.kinds.entry(kind);
-        let own = own.or_insert_with(|| Bucket::full(SHARE, now));
-        if !self.all.has_room(now) || !own.has_room(now) {
+    /// Takes the tokens for one line of a source location; false if there are none.
+    fn take(&mut self, location: Location, now: Instant) -> bool {
+        let bucket = self.locations.entry(location);
+        let bucket = bucket.or_insert_with(|| Bucket::full(LOCATION_SHARE, now));
+        if !self.all.has_token(now) || !bucket.has_token(now) {
             return false;
         }
-        self.all.room -= 1.0;
-        own.room -= 1.0;
+        self.all.tokens -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
-    /// True, once in a while, when it may be told how many lines were dropped.
-    fn may_note(&mut self, now: Instant) -> bool {
-        let may = self.noted.is_none_or(|at| now >= at + NOTE_GAP);
-        if may {
-            self.noted = Some(now);
+    /// True if a report of dropped lines is due; records it as made.
+    fn is_report_due(&mut self, now: Instant) -> bool {
+        let is_due = self
+            .last_report
+            .is_none_or(|at| now >= at + REPORT_INTERVAL);
+        if is_due {
+            self.last_report = Some(now);
         }
-        may
+        is_due
     }
 }
 
-/// Encodes lines and hands them to the writing task.
+/// Rate-limited appender that encodes lines and queues them for the writer thread.
 #[derive(Debug)]
-struct Bounded {
+struct QueuedAppender {
     sender: SyncSender<Vec<u8>>,
-    room: Mutex<Room>,
+    limit: Mutex<RateLimit>,
     dropped: AtomicU64,
 }
 
-impl Bounded {
+impl QueuedAppender {
     fn new(sender: SyncSender<Vec<u8>>) -> Self {
-        Bounded {
+        QueuedAppender {
             sender,
-            room: Mutex::new(Room::full(Instant::now())),
+            limit: Mutex::new(RateLimit::full(Instant::now())),
             dropped: AtomicU64::new(0),
         }
     }
 }
 
-impl Append for Bounded {
+impl Append for QueuedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let now = Instant::now();
-        let kind = (record.file_static(), record.line());
-        if !lock(&self.room).take(kind, now) {
+        let location = (record.file_static(), record.line());
+        if !lock(&self.limit).take(location, now) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
@@ -186,9 +189,9 @@
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        if self.dropped.load(Ordering::Relaxed) > 0 && lock(&self.room).may_note(now) {
+        if self.dropped.load(Ordering::Relaxed) > 0 && lock(&self.limit).is_report_due(now) {
             let dropped = self.dropped.swap(0, Ordering::Relaxed);
-            let note = encode(
+            let report = encode(
                 &Record::builder()
                     .level(Level::Warn)
                     .target("log")
@@ -196,7 +199,7 @@
                     .key_values(&("lines", dropped))
                     .build(),
             )?;
-            if self.sender.try_send(note).is_err() {
+            if self.sender.try_send(report).is_err() {
                 self.dropped.fetch_add(dropped, Ordering::Relaxed);
             }
         }
@@ -206,29 +209,29 @@
     fn flush(&self) {}
 }
 
-/// An event as a line.
+/// Encodes an event as a line.
 fn encode(record: &Record<'_>) -> anyhow::Result<Vec<u8>> {
     let mut line = Vec::new();
-    Compact.encode(&mut SimpleWriter(&mut line), record)?;
+    JsonEncoder.encode(&mut SimpleWriter(&mut line), record)?;
     Ok(line)
 }
 
-/// Writes lines out, as many at a time as wait and stay whole.
+/// Writes queued lines, as many per write as fit completely.
 fn write(lines: &Receiver<Vec<u8>>, output: &mut impl Write) {
     while let Ok(mut text) = lines.recv() {
         while let Ok(line) = lines.try_recv() {
-            if text.len() + line.len() > WHOLE {
-                put(output, &text);
+            if text.len() + line.len() > MAX_WRITE {
+                write_all(output, &text);
                 text.clear();
             }
             text.extend_from_slice(&line);
         }
-        put(output, &text);
+        write_all(output, &text);
     }
 }
 
-fn put(output: &mut impl Write, text: &[u8]) {
-    // A reader that has gone leaves nobody to tell.
+fn write_all(output: &mut impl Write, text: &[u8]) {
+    // If the reader has closed the pipe, the error cannot be reported.
     let _ = output.write_all(text).and_then(|()| output.flush());
 }
 
@@ -236,10 +239,10 @@
 mod tests {
     use super::*;
 
-    const ONE: Kind = (Some("one.rs"), Some(1));
-    const OTHER: Kind = (Some("one.rs"), Some(2));
+    const ONE: Location = (Some("one.rs"), Some(1));
+    const OTHER: Location = (Some("one.rs"), Some(2));
 
-    /// What was written, write by write.
+    /// Records each write.
     #[derive(Default)]
     struct Writes(Vec<Vec<u8>>);
 
@@ -254,75 +257,85 @@
         }
     }
 
-    /// How many of 5,000 lines are taken, whose kinds take turns.
-    fn taken(room: &mut Room, kinds: &[Kind], now: Instant) -> usize {
-        let lines = kinds.iter().cycle().take(5_000);
-        lines.filter(|kind| room.take(**kind, now)).count()
+    /// How many of 5,000 lines pass, with alternating source locations.
+    fn count_passed(limit: &mut RateLimit, locations: &[Location], now: Instant) -> usize {
+        let lines = locations.iter().cycle().take(5_000);
+        lines.filter(|location| limit.take(**location, now)).count()
     }
 
     #[test]
     fn take_bounded_by_rate() {
         let start = Instant::now();
-        let mut room = Room::full(start);
-        assert_eq!(taken(&mut room, &[ONE, OTHER], start), BURST as usize);
+        let mut limit = RateLimit::full(start);
+        assert_eq!(
+            count_passed(&mut limit, &[ONE, OTHER], start),
+            BURST_LINES as usize
+        );
         let later = start + Duration::from_secs(1);
-        assert_eq!(taken(&mut room, &[ONE, OTHER], later), RATE as usize);
+        assert_eq!(
+            count_passed(&mut limit, &[ONE, OTHER], later),
+            LINES_PER_SECOND as usize
+        );
     }
 
-    /// Seen on a grown site: placements and ends of the busy seconds left no room for what an engineer
-    /// looks for.
+    /// Guards against starvation: on a large site, the lines about placements and ends of runs used up the rate in
+    /// busy seconds and displaced the lines needed for diagnosis.
     #[test]
-    fn take_leaves_room_for_other_kinds() {
+    fn take_limits_each_location() {
         let start = Instant::now();
-        let mut room = Room::full(start);
-        assert_eq!(taken(&mut room, &[ONE], start), (BURST * SHARE) as usize);
-        assert!(room.take(OTHER, start));
+        let mut limit = RateLimit::full(start);
+        assert_eq!(
+            count_passed(&mut limit, &[ONE], start),
+            (BURST_LINES * LOCATION_SHARE) as usize
+        );
+        assert!(limit.take(OTHER, start));
     }
 
     #[test]
-    fn may_note_once_a_second() {
+    fn is_report_due_once_a_second() {
         let start = Instant::now();
-        let mut room = Room::full(start);
-        assert!(room.may_note(start));
-        assert!(!room.may_note(start + NOTE_GAP / 2));
-        assert!(room.may_note(start + NOTE_GAP));
+        let mut limit = RateLimit::full(start);
+        assert!(limit.is_report_due(start));
+        assert!(!limit.is_report_due(start + REPORT_INTERVAL / 2));
+        assert!(limit.is_report_due(start + REPORT_INTERVAL));
     }
 
     #[test]
     fn append_full_queue_drops() {
         let (sender, lines) = mpsc::sync_channel(1);
-        let bounded = Bounded::new(sender);
+        let appender = QueuedAppender::new(sender);
         let record = Record::builder().args(format_args!("x")).build();
         for _ in 0..3 {
-            bounded.append(&record).unwrap();
+            appender.append(&record).unwrap();
         }
-        assert_eq!(bounded.dropped.load(Ordering::Relaxed), 2);
+        assert_eq!(appender.dropped.load(Ordering::Relaxed), 2);
         let line = lines.recv().unwrap();
         assert!(line.starts_with(b"{") && line.ends_with(b"\n"));
     }
 
     #[test]
-    fn append_tells_how_many_were_dropped() {
+    fn append_reports_dropped_lines() {
         let (sender, lines) = mpsc::sync_channel(2);
-        let bounded = Bounded::new(sender);
-        bounded.dropped.store(7, Ordering::Relaxed);
+        let appender = QueuedAppender::new(sender);
+        appender.dropped.store(7, Ordering::Relaxed);
         let record = Record::builder().args(format_args!("x")).build();
-        bounded.append(&record).unwrap();
-        let note = lines.iter().nth(1).unwrap();
-        let note: serde_json::Value = serde_json::from_slice(&note).unwrap();
-        let keys: Vec<&String> = note.as_object().unwrap().keys().collect();
+        appender.append(&record).unwrap();
+        let report = lines.iter().nth(1).unwrap();
+        let report: serde_json::Value = serde_json::from_slice(&report).unwrap();
+        let keys: Vec<&String> = report.as_object().unwrap().keys().collect();
         assert_eq!(keys, ["level", "lines", "message", "target", "time"]);
-        assert_eq!(note["message"], "Lines were dropped.");
-        assert_eq!(note["lines"], 7);
-        assert_eq!(bounded.dropped.load(Ordering::Relaxed), 0);
+        assert_eq!(report["message"], "Lines were dropped.");
+        assert_eq!(report["lines"], 7);
+        assert_eq!(appender.dropped.load(Ordering::Relaxed), 0);
     }
 
-    /// Seen on a busy box: of a write of more than 8,192 bytes the rest was lost, in the middle of a line.
+    /// Guards against truncated lines: on a busy box, everything beyond 8,192 bytes of a single write was lost, in
+    /// the middle of a line.
     #[test]
-    fn write_keeps_lines_whole() {
-        // What a pipe keeps together on Linux.
+    fn write_complete_lines() {
+        // Size of an atomic write to a pipe on Linux.
         const PIPE: usize = 4_096;
-        let (sender, lines) = mpsc::sync_channel(QUEUE);
+        let (sender, lines) = mpsc::sync_channel(QUEUE_LINES);
         let sent: Vec<Vec<u8>> = (0..100)
             .map(|i| format!("{i:0width$}\n", width = 10 + 7 * i).into_bytes())
             .chain([vec![b'x'; 2 * PIPE], b"last\n".to_vec()])
@@ -335,8 +348,8 @@
         write(&lines, &mut output);
         assert_eq!(output.0.concat(), sent.concat());
         for text in &output.0 {
-            let is_whole = text.len() <= PIPE && text.ends_with(b"\n");
-            assert!(is_whole || text == &sent[100], "{} bytes", text.len());
+            let is_complete = text.len() <= PIPE && text.ends_with(b"\n");
+            assert!(is_complete || text == &sent[100], "{} bytes", text.len());
         }
         assert!(output.0.len() < sent.len() / 2);
     }
--- a/components/kernel/src/ops.rs
+++ b/components/kernel/src/ops.rs
@@ -1,4 +1,4 @@
-//! What each process shows to operators: `/healthz`, `/readyz` and `/metrics`.
+//! Operator endpoints of each process: `/healthz`, `/readyz` and `/metrics`.
 
 use {
     crate::server::{Reply, Request},
@@ -11,11 +11,11 @@
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Installs the recorder of metrics, once a process.
+/// Installs the Prometheus recorder; later calls do nothing.
 ///
 /// # Errors
 ///
-/// Another recorder was installed before, as a sentence.
+/// The message of the library if another recorder is already installed.
 pub fn start_metrics() -> Result<(), String> {
     if RECORDER.get().is_some() {
         return Ok(());
@@ -27,31 +27,31 @@
     Ok(())
 }
 
-/// Whether a process takes work.
+/// Shared flag that states whether the process accepts work; initially false.
 #[derive(Clone, Default)]
 pub struct Readiness {
     ready: Arc<AtomicBool>,
 }
 
 impl Readiness {
-    /// Not ready yet.
+    /// A flag in the state "not ready".
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets it.
+    /// Sets whether the process accepts work.
     pub fn set(&self, ready: bool) {
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Reads it.
+    /// True if the process accepts work.
     pub fn get(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 }
 
-/// Answers the paths that every process has; gives other requests back. Whether the process is
-/// ready is worked out only when that is asked for.
+/// Responds to the operator endpoints and returns all other requests to the caller. `is_ready` is evaluated
+/// only for `/readyz`.
 pub fn route(request: Request, is_ready: impl FnOnce() -> bool) -> Option<Request> {
     let reply = match request.path.as_str() {
         "/healthz" => Reply::text(200, "alive\n"),
--- a/components/kernel/src/plugin.rs
+++ b/components/kernel/src/plugin.rs
@@ -1,8 +1,8 @@
-//! The registry of plug-ins: parts that register themselves and are chosen by name in settings.
+//! Plug-in registry: implementations that register themselves and are selected by name in the settings.
 //!
-//! A crate adds a plug-in with `inventory::submit!` of an [`Entry`]; neither the kernel nor the
-//! part that uses it has to be changed. The `kind` says what the plug-in is for, and `make`
-//! returns a box of the trait object that this kind calls for, as `dyn Any`.
+//! A crate adds a plug-in with `inventory::submit!` of an [`Entry`], without changes to the kernel or to the
+//! crate that uses it. The `kind` is the extension point, and `make` returns a box of the trait object that
+//! this kind requires, as `dyn Any`.
 
 use {
     crate::verdict::{Cause, Failure},
@@ -13,19 +13,19 @@
 
 /// One plug-in in the registry.
 pub struct Entry {
-    /// What it is for, such as `placement`.
+    /// The extension point, such as `placement`.
     pub kind: &'static str,
-    /// The name that settings choose it by.
+    /// The name that selects it in the settings.
     pub name: &'static str,
-    /// One sentence for `--help` and for the operators' pages.
+    /// One sentence for `--help` and for the operator documentation.
     pub about: &'static str,
-    /// Makes one, as a `Box<Box<dyn Trait>>` behind `dyn Any`.
+    /// Creates an instance, as a `Box<Box<dyn Trait>>` behind `dyn Any`.
     pub make: fn() -> Box<dyn Any>,
 }
 
 inventory::collect!(Entry);
 
-/// The plug-ins of a kind, in the order of their names.
+/// The plug-ins of a kind, sorted by name.
 pub fn of_kind(kind: &str) -> Vec<&'static Entry> {
     let mut found = Vec::new();
     for entry in inventory::iter::<Entry> {
@@ -38,11 +38,11 @@
     found
 }
 
-/// Makes the plug-in of this kind and name.
+/// Creates the plug-in of this kind and name.
 ///
 /// # Errors
 ///
-/// `Invalid` with the names that there are, when none has this name or its type is another.
+/// `Invalid` if no plug-in has this name (the message lists the available names) or if its type does not match.
 pub fn make<T: 'static>(kind: &str, name: &str) -> Result<T, Failure> {
     let entries = of_kind(kind);
     for entry in &entries {
@@ -50,16 +50,16 @@
             continue;
         }
         return match (entry.make)().downcast::<T>() {
-            Ok(made) => Ok(*made),
+            Ok(plugin) => Ok(*plugin),
             Err(_) => Err(Failure::not_run(
                 Cause::Invalid,
-                format!("the {kind} plug-in {name} has another type than {kind} calls for"),
+                format!("the type of the plug-in {name} does not match the kind {kind}"),
             )),
         };
     }
     let names: Vec<&str> = entries.iter().map(|entry| entry.name).collect();
     let text = format!(
-        "no {kind} plug-in is named {name}; there are: {}",
+        "unknown {kind} plug-in {name}; there are: {}",
         names.join(", ")
     );
     Err(Failure::not_run(Cause::Invalid, text))
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn make_other_type() {
+    fn make_type_mismatch() {
         assert!(make::<u32>("shape", "square").is_err());
     }
 }
--- a/components/kernel/src/public_server.rs
+++ b/components/kernel/src/public_server.rs
@@ -1,5 +1,5 @@
-//! HTTP ports that others than our own processes reach, by `oxhttp`: one task for each connection,
-//! with bounds on headers, connections, and the time of each step.
+//! HTTP server on `oxhttp` for clients outside the scheduler: one thread for each connection, with limits
+//! on headers, on connections and on the time of each read or write.
 
 use {
     oxhttp::{
@@ -13,19 +13,19 @@
     },
 };
 
-/// How often a free port is looked for when port 0 is asked for.
+/// Attempts to find a free port when port 0 is requested.
 const PORT_TRIES: u32 = 20;
 
-/// The bounds of a port.
+/// Limits of a port.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Connections at once; more wait to be accepted.
+    /// Concurrent connections; further ones wait to be accepted.
     pub connections: usize,
-    /// The time for one read or write.
+    /// Time-out of one read or write.
     pub io_timeout: Duration,
 }
 
-/// What a port does with each request.
+/// Handles a request and returns its response.
 pub trait Handler:
     Fn(&mut Request<Body>) -> Response<Body> + Clone + Send + Sync + 'static
 {
@@ -33,10 +33,10 @@
 
 impl<F: Fn(&mut Request<Body>) -> Response<Body> + Clone + Send + Sync + 'static> Handler for F {}
 
-/// Opens a port, which stays open until the process ends. Returns its address.
+/// Opens a port, which stays open until the process exits. Returns its address.
 ///
-/// The library does not tell which port it took for port 0, so a free one is found first; another
-/// process may take it in between, and then the next is tried.
+/// The library does not report which port it bound for port 0, so a free port is determined first. If another
+/// process binds that port in between, another one is tried.
 ///
 /// # Errors
 ///
@@ -44,16 +44,16 @@
 pub fn open(address: SocketAddr, bounds: Bounds, handler: impl Handler) -> io::Result<SocketAddr> {
     let mut last = io::Error::other("no free port");
     for _ in 0..PORT_TRIES {
-        let found = match address.port() {
+        let candidate = match address.port() {
             0 => TcpListener::bind(address)?.local_addr()?,
             _ => address,
         };
         let server = Server::new(handler.clone())
-            .bind(found)
+            .bind(candidate)
             .with_global_timeout(bounds.io_timeout)
             .with_max_concurrent_connections(bounds.connections);
         match server.spawn() {
-            Ok(_) => return Ok(found),
+            Ok(_) => return Ok(candidate),
             Err(error) if address.port() == 0 => last = error,
             Err(error) => return Err(error),
         }
@@ -61,18 +61,18 @@
     Err(last)
 }
 
-/// A body that ends with a broken connection after these bytes. For stand-ins.
+/// A body whose connection breaks after these bytes. For stand-ins that simulate faults.
 pub fn truncated_body(bytes: Vec<u8>) -> Body {
-    Body::from_read(Cut {
+    Body::from_read(TruncatedBody {
         bytes: io::Cursor::new(bytes),
     })
 }
 
-struct Cut {
+struct TruncatedBody {
     bytes: io::Cursor<Vec<u8>>,
 }
 
-impl Read for Cut {
+impl Read for TruncatedBody {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         match self.bytes.read(buffer)? {
             0 if !buffer.is_empty() => Err(io::ErrorKind::BrokenPipe.into()),
--- a/components/kernel/src/reuse.rs
+++ b/components/kernel/src/reuse.rs
@@ -1,12 +1,12 @@
-//! Which kept connections may be used again.
+//! Decides which idle connections of a pool may be reused.
 //!
-//! An open connection may go silent for good, without a reset, while new ones work. Only a time-out
-//! shows it, and when one connection to a receiver was silenced, others to it usually were too. So a
-//! time-out distrusts every connection to that receiver that has brought nothing since; the next
-//! call opens a new one.
+//! An open connection may stop delivering data permanently, without a reset, while new connections work. Only a
+//! time-out reveals this, and if one connection to a receiver is affected, others to it usually are too. After
+//! a time-out, no connection to that receiver is reused unless it has received data since; the next call opens
+//! a new connection.
 //!
-//! Nor may one be used that was open while the machine was suspended: whoever is at its other end may have given it
-//! up, or be gone.
+//! Connections that were open while the machine was suspended are not reused either: the peer may have closed
+//! them or may have ended.
 
 use {
     crate::{
@@ -16,38 +16,38 @@
     std::{collections::HashMap, sync::Mutex, time::Duration},
 };
 
-/// When calls to each receiver last timed out.
+/// Time of the last call time-out of each receiver.
 #[derive(Debug)]
-pub(crate) struct Trust {
+pub(crate) struct ReusePolicy {
     timeouts: Mutex<HashMap<Box<str>, BootInstant>>,
-    /// After this time no connection is kept that is older than a time-out.
-    age: Duration,
+    /// Idle time-out of connections: after it, no pooled connection is older than a recorded time-out.
+    idle_timeout: Duration,
 }
 
-impl Trust {
-    /// Trusts all connections. `age` is how long one may stay idle.
-    pub fn new(age: Duration) -> Self {
-        Trust {
+impl ReusePolicy {
+    /// A policy without time-outs. `idle_timeout` is the maximum idle time of a connection.
+    pub fn new(idle_timeout: Duration) -> Self {
+        ReusePolicy {
             timeouts: Mutex::default(),
-            age,
+            idle_timeout,
         }
     }
 
-    /// Notes that a call to a receiver has timed out now.
-    pub fn distrust(&self, receiver: &str, now: BootInstant) {
+    /// Records that a call to a receiver timed out at `now`.
+    pub fn record_timeout(&self, receiver: &str, now: BootInstant) {
         let mut timeouts = lock(&self.timeouts);
-        timeouts.retain(|_, at| now.since(*at) < self.age);
+        timeouts.retain(|_, at| now.since(*at) < self.idle_timeout);
         timeouts.insert(receiver.into(), now);
     }
 
-    /// True when a connection to a receiver that last brought bytes at `proof` may be used again.
-    pub fn is_trusted(&self, receiver: &str, proof: ClockPair) -> bool {
-        if proof.was_suspended() {
+    /// True if a connection to a receiver that last received data at `last_received` may be reused.
+    pub fn may_reuse(&self, receiver: &str, last_received: ClockPair) -> bool {
+        if last_received.was_suspended() {
             return false;
         }
         lock(&self.timeouts)
             .get(receiver)
-            .is_none_or(|at| *at < proof.at)
+            .is_none_or(|at| *at < last_received.at)
     }
 }
 
@@ -55,44 +55,46 @@
 mod tests {
     use {super::*, crate::clock, std::sync::MutexGuard};
 
-    /// The clock is one for the process: a test that moves it would make the marks of the others look slept over.
-    fn alone() -> MutexGuard<'static, ()> {
-        static ALONE: Mutex<()> = Mutex::new(());
-        lock(&ALONE)
+    /// Serializes the tests: the simulated suspension applies to the whole process, so it would invalidate the
+    /// connections of other tests.
+    fn serialize() -> MutexGuard<'static, ()> {
+        static SERIAL: Mutex<()> = Mutex::new(());
+        lock(&SERIAL)
     }
 
     #[test]
-    fn distrust_older_of_same_receiver() {
-        let _alone = alone();
-        let trust = Trust::new(Duration::from_secs(20));
+    fn record_timeout_affects_older_of_receiver() {
+        let _guard = serialize();
+        let policy = ReusePolicy::new(Duration::from_secs(20));
         let before = ClockPair::now();
         let timeout = before.at + Duration::from_millis(1);
-        trust.distrust("10.0.0.1:1", timeout);
-        assert!(!trust.is_trusted("10.0.0.1:1", before));
-        assert!(trust.is_trusted("10.0.0.2:1", before));
+        policy.record_timeout("10.0.0.1:1", timeout);
+        assert!(!policy.may_reuse("10.0.0.1:1", before));
+        assert!(policy.may_reuse("10.0.0.2:1", before));
         let at = timeout + Duration::from_millis(1);
-        assert!(trust.is_trusted("10.0.0.1:1", ClockPair { at, ..before }));
+        assert!(policy.may_reuse("10.0.0.1:1", ClockPair { at, ..before }));
     }
 
-    /// A box that wakes waited for an answer on a connection whose other end had long given it up.
+    /// Guards against reuse after a suspension: a resumed box waited for a response on a connection that the peer
+    /// had closed long before.
     #[test]
-    fn distrust_after_suspension() {
-        let _alone = alone();
-        let trust = Trust::new(Duration::from_secs(20));
-        let proof = ClockPair::now();
-        assert!(trust.is_trusted("10.0.0.1:1", proof));
+    fn may_reuse_after_suspension() {
+        let _guard = serialize();
+        let policy = ReusePolicy::new(Duration::from_secs(20));
+        let last_received = ClockPair::now();
+        assert!(policy.may_reuse("10.0.0.1:1", last_received));
         clock::simulate_suspension(Duration::from_secs(3));
-        assert!(!trust.is_trusted("10.0.0.1:1", proof));
-        assert!(trust.is_trusted("10.0.0.1:1", ClockPair::now()));
+        assert!(!policy.may_reuse("10.0.0.1:1", last_received));
+        assert!(policy.may_reuse("10.0.0.1:1", ClockPair::now()));
     }
 
     #[test]
-    fn distrust_forgets_old() {
-        let _alone = alone();
-        let trust = Trust::new(Duration::ZERO);
+    fn record_timeout_expires_old() {
+        let _guard = serialize();
+        let policy = ReusePolicy::new(Duration::ZERO);
         let now = BootInstant::now();
-        trust.distrust("10.0.0.1:1", now);
-        trust.distrust("10.0.0.2:1", now);
-        assert_eq!(lock(&trust.timeouts).len(), 1);
+        policy.record_timeout("10.0.0.1:1", now);
+        policy.record_timeout("10.0.0.2:1", now);
+        assert_eq!(lock(&policy.timeouts).len(), 1);
     }
 }
--- a/components/kernel/src/runtime.rs
+++ b/components/kernel/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread that waits for all connections of the process, and threads for work that blocks.
+//! The process-wide `tokio` runtime: one I/O thread for all connections, and a pool of threads for blocking work.
 
 use {
     crate::{sync::lock, task},
@@ -13,36 +13,36 @@
 
 pub use tokio::time::sleep;
 
-/// Threads for work that blocks, at most.
-const BLOCKING_MOST: usize = 1_024;
-/// How long such a thread waits for more work before it ends.
-const BLOCKING_IDLE: Duration = Duration::from_secs(5);
+/// Maximum number of threads for blocking work.
+const MAX_BLOCKING_THREADS: usize = 1_024;
+/// Idle time after which such a thread exits.
+const BLOCKING_KEEP_ALIVE: Duration = Duration::from_secs(5);
 
 static HANDLE: Mutex<Option<Handle>> = Mutex::new(None);
 
-/// The process's runtime, whose thread starts with the first call.
+/// Returns the runtime of the process; the first call starts its I/O thread.
 ///
 /// # Errors
 ///
-/// The system has no room for the thread or its descriptors.
+/// The thread or its file descriptors cannot be created.
 pub fn handle() -> io::Result<Handle> {
-    let mut known = lock(&HANDLE);
-    if let Some(handle) = &*known {
+    let mut current = lock(&HANDLE);
+    if let Some(handle) = &*current {
         return Ok(handle.clone());
     }
     let runtime = Builder::new_current_thread()
         .enable_all()
-        .max_blocking_threads(BLOCKING_MOST)
-        .thread_keep_alive(BLOCKING_IDLE)
+        .max_blocking_threads(MAX_BLOCKING_THREADS)
+        .thread_keep_alive(BLOCKING_KEEP_ALIVE)
         .thread_stack_size(task::STACK_BYTES)
         .build()?;
     let handle = runtime.handle().clone();
     task::spawn("net", move || runtime.block_on(future::pending::<()>()))?;
-    *known = Some(handle.clone());
+    *current = Some(handle.clone());
     Ok(handle)
 }
 
-/// Starts a task on the thread of all connections: it must not block.
+/// Spawns a task on the I/O thread. The task must not block.
 ///
 /// # Errors
 ///
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Waits on this thread for what tasks bring about.
+/// Blocks the calling thread until the future completes.
 ///
 /// # Errors
 ///
@@ -61,7 +61,7 @@
     Ok(handle()?.block_on(work))
 }
 
-/// Runs work that blocks on a thread of its own, for a task. `None` where it panicked.
+/// Runs blocking work on the thread pool, on behalf of a task. `None` if the work panicked.
 pub async fn spawn_blocking<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Option<T> {
--- a/components/kernel/src/settings.rs
+++ b/components/kernel/src/settings.rs
@@ -1,22 +1,22 @@
-//! Settings from flags and environment variables, all checked at start.
+//! Settings from flags and environment variables, validated at start.
 //!
-//! Every flag `--some-name` has the variable `MAGPIE_SOME_NAME`; the flag goes first. A program
-//! reads each setting through a [`Reader`], which gathers every fault, and then ends the reading
-//! with [`Reader::finish`].
+//! Every flag `--some-name` has the variable `MAGPIE_SOME_NAME`; the flag takes precedence. A program reads
+//! each setting through a [`Reader`], which collects all invalid settings, and then calls [`Reader::finish`]
+//! or [`Reader::build`].
 
 use std::{env, fmt, net::SocketAddr, process, str::FromStr};
 
-/// Exit code of a program whose settings or arguments are wrong.
+/// Exit code of a program with invalid settings or arguments.
 pub const EXIT_SETTINGS: i32 = 2;
 
-/// One setting that is wrong.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The flag, without dashes.
     pub flag: String,
-    /// The value as given; empty when none was.
+    /// The value as given; empty if it is missing.
     pub value: String,
-    /// What would be right.
+    /// Description of valid values.
     pub rule: String,
 }
 
@@ -25,7 +25,7 @@
         let Fault { flag, value, rule } = self;
         write!(
             f,
-            "--{flag} ({}): '{value}' is wrong; right is {rule}",
+            "--{flag} ({}): '{value}' is invalid; expected {rule}",
             variable(flag)
         )
     }
@@ -36,10 +36,10 @@
     format!("MAGPIE_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Finds the value of an environment variable.
+/// Looks up the value of an environment variable.
 type Lookup<'a> = dyn Fn(&str) -> Option<String> + 'a;
 
-/// Reads settings and gathers their faults.
+/// Reads settings and collects the invalid ones.
 pub struct Reader<'a> {
     lookup: Box<Lookup<'a>>,
     faults: Vec<Fault>,
@@ -52,12 +52,12 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader on the process's environment.
+    /// A reader with the environment of the process.
     pub fn new() -> Self {
         Self::with_lookup(|name| env::var(name).ok())
     }
 
-    /// A reader on other variables, for tests and for embedders.
+    /// A reader with other variables, for tests and for embedding programs.
     pub fn with_lookup(lookup: impl Fn(&str) -> Option<String> + 'a) -> Self {
         Reader {
             lookup: Box::new(lookup),
@@ -65,14 +65,14 @@
         }
     }
 
-    /// The text of a setting: the flag, else its variable, else the default.
+    /// The text of a setting: from the flag, else from the variable, else the default.
     fn raw(&self, flag: &str, given: Option<String>, default: Option<&str>) -> Option<String> {
         given
             .or_else(|| (self.lookup)(&variable(flag)))
             .or_else(|| default.map(str::to_owned))
     }
 
-    /// Notes a fault that the caller found.
+    /// Reports an invalid setting that the caller has detected.
     pub fn fault(&mut self, flag: &str, value: &str, rule: &str) {
         let fault = Fault {
             flag: flag.to_owned(),
@@ -82,9 +82,9 @@
         self.faults.push(fault);
     }
 
-    /// A setting with a parsed value; `rule` says what would be right.
+    /// Parses a setting; `rule` describes the valid values.
     ///
-    /// Returns `None` only where a fault was noted.
+    /// Returns `None` only if the setting was reported as invalid.
     pub fn value<T: FromStr>(
         &mut self,
         flag: &str,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A setting that may be left out; `None` when it is, or when a fault was noted.
+    /// Parses an optional setting; `None` if it is missing or was reported as invalid.
     pub fn optional<T: FromStr>(
         &mut self,
         flag: &str,
@@ -113,7 +113,7 @@
         self.value(flag, given, None, rule)
     }
 
-    /// A number within bounds.
+    /// A number from `low` to `high`, both included.
     pub fn number(
         &mut self,
         flag: &str,
@@ -130,7 +130,7 @@
         Some(number)
     }
 
-    /// A name: letters, digits, dashes, dots and underscores, 1 to 64 of them.
+    /// A name of 1 to 64 letters, digits, dashes, dots and underscores.
     pub fn name(
         &mut self,
         flag: &str,
@@ -164,7 +164,7 @@
         )
     }
 
-    /// The base of a web address, `http://ADDRESS:PORT` with an address by numbers.
+    /// A base URL, `http://ADDRESS:PORT` with a numeric IP address.
     pub fn url(
         &mut self,
         flag: &str,
@@ -173,35 +173,31 @@
     ) -> Option<String> {
         let text = self.raw(flag, given, default).unwrap_or_default();
         if !is_url(&text) {
-            self.fault(
-                flag,
-                &text,
-                "http://ADDRESS:PORT with an address by numbers",
-            );
+            self.fault(flag, &text, "http://ADDRESS:PORT with a numeric IP address");
             return None;
         }
         Some(text)
     }
 
-    /// Ends the reading and puts the values together, which are all there when no fault was found.
+    /// Builds the settings from their values, all of which are present if none was invalid.
     ///
     /// # Errors
     ///
-    /// Every fault that was found.
+    /// All invalid settings.
     pub fn build<T>(self, build: impl FnOnce() -> Option<T>) -> Result<T, Vec<Fault>> {
         self.finish()?;
         build().ok_or_else(|| {
             let [flag, value] = ["settings", ""].map(str::to_owned);
-            let rule = "a value for each of them".to_owned();
+            let rule = "a value for each setting".to_owned();
             vec![Fault { flag, value, rule }]
         })
     }
 
-    /// Ends the reading.
+    /// Completes the reading.
     ///
     /// # Errors
     ///
-    /// Every fault that was found.
+    /// All invalid settings.
     pub fn finish(self) -> Result<(), Vec<Fault>> {
         if self.faults.is_empty() {
             Ok(())
@@ -211,13 +207,13 @@
     }
 }
 
-/// True for a name that is safe in paths, keys and logs.
+/// True if the text is a name of 1 to 64 characters that is safe in paths, keys and logs.
 pub fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
     (1..=64).contains(&text.len()) && text.chars().all(allowed)
 }
 
-/// True for `http://ADDRESS:PORT`, with a path behind it or not.
+/// True for `http://ADDRESS:PORT` with a numeric IP address, with or without a path.
 pub fn is_url(text: &str) -> bool {
     let Some(rest) = text.strip_prefix("http://") else {
         return false;
@@ -226,11 +222,12 @@
     authority.parse::<SocketAddr>().is_ok()
 }
 
-/// Prints every fault and exits with code 2; with `check` set and no fault, exits with 0.
-pub fn unwrap_or_exit<T>(read: Result<T, Vec<Fault>>, check: bool) -> T {
-    match read {
+/// Returns the settings, or prints all invalid ones and exits with code 2. If `check` is set and all settings are
+/// valid, exits with code 0.
+pub fn unwrap_or_exit<T>(result: Result<T, Vec<Fault>>, check: bool) -> T {
+    match result {
         Ok(_) if check => {
-            println!("settings are right");
+            println!("settings are valid");
             process::exit(0)
         }
         Ok(value) => value,
@@ -251,8 +248,8 @@
         (name == "MAGPIE_HALL").then(|| "h2".to_owned())
     }
 
-    #[test_case(Some("h9"), "h9"; "flag first")]
-    #[test_case(None, "h2"; "variable next")]
+    #[test_case(Some("h9"), "h9"; "flag takes precedence")]
+    #[test_case(None, "h2"; "variable without flag")]
     fn name_order(given: Option<&str>, expected: &str) {
         let mut reader = Reader::with_lookup(lookup);
         let name = reader.name("hall", given.map(str::to_owned), Some("h1"));
@@ -261,7 +258,7 @@
     }
 
     #[test]
-    fn finish_lists_every_fault() {
+    fn finish_lists_all_faults() {
         let mut reader = Reader::with_lookup(|_| None);
         reader.name("hall", Some("a b".to_owned()), None);
         reader.url("store", Some("ftp://x".to_owned()), None);
@@ -271,12 +268,12 @@
         assert_eq!(faults.len(), 4);
         assert_eq!(
             faults[2].to_string(),
-            "--slots (MAGPIE_SLOTS): '900' is wrong; right is a whole number from 1 to 64"
+            "--slots (MAGPIE_SLOTS): '900' is invalid; expected a whole number from 1 to 64"
         );
     }
 
     #[test_case("http://127.0.0.1:80", true; "plain")]
-    #[test_case("http://[::1]:80/workers/w1", true; "six with path")]
+    #[test_case("http://[::1]:80/workers/w1", true; "IPv6 with path")]
     #[test_case("http://localhost:80", false; "a host name")]
     #[test_case("https://127.0.0.1:80", false; "another scheme")]
     fn is_url_cases(text: &str, expected: bool) {
--- a/components/kernel/src/shutdown.rs
+++ b/components/kernel/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The orderly stop: SIGTERM and SIGINT.
+//! Waits for the signals that stop a process: SIGTERM and SIGINT.
 
 use {
     signal_hook::{
@@ -8,11 +8,11 @@
     std::io,
 };
 
-/// Waits until the process is asked to stop and returns the signal's number.
+/// Blocks until SIGTERM or SIGINT and returns the signal number.
 ///
 /// # Errors
 ///
-/// The system refuses the signal handlers.
+/// The signal handlers cannot be installed.
 pub fn wait_for_signal() -> io::Result<i32> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     signals
--- a/components/kernel/src/task.rs
+++ b/components/kernel/src/task.rs
@@ -1,4 +1,4 @@
-//! Threads for tasks that block: one for each connection and each peer.
+//! Named threads for blocking tasks, and a signal to wake or stop them.
 
 use std::{
     io,
@@ -12,14 +12,14 @@
 
 use crate::sync::lock;
 
-/// The stack of a task, in bytes; only touched pages cost memory.
+/// Stack size of a thread in bytes; only touched pages use memory.
 pub(crate) const STACK_BYTES: usize = 512 * 1024;
 
-/// Starts a named task.
+/// Starts a task on a new thread with this name.
 ///
 /// # Errors
 ///
-/// The system has no room for a thread.
+/// The thread cannot be created.
 pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
     Builder::new()
         .name(name.to_owned())
@@ -27,7 +27,7 @@
         .spawn(run)
 }
 
-/// A flag to stop a task with, and a bell to wake it early.
+/// A stop flag for a task and a notification that wakes it early.
 #[derive(Clone, Default)]
 pub struct Signal {
     inner: Arc<Inner>,
@@ -36,40 +36,40 @@
 #[derive(Default)]
 struct Inner {
     stopped: AtomicBool,
-    rung: Mutex<bool>,
-    bell: Condvar,
+    notified: Mutex<bool>,
+    condvar: Condvar,
 }
 
 impl Signal {
-    /// A new signal, not stopped and not rung.
+    /// A new signal, neither stopped nor notified.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells the task to end and wakes it.
+    /// Requests the task to end, and wakes it.
     pub fn stop(&self) {
         self.inner.stopped.store(true, Ordering::Release);
         self.notify();
     }
 
-    /// True after `stop`.
+    /// True once [`Signal::stop`] was called.
     pub fn is_stopped(&self) -> bool {
         self.inner.stopped.load(Ordering::Acquire)
     }
 
-    /// Wakes the task. A ring before the wait is not lost.
+    /// Wakes the task. A notification before the wait is not lost.
     pub fn notify(&self) {
-        *lock(&self.inner.rung) = true;
-        self.inner.bell.notify_all();
+        *lock(&self.inner.notified) = true;
+        self.inner.condvar.notify_all();
     }
 
-    /// Waits for a ring, or for the time to pass. Returns true when it was rung.
+    /// Waits for a notification or until the time has passed. Returns true if notified.
     pub fn wait(&self, time: Duration) -> bool {
-        let guard = lock(&self.inner.rung);
+        let guard = lock(&self.inner.notified);
         let result = self
             .inner
-            .bell
-            .wait_timeout_while(guard, time, |rung| !*rung);
+            .condvar
+            .wait_timeout_while(guard, time, |notified| !*notified);
         let mut guard = match result {
             Ok((guard, _)) => guard,
             Err(poisoned) => poisoned.into_inner().0,
@@ -83,7 +83,7 @@
     use super::*;
 
     #[test]
-    fn wait_rung_before() {
+    fn wait_notified_before() {
         let signal = Signal::new();
         signal.notify();
         assert!(signal.wait(Duration::from_secs(60)));
--- a/components/kernel/src/timeout.rs
+++ b/components/kernel/src/timeout.rs
@@ -1,165 +1,170 @@
-//! The time that a call has: in all, and without hearing anything.
+//! Time-outs of HTTP calls: in total, for the first attempt, and between pieces of a response.
 
 use std::time::{Duration, Instant};
 
-/// Added to the time of a call that moves much. The largest values that stores take have 1 MiB, which is
-/// 1.4 MB as text, and the slowest boxes have a link of 2 Mbit/s, which brings that in 5.6 s; the rest is
-/// for other calls on the same link.
+/// Added to the time-out of a call that transfers large data. The largest values of stores have 1 MiB, which
+/// is 1.4 MB as text, and the slowest links of boxes have 2 Mbit/s, which transfer that in 5.6 s; the remainder
+/// is for other calls on the same link.
 pub const BULK_ALLOWANCE: Duration = Duration::from_millis(8_000);
-/// Bytes that the slowest link takes in a millisecond: 2 Mbit/s.
-const SLOWEST: u64 = 250;
+/// Bytes per millisecond on the slowest link: 2 Mbit/s.
+const MIN_BYTES_PER_MS: u64 = 250;
 
-/// The time that a call has.
+/// The time-outs of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeout {
-    /// For all of it; for one that flows, until its answer begins.
-    whole: Duration,
-    /// Without an answer within this time, or when the connection breaks, the call is made again on a
-    /// new connection in the time that is left.
-    patience: Option<Duration>,
-    /// How it goes on once its answer comes.
-    flow: Option<Flow>,
+    /// For the total call; for a streaming call, until the response begins.
+    total: Duration,
+    /// Time-out of the first attempt. After it, or if the connection is lost, the call is retried on a new
+    /// connection within the remaining time.
+    first_attempt: Option<Duration>,
+    /// Limits once the response has started.
+    stream: Option<Stream>,
 }
 
-/// The time for an answer that has begun to come.
+/// Limits of a response that has started to arrive.
 #[derive(Debug, Clone, Copy)]
-struct Flow {
-    /// The longest pause between two of its pieces.
+struct Stream {
+    /// Longest pause between two pieces of the response.
     pause: Duration,
-    /// Added to the whole time.
-    bulk: Duration,
+    /// Added to the total time.
+    allowance: Duration,
 }
 
 impl Timeout {
-    /// The time for a call that is made once.
-    pub const fn single(whole: Duration) -> Self {
+    /// The time-out of a call with a single attempt.
+    pub const fn single(total: Duration) -> Self {
         Timeout {
-            whole,
-            patience: None,
-            flow: None,
+            total,
+            first_attempt: None,
+            stream: None,
         }
     }
 
-    /// The time for a call that may be made twice; without an answer after `patience`, or on a
-    /// broken connection, it is made again on a new one.
-    pub const fn with_retry(whole: Duration, patience: Duration) -> Self {
+    /// The time-outs of an idempotent call that may be made twice: without a response after `first_attempt`, or after a
+    /// lost connection, it is retried on a new connection.
+    pub const fn with_retry(total: Duration, first_attempt: Duration) -> Self {
         Timeout {
-            whole,
-            patience: Some(patience),
-            flow: None,
+            total,
+            first_attempt: Some(first_attempt),
+            stream: None,
         }
     }
 
-    /// Lets the call go on while its answer comes, for up to [`BULK`] beyond its whole time, with no pause
-    /// longer than its first attempt waits for the beginning. Each attempt also has the time that its body
-    /// needs on the slowest link.
+    /// Extends the call while its response arrives, by up to [`BULK_ALLOWANCE`] beyond its total time, as long as no
+    /// pause exceeds the time that the first attempt waits for the beginning. Each attempt also gets the time
+    /// that its body needs on the slowest link.
     ///
-    /// How long an answer takes depends on its size and on the link. A call that is given up in the
-    /// middle of it, and begun anew, may never end. A receiver that says nothing costs no more than
-    /// without this, but for the time of a large body.
+    /// The duration of a response depends on its size and on the link. A call that is cancelled during the response
+    /// and retried may never complete. An unresponsive receiver takes no longer to detect than without streaming,
+    /// except for the time to send a large body.
     #[must_use]
     pub const fn streaming(self) -> Self {
-        let pause = match self.patience {
-            Some(patience) => patience,
-            None => self.whole,
+        let pause = match self.first_attempt {
+            Some(first_attempt) => first_attempt,
+            None => self.total,
         };
         self.streaming_within(pause, BULK_ALLOWANCE)
     }
 
-    /// Like [`Time::flowing`], with bounds of its own.
+    /// Like [`Timeout::streaming`], with the given limits.
     #[must_use]
-    pub const fn streaming_within(self, pause: Duration, bulk: Duration) -> Self {
+    pub const fn streaming_within(self, pause: Duration, allowance: Duration) -> Self {
         Timeout {
-            flow: Some(Flow { pause, bulk }),
+            stream: Some(Stream { pause, allowance }),
             ..self
         }
     }
 
-    /// Every part of it, so many times as long.
-    pub(crate) fn stretched(self, by: u32) -> Self {
+    /// All time-outs multiplied by a factor.
+    pub(crate) fn scaled(self, by: u32) -> Self {
         Timeout {
-            whole: self.whole * by,
-            patience: self.patience.map(|patience| patience * by),
-            flow: self.flow.map(|flow| Flow {
-                pause: flow.pause * by,
-                bulk: flow.bulk * by,
+            total: self.total * by,
+            first_attempt: self.first_attempt.map(|first_attempt| first_attempt * by),
+            stream: self.stream.map(|stream| Stream {
+                pause: stream.pause * by,
+                allowance: stream.allowance * by,
             }),
         }
     }
 
-    /// True for a call that may be made twice.
-    pub(crate) const fn is_twice(&self) -> bool {
-        self.patience.is_some()
+    /// True for a call that may be retried.
+    pub(crate) const fn has_retry(&self) -> bool {
+        self.first_attempt.is_some()
     }
 
-    /// The time for the first attempt, with a body of so many bytes.
-    pub(crate) fn first(&self, body: usize) -> Span {
-        // A silent connection is to be found out soon; but a body that is on its way must not be sent anew: that
-        // doubles the load of a link that is too slow already.
-        let head = self.patience.unwrap_or(self.whole) + self.sending(body);
-        self.span(head, Duration::ZERO)
+    /// The time-out of the first attempt, with a request body of `body` bytes.
+    pub(crate) fn first(&self, body: usize) -> AttemptTimeout {
+        // An unresponsive connection should be detected early, but a body in transfer must not be sent again: that
+        // doubles the load of a link that is already too slow.
+        let head = self.first_attempt.unwrap_or(self.total) + self.sending_time(body);
+        self.attempt(head, Duration::ZERO)
     }
 
-    /// The time for the second one, when the first has taken so long.
-    pub(crate) fn second(&self, body: usize, spent: Duration) -> Span {
-        // While the body left or an answer came, the time until it begins was not used up.
-        let waited = self.patience.map_or(spent, |patience| spent.min(patience));
-        let head = self.whole.saturating_sub(waited) + self.sending(body);
-        self.span(head, spent)
+    /// The time-out of the second attempt, after the first has taken `spent`.
+    pub(crate) fn second(&self, body: usize, spent: Duration) -> AttemptTimeout {
+        // Sending the body and receiving a response do not count as waiting for the beginning of the response.
+        let waited = self
+            .first_attempt
+            .map_or(spent, |first_attempt| spent.min(first_attempt));
+        let head = self.total.saturating_sub(waited) + self.sending_time(body);
+        self.attempt(head, spent)
     }
 
-    /// The time that a body needs on its way.
-    fn sending(&self, body: usize) -> Duration {
-        match self.flow {
-            Some(_) => Duration::from_millis(body as u64 / SLOWEST),
+    /// The time to send a body over the slowest link; zero if the call is not streaming.
+    fn sending_time(&self, body: usize) -> Duration {
+        match self.stream {
+            Some(_) => Duration::from_millis(body as u64 / MIN_BYTES_PER_MS),
             None => Duration::ZERO,
         }
     }
 
-    /// The time for an attempt whose answer must begin within `head`.
-    fn span(&self, head: Duration, spent: Duration) -> Span {
-        let bulk = self.flow.map_or(Duration::ZERO, |flow| flow.bulk);
-        let left = (self.whole + bulk).saturating_sub(spent);
+    /// The time-out of an attempt whose response must begin within `head`.
+    fn attempt(&self, head: Duration, spent: Duration) -> AttemptTimeout {
+        let allowance = self
+            .stream
+            .map_or(Duration::ZERO, |stream| stream.allowance);
+        let left = (self.total + allowance).saturating_sub(spent);
         let head = head.min(left);
-        Span {
+        AttemptTimeout {
             head,
-            pause: self.flow.map(|flow| flow.pause),
-            end: self.flow.map_or(head, |_| left),
+            pause: self.stream.map(|stream| stream.pause),
+            end: self.stream.map_or(head, |_| left),
         }
     }
 }
 
 impl From<Duration> for Timeout {
-    fn from(whole: Duration) -> Self {
-        Timeout::single(whole)
+    fn from(total: Duration) -> Self {
+        Timeout::single(total)
     }
 }
 
-/// The time for one attempt.
+/// Time-outs of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Span {
-    /// Until the answer begins: for connecting, sending and waiting together.
+pub(crate) struct AttemptTimeout {
+    /// Until the response begins, including connecting and sending_time.
     head: Duration,
-    /// The longest pause after that; `None` where only the end counts.
+    /// Longest pause after that; `None` if only the total time is limited.
     pause: Option<Duration>,
-    /// For all of it.
+    /// For the total attempt.
     pub end: Duration,
 }
 
-impl Span {
-    /// The time for connecting.
+impl AttemptTimeout {
+    /// Time-out for connecting.
     pub fn connect(&self) -> Duration {
         self.head.min(self.end)
     }
 
-    /// By when an attempt that began at `begun` must have ended, or brought more bytes than those last `heard`.
-    pub fn deadline(&self, begun: Instant, heard: Option<Instant>) -> Instant {
-        let end = begun + self.end;
+    /// When an attempt started at `started` times out, unless it ends or receives more data before.
+    /// `received` is the time of the last data.
+    pub fn deadline(&self, started: Instant, received: Option<Instant>) -> Instant {
+        let end = started + self.end;
         let Some(pause) = self.pause else {
             return end;
         };
-        let quiet = heard.map_or(begun + self.head, |heard| heard + pause);
-        quiet.min(end)
+        let idle_limit = received.map_or(started + self.head, |received| received + pause);
+        idle_limit.min(end)
     }
 }
 
@@ -171,54 +176,54 @@
         Duration::from_millis(number)
     }
 
-    const ONCE: Timeout = Timeout::single(ms(900));
-    const TWICE: Timeout = Timeout::with_retry(ms(900), ms(400));
-    const FLOWING: Timeout = TWICE.streaming_within(ms(300), ms(8_000));
+    const SINGLE: Timeout = Timeout::single(ms(900));
+    const WITH_RETRY: Timeout = Timeout::with_retry(ms(900), ms(400));
+    const STREAMING: Timeout = WITH_RETRY.streaming_within(ms(300), ms(8_000));
 
-    /// Until the answer begins, and in all.
-    fn parts(span: Span) -> (u64, u64) {
+    /// Until the response begins, and in total, in milliseconds.
+    fn parts(span: AttemptTimeout) -> (u64, u64) {
         (span.head.as_millis() as u64, span.end.as_millis() as u64)
     }
 
     const BODY: usize = 500_000;
 
-    #[test_case(ONCE, 0, (900, 900); "once")]
-    #[test_case(ONCE, BODY, (900, 900); "once, with a body")]
-    #[test_case(TWICE, 0, (400, 400); "twice")]
-    #[test_case(ONCE.streaming_within(ms(300), ms(8_000)), 0, (900, 8_900); "once and flowing")]
-    #[test_case(ONCE.streaming_within(ms(300), ms(8_000)), BODY, (2_900, 8_900); "once and flowing, with a body")]
-    #[test_case(FLOWING, 0, (400, 8_900); "twice and flowing")]
-    #[test_case(FLOWING, BODY, (2_400, 8_900); "twice and flowing, with a body")]
-    #[test_case(TWICE.streaming_within(ms(300), ms(0)), 0, (400, 900); "flowing within the whole")]
-    fn first_span(time: Timeout, body: usize, expected: (u64, u64)) {
+    #[test_case(SINGLE, 0, (900, 900); "single")]
+    #[test_case(SINGLE, BODY, (900, 900); "single, with a body")]
+    #[test_case(WITH_RETRY, 0, (400, 400); "with retry")]
+    #[test_case(SINGLE.streaming_within(ms(300), ms(8_000)), 0, (900, 8_900); "single and streaming")]
+    #[test_case(SINGLE.streaming_within(ms(300), ms(8_000)), BODY, (2_900, 8_900); "single and streaming, with a body")]
+    #[test_case(STREAMING, 0, (400, 8_900); "with retry and streaming")]
+    #[test_case(STREAMING, BODY, (2_400, 8_900); "with retry and streaming, with a body")]
+    #[test_case(WITH_RETRY.streaming_within(ms(300), ms(0)), 0, (400, 900); "streaming within the total")]
+    fn first_attempt(time: Timeout, body: usize, expected: (u64, u64)) {
         assert_eq!(parts(time.first(body)), expected);
     }
 
-    #[test_case(TWICE, 0, 400, (500, 500); "after silence")]
-    #[test_case(TWICE, BODY, 400, (500, 500); "after silence, with a body")]
-    #[test_case(TWICE, 0, 5, (895, 895); "after a break")]
-    #[test_case(TWICE, 0, 950, (0, 0); "too late")]
-    #[test_case(FLOWING, 0, 400, (500, 8_500); "flowing, after silence")]
-    #[test_case(FLOWING, BODY, 400, (2_500, 8_500); "flowing, after silence, with a body")]
-    #[test_case(FLOWING, 0, 3_000, (500, 5_900); "flowing, after silence midway")]
-    #[test_case(FLOWING, 0, 8_700, (200, 200); "flowing, with little left")]
-    #[test_case(FLOWING, 0, 9_000, (0, 0); "flowing, too late")]
-    fn second_span(time: Timeout, body: usize, spent: u64, expected: (u64, u64)) {
+    #[test_case(WITH_RETRY, 0, 400, (500, 500); "after a time-out")]
+    #[test_case(WITH_RETRY, BODY, 400, (500, 500); "after a time-out, with a body")]
+    #[test_case(WITH_RETRY, 0, 5, (895, 895); "after a lost connection")]
+    #[test_case(WITH_RETRY, 0, 950, (0, 0); "too late")]
+    #[test_case(STREAMING, 0, 400, (500, 8_500); "streaming, after a time-out")]
+    #[test_case(STREAMING, BODY, 400, (2_500, 8_500); "streaming, after a time-out, with a body")]
+    #[test_case(STREAMING, 0, 3_000, (500, 5_900); "streaming, after a time-out within the response")]
+    #[test_case(STREAMING, 0, 8_700, (200, 200); "streaming, with little time left")]
+    #[test_case(STREAMING, 0, 9_000, (0, 0); "streaming, too late")]
+    fn second_attempt(time: Timeout, body: usize, spent: u64, expected: (u64, u64)) {
         assert_eq!(parts(time.second(body, ms(spent))), expected);
     }
 
     #[test]
     fn deadline_moves_with_bytes() {
-        let begun = Instant::now();
-        let span = FLOWING.first(0);
-        assert_eq!(span.deadline(begun, None), begun + ms(400));
-        let heard = |at| span.deadline(begun, Some(begun + ms(at)));
-        assert_eq!(heard(390), begun + ms(690));
-        assert_eq!(heard(8_800), begun + ms(8_900));
-        let whole = TWICE.first(0);
+        let started = Instant::now();
+        let span = STREAMING.first(0);
+        assert_eq!(span.deadline(started, None), started + ms(400));
+        let deadline = |at| span.deadline(started, Some(started + ms(at)));
+        assert_eq!(deadline(390), started + ms(690));
+        assert_eq!(deadline(8_800), started + ms(8_900));
+        let not_streaming = WITH_RETRY.first(0);
         assert_eq!(
-            whole.deadline(begun, Some(begun + ms(390))),
-            begun + ms(400)
+            not_streaming.deadline(started, Some(started + ms(390))),
+            started + ms(400)
         );
     }
 }
--- a/components/kernel/src/token.rs
+++ b/components/kernel/src/token.rs
@@ -1,11 +1,11 @@
-//! The secret that processes and operators show to each other.
+//! The shared secret that authenticates processes and operators to each other.
 
 use std::{env, fmt, fs};
 
-/// The variable that holds the token.
+/// Environment variable that contains the token.
 pub const VARIABLE: &str = "MAGPIE_TOKEN";
 
-/// A secret; it prints as dots.
+/// A bearer token. Its `Debug` output hides the secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(String);
 
@@ -16,7 +16,7 @@
 }
 
 impl Token {
-    /// A token from its text; white space around it is dropped.
+    /// Creates a token from text; surrounding white space is removed.
     pub fn new(text: &str) -> Self {
         Token(text.trim().to_owned())
     }
@@ -26,7 +26,7 @@
         format!("Bearer {}", self.0)
     }
 
-    /// Compares a header's value in a time that does not depend on where it differs.
+    /// True if the header value matches. The comparison takes the same time wherever the values differ.
     pub fn matches(&self, header: &str) -> bool {
         let expected = self.header();
         let mut difference = expected.len() ^ header.len();
@@ -37,16 +37,14 @@
     }
 }
 
-/// Reads the token from the file, or from `MAGPIE_TOKEN` when no file is named.
+/// Reads the token from the file, or from `MAGPIE_TOKEN` if no file is given.
 ///
 /// # Errors
 ///
-/// The file cannot be read or is empty, as a sentence that does not hold the secret.
+/// A message that does not contain the secret, if the file cannot be read or the token is empty.
 pub fn load(file: Option<&str>) -> Result<Option<Token>, String> {
     let text = match file {
-        Some(path) => {
-            fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?
-        }
+        Some(path) => fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?,
         None => match env::var(VARIABLE) {
             Ok(text) => text,
             Err(_) => return Ok(None),
@@ -67,8 +65,8 @@
     #[test_case("Bearer secreT", false; "last letter")]
     #[test_case("Bearer secret1", false; "longer")]
     #[test_case("", false; "empty")]
-    fn admits_header(header: &str, admitted: bool) {
-        assert_eq!(Token::new(" secret\n").matches(header), admitted);
+    fn matches_header(header: &str, expected: bool) {
+        assert_eq!(Token::new(" secret\n").matches(header), expected);
     }
 
     #[test]
--- a/components/kernel/src/verdict.rs
+++ b/components/kernel/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that failed: whether it may have run.
+//! Errors of requests, with a verdict on whether the receiver may have executed the request.
 
 use {
     displaydoc::Display,
@@ -6,20 +6,20 @@
     std::fmt,
 };
 
-/// Whether the receiver may have acted on a request.
+/// Whether the receiver may have executed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// No byte of the request reached the receiver, or the receiver said that it refused it.
+    /// No byte of the request was sent, or the receiver responded that it rejected the request.
     NotRun,
-    /// Some of the request left and no whole answer came back.
+    /// At least part of the request was sent and no complete response was received.
     MayHaveRun,
-    /// The receiver answered in whole.
+    /// A complete response was received.
     Ran,
 }
 
 impl Verdict {
-    /// The word for the verdict in headers and bodies: `not-run`, `may-have-run` or `ran`.
+    /// The verdict as written in headers and bodies: `not-run`, `may-have-run` or `ran`.
     pub const fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
@@ -39,43 +39,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// no connection to the receiver
+    /// cannot connect to the receiver
     Unreachable,
-    /// the connection broke
+    /// connection lost
     Broken,
-    /// no answer in time
+    /// request timed out
     Timeout,
-    /// the answer is cut or cannot be read
+    /// response truncated or malformed
     BadAnswer,
-    /// the receiver refuses the request
+    /// request rejected by the receiver
     Refused,
-    /// the receiver has no room now
+    /// receiver at capacity
     Busy,
-    /// the part is stopping
+    /// component is shutting down
     Stopping,
-    /// the value changed meanwhile
+    /// value changed concurrently
     Conflict,
-    /// the request is not valid
+    /// invalid request
     Invalid,
-    /// the caller holds no right to this
+    /// permission denied
     Denied,
 }
 
 /// {cause}: {text} (verdict: {verdict})
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub struct Failure {
-    /// Whether the request may have run.
+    /// Whether the request may have been executed.
     pub verdict: Verdict,
     /// The kind of failure.
     pub cause: Cause,
-    /// Details for a person.
+    /// Human-readable details.
     pub text: String,
 }
 
 impl std::error::Error for Failure {}
 
 impl Failure {
-    /// A failure of a request that surely did not run.
+    /// A failure of a request that was certainly not executed.
     pub fn not_run(cause: Cause, text: impl Into<String>) -> Self {
         Failure {
             verdict: Verdict::NotRun,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A failure of a request that may have run.
+    /// A failure of a request that may have been executed.
     pub fn may_have_run(cause: Cause, text: impl Into<String>) -> Self {
         Failure {
             verdict: Verdict::MayHaveRun,
@@ -93,17 +93,18 @@
         }
     }
 
-    /// True when the request surely did not run.
+    /// True if the request was certainly not executed.
     pub fn is_not_run(&self) -> bool {
         self.verdict == Verdict::NotRun
     }
 
-    /// True for a failure that a new connection may not have: the one that was used was silent or broken.
+    /// True for a time-out or a lost connection, where a retry on a new connection may succeed.
     pub fn is_connection_failure(&self) -> bool {
         matches!(self.cause, Cause::Timeout | Cause::Broken)
     }
 
-    /// This failure of the second of two tries: where the first may have run, so may both.
+    /// The failure of a second attempt after `first`. If the first attempt may have been executed, the verdict
+    /// becomes `MayHaveRun`.
     pub(crate) fn after_attempt(self, first: &Failure) -> Failure {
         match first.verdict {
             Verdict::NotRun => self,
@@ -115,19 +116,19 @@
     }
 }
 
-/// The result of a call that may be made twice: that of the first try, unless a silent or broken connection
-/// failed it; then that of the second.
+/// Retries an idempotent call once: returns the result of the first attempt unless it failed with a time-out or a
+/// lost connection, otherwise the result of the second attempt.
 ///
 /// # Errors
 ///
-/// As the tries. A failed second try may have run where the first may have.
+/// The failure of the last attempt, with the verdict `MayHaveRun` if either attempt may have been executed.
 pub fn retry_once<T>(
     first: Result<T, Failure>,
     second: impl FnOnce() -> Result<T, Failure>,
 ) -> Result<T, Failure> {
     match first {
         Err(failure) if failure.is_connection_failure() => {
-            second().map_err(|again| again.after_attempt(&failure))
+            second().map_err(|failed| failed.after_attempt(&failure))
         }
         result => result,
     }
@@ -140,7 +141,7 @@
     #[test_case(Verdict::NotRun, "not-run"; "not run")]
     #[test_case(Verdict::MayHaveRun, "may-have-run"; "may have run")]
     #[test_case(Verdict::Ran, "ran"; "ran")]
-    fn word_matches_serde(verdict: Verdict, word: &str) {
+    fn as_str_matches_serde(verdict: Verdict, word: &str) {
         assert_eq!(verdict.to_string(), word);
         let bytes = crate::wire::encode(&verdict).unwrap();
         let back: Verdict = crate::wire::decode(&bytes).unwrap();
--- a/components/kernel/src/wall_clock.rs
+++ b/components/kernel/src/wall_clock.rs
@@ -1,5 +1,4 @@
-//! The wall clock, for what people read and for what outlives a process. Leases and waits go by
-//! steady clocks instead.
+//! Wall-clock time, for output and for stored timestamps. Leases and waits use monotonic clocks instead.
 
 use {
     chrono::{DateTime, SecondsFormat},
@@ -12,17 +11,17 @@
         .unwrap_or_default()
 }
 
-/// Milliseconds since 1970.
+/// Milliseconds since the Unix epoch.
 pub fn millis() -> u64 {
     since_epoch().as_millis() as u64
 }
 
-/// Seconds since 1970.
+/// Seconds since the Unix epoch.
 pub fn seconds() -> u64 {
     since_epoch().as_secs()
 }
 
-/// A time in milliseconds since 1970 as text, as in `2026-08-27T13:05:20Z`; `None` beyond what the calendar holds.
+/// Formats milliseconds since the Unix epoch, as in `2026-08-27T13:05:20Z`; `None` if out of range for the calendar.
 pub fn utc(millis: u64, format: SecondsFormat) -> Option<String> {
     let millis = i64::try_from(millis).ok()?;
     let time = DateTime::from_timestamp_millis(millis)?;
--- a/components/kernel/src/wire.rs
+++ b/components/kernel/src/wire.rs
@@ -1,6 +1,6 @@
-//! The codec between magpiesaddle's own processes: MessagePack with named fields.
+//! Encoding of messages between magpiesaddle's own processes: MessagePack with named fields.
 //!
-//! Named fields let a newer process add a field with a default while older ones still run.
+//! With named fields, a newer version can add a field with a default while older processes still run.
 
 use {
     crate::verdict::{Cause, Failure},
@@ -8,20 +8,20 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// The content type of the messages.
+/// Content type of these messages.
 pub const CONTENT_TYPE: &str = "application/msgpack";
 
-/// Writes a message into bytes.
+/// Encodes a message with field names.
 ///
 /// # Errors
 ///
-/// A value that the format cannot hold, which is a fault of the sender: nothing was sent.
+/// `Invalid` with the verdict `not-run` if the format cannot represent the value: nothing was sent.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, Failure> {
     rmp_serde::to_vec_named(value).map_err(|e| Failure::not_run(Cause::Invalid, e.to_string()))
 }
 
-/// Like [`encode`], without the names of fields: half the bytes, for messages that are sent tens of
-/// times a second between processes of the same version. [`decode`] reads both.
+/// Like [`encode`], without field names, which halves the size. For messages that are sent tens of times a
+/// second between processes of the same version. [`decode`] accepts both forms.
 ///
 /// # Errors
 ///
@@ -30,44 +30,45 @@
     rmp_serde::to_vec(value).map_err(|e| Failure::not_run(Cause::Invalid, e.to_string()))
 }
 
-/// The first byte of a message that is packed: no message begins with it otherwise.
-const PACKED: u8 = 0xc1;
-/// Shorter messages are not packed, in bytes: they would hardly get shorter.
-const WORTH: usize = 200;
-/// How much time packing takes, 1 to 10. From the second level on the gain is under a twentieth.
-const LEVEL: u8 = 1;
-/// The most bytes that a packed message may have in full: as much as an answer may have.
-const MOST: usize = 16 * 1024 * 1024;
+/// First byte of a compressed message. MessagePack never uses this byte.
+const COMPRESSED_MARKER: u8 = 0xc1;
+/// Messages with fewer bytes are not compressed, since they would hardly get smaller.
+const MIN_COMPRESSED_SIZE: usize = 200;
+/// Compression level, 1 to 10. Higher levels reduce the size by less than 5 % more.
+const COMPRESSION_LEVEL: u8 = 1;
+/// Maximum size of a decompressed message in bytes, equal to the limit of a response.
+const MAX_MESSAGE: usize = 16 * 1024 * 1024;
 
-/// Packs an encoded message for a narrow link; [`decode`] reads it all the same. Names of jobs and workers stand many
-/// times in one message, and are digits: offers of relays take 0.5 of their bytes, for 0.1 ms of a core each.
+/// Compresses an encoded message for a slow link; [`decode`] accepts compressed messages. Names of jobs and
+/// workers repeat within a message and consist of digits: requests of relays shrink to 0.5 of their size, for
+/// 0.1 ms of CPU time each.
 pub fn compress(message: Vec<u8>) -> Vec<u8> {
-    if message.len() < WORTH {
+    if message.len() < MIN_COMPRESSED_SIZE {
         return message;
     }
-    let mut packed = vec![PACKED];
-    packed.extend(compress_to_vec(&message, LEVEL));
-    if packed.len() < message.len() {
-        packed
+    let mut compressed = vec![COMPRESSED_MARKER];
+    compressed.extend(compress_to_vec(&message, COMPRESSION_LEVEL));
+    if compressed.len() < message.len() {
+        compressed
     } else {
         message
     }
 }
 
-/// Reads a message, packed or not.
+/// Decodes a message, compressed or not.
 ///
 /// # Errors
 ///
-/// `Invalid` when the bytes are not a message of this type. The verdict is `not-run`, since a
-/// receiver that cannot read a request does not act on it; who reads an *answer* this way
-/// corrects the verdict.
+/// `Invalid` if the bytes are not a message of this type. The verdict is `not-run`, since a receiver that
+/// cannot decode a request does not act on it; a caller that decodes a *response* must change the verdict.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Failure> {
     let invalid = |text: String| Failure::not_run(Cause::Invalid, text);
-    let Some((&PACKED, packed)) = bytes.split_first() else {
+    let Some((&COMPRESSED_MARKER, compressed)) = bytes.split_first() else {
         return rmp_serde::from_slice(bytes).map_err(|e| invalid(e.to_string()));
     };
-    let whole = decompress_to_vec_with_limit(packed, MOST).map_err(|e| invalid(e.to_string()))?;
-    rmp_serde::from_slice(&whole).map_err(|e| invalid(e.to_string()))
+    let message = decompress_to_vec_with_limit(compressed, MAX_MESSAGE)
+        .map_err(|e| invalid(e.to_string()))?;
+    rmp_serde::from_slice(&message).map_err(|e| invalid(e.to_string()))
 }
 
 #[cfg(test)]
@@ -76,20 +77,20 @@
 
     #[test_case(3; "short")]
     #[test_case(400; "long")]
-    fn decode_packed(count: u32) {
+    fn decode_compressed(count: u32) {
         let names: Vec<String> = (0..count).map(|n| format!("{:016x}", n * 7_919)).collect();
         let plain = encode_compact(&names).unwrap();
-        let packed = compress(plain.clone());
-        assert_eq!(packed.len() < plain.len(), count > 3);
-        assert_eq!(decode::<Vec<String>>(&packed).unwrap(), names);
+        let compressed = compress(plain.clone());
+        assert_eq!(compressed.len() < plain.len(), count > 3);
+        assert_eq!(decode::<Vec<String>>(&compressed).unwrap(), names);
         assert_eq!(decode::<Vec<String>>(&plain).unwrap(), names);
     }
 
     #[test]
-    fn decode_cut_pack() {
+    fn decode_truncated_compressed() {
         let names = vec!["0000000000000000"; 100];
-        let packed = compress(encode_compact(&names).unwrap());
-        assert!(decode::<Vec<String>>(&packed[..packed.len() / 2]).is_err());
-        assert!(decode::<Vec<String>>(&[PACKED]).is_err());
+        let compressed = compress(encode_compact(&names).unwrap());
+        assert!(decode::<Vec<String>>(&compressed[..compressed.len() / 2]).is_err());
+        assert!(decode::<Vec<String>>(&[COMPRESSED_MARKER]).is_err());
     }
 }
--- a/components/node/src/time.rs
+++ b/components/node/src/time.rs
@@ -5,7 +5,7 @@
 
 static START: OnceLock<BootInstant> = OnceLock::new();
 
-/// Milliseconds since the start, by [`Moment`]; 1 at the first call, so that 0 means never.
+/// Milliseconds since the start, by [`BootInstant`]; 1 at the first call, so that 0 means never.
 pub fn now() -> u64 {
     let start = START.get_or_init(BootInstant::now);
     start.elapsed().as_millis() as u64 + 1
--- a/programs/gate/tests/settings.rs
+++ b/programs/gate/tests/settings.rs
@@ -47,7 +47,7 @@
     let text = String::from_utf8(output.stderr).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4, "{text}");
-    assert!(text.contains("--name (MAGPIE_NAME): 'a b' is wrong; right is a name"));
+    assert!(text.contains("--name (MAGPIE_NAME): 'a b' is invalid; expected a name"));
     assert!(text.contains("--boxes (MAGPIE_BOXES): 'ftp://x' is wrong"));
     assert!(text.contains("there are: least, random, round-robin, two-choices"));
     assert!(text.contains("--deadline-ms (MAGPIE_DEADLINE_MS): '0' is wrong"));
