--- a/components/kernel/examples/actor.rs
+++ b/components/kernel/examples/actor.rs
@@ -1,4 +1,4 @@
-//! An actor on its own thread, and a task that asks it: `cargo run -p magpie-kernel --example actor`.
+//! An actor on its own thread, and threads that call it: `cargo run -p magpie-kernel --example actor`.
 
 use {
     kernel::{ActorThread, Failure, task},
@@ -6,7 +6,7 @@
     std::io,
 };
 
-/// A count that tasks share without a lock.
+/// A counter that threads share without a lock.
 struct Counter {
     count: u64,
 }
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -1,7 +1,7 @@
-//! HTTP calls by `hyper`, with a verdict on every failure.
+//! HTTP client on `hyper` with connection pooling, where each failure states whether the request may have run.
 //!
-//! The library's error does not say whether a request left, so the connections are wrapped and
-//! count the bytes that the system takes: with none taken, the request did not run.
+//! Errors of the library do not state whether a request was sent. Connections are therefore wrapped to count
+//! the bytes that the operating system accepts: if it has accepted none, the request did not run.
 
 mod metered;
 mod pool;
@@ -23,7 +23,7 @@
         body::{Bytes, Incoming},
         header::{self, HeaderName, HeaderValue},
     },
-    pool::{Kept, Pool},
+    pool::{Pool, PooledConnection},
     serde::{Serialize, de::DeserializeOwned},
     std::{
         fmt, io,
@@ -37,41 +37,41 @@
     timeout::{BULK_ALLOWANCE, Timeout},
 };
 
-/// The largest answer that a call takes in, in bytes.
+/// Maximum size of a response body in bytes.
 pub const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
-/// What calls name themselves.
-const AGENT: HeaderValue = HeaderValue::from_static("magpiesaddle");
+/// User agent of all calls.
+const USER_AGENT: HeaderValue = HeaderValue::from_static("magpiesaddle");
 
-/// One request.
+/// An HTTP request.
 #[derive(Debug, Clone, Copy)]
 pub struct Call<'a> {
     /// The method, such as `POST`.
     pub method: &'a str,
-    /// The whole address.
+    /// The full URL.
     pub url: &'a str,
-    /// Headers besides the length and the token.
+    /// Headers in addition to length and token.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body.
+    /// The request body.
     pub body: &'a [u8],
-    /// The time for it.
+    /// Time-outs of the call.
     pub timeout: Timeout,
 }
 
-/// One whole answer.
+/// A complete HTTP response.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
     /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The response body.
     pub body: Vec<u8>,
-    /// What it came by.
+    /// The connection that the response was received on.
     pub connection: ConnectionId,
 }
 
 impl HttpResponse {
-    /// The text of a header; empty when there is none.
+    /// The value of a header; empty if it is missing or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -80,14 +80,14 @@
     }
 }
 
-/// How many connections a client keeps.
+/// Limits of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// Idle connections in all.
+    /// Maximum number of idle connections in total.
     pub max_idle: usize,
-    /// Idle connections to each receiver.
+    /// Maximum number of idle connections to each receiver.
     pub per_host: usize,
-    /// How long a connection may stay idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
@@ -101,14 +101,14 @@
     }
 }
 
-/// A client that keeps connections and classifies failures.
+/// HTTP client that pools connections and classifies failures.
 #[derive(Clone)]
 pub struct Client {
     pool: Arc<Pool>,
     token: Option<Token>,
     limits: PoolLimits,
-    /// All calls have so many times the time that they are given.
-    stretch: u32,
+    /// Factor on the time-outs of all calls.
+    timeout_factor: u32,
 }
 
 impl fmt::Debug for Client {
@@ -118,129 +118,140 @@
 }
 
 impl Client {
-    /// A client with the usual limits that shows the token, if there is one.
+    /// A client with default pool limits that sends the token, if any.
     pub fn new(token: Option<Token>) -> Self {
         Self::with_limits(token, PoolLimits::default())
     }
 
-    /// A client with limits of its own.
+    /// A client with the given pool limits.
     pub fn with_limits(token: Option<Token>, limits: PoolLimits) -> Self {
         Client {
             pool: Arc::new(Pool::new(limits, ReusePolicy::new(limits.idle_timeout))),
             token,
             limits,
-            stretch: 1,
+            timeout_factor: 1,
         }
     }
 
-    /// Gives all calls so many times as long: for a machine so busy that it holds threads up for as long as
-    /// the time-outs of calls.
+    /// Multiplies the time-outs of all calls, for a machine so loaded that threads are delayed for as long as the
+    /// time-outs of calls.
     #[must_use]
-    pub fn with_timeout_factor(self, by: u32) -> Self {
+    pub fn with_timeout_factor(self, factor: u32) -> Self {
         Client {
-            stretch: by,
+            timeout_factor: factor,
             ..self
         }
     }
 
-    /// A client like this one with connections of its own.
+    /// A client with the same settings and its own connection pool.
     #[must_use]
     pub fn with_own_pool(&self) -> Self {
         Client {
-            stretch: self.stretch,
+            timeout_factor: self.timeout_factor,
             ..Self::with_limits(self.token.clone(), self.limits)
         }
     }
 
-    /// Makes the call once over this connection, or not at all.
+    /// Makes a single attempt over the given connection only.
     ///
-    /// Other connections to the receiver that nobody uses may be closed by it: whoever binds calls keeps them in a
-    /// client [apart](Client::apart), where each receiver has one connection.
+    /// The call may close other idle connections to the receiver. Use bound calls with a client that has its
+    /// [own pool](Client::with_own_pool), where each receiver has one connection.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`]; `not-run` where the connection is gone.
+    /// As [`Client::send`]; `not-run` if the connection is closed.
     pub async fn call_over(
         &self,
         call: &Call<'_>,
         connection: ConnectionId,
     ) -> Result<HttpResponse, Failure> {
-        let span = call.timeout.scaled(self.stretch).first(call.body.len());
-        self.attempt(call, span, Some(connection)).await
+        let timeout = call
+            .timeout
+            .scaled(self.timeout_factor)
+            .first(call.body.len());
+        self.attempt(call, timeout, Some(connection)).await
     }
 
-    /// Makes the call and takes in the whole answer.
+    /// Makes the call, with a retry if its [`Timeout`] allows one, and reads the complete response.
     ///
     /// # Errors
     ///
-    /// `not-run` only when no byte left for the receiver; else `may-have-run`. An answer without
-    /// a length of its own, or one that is cut, is `BadAnswer`.
+    /// `not-run` only if no byte was sent to the receiver, otherwise `may-have-run`. A response that is truncated or
+    /// does not declare its length is `BadAnswer`.
     pub async fn call(&self, call: &Call<'_>) -> Result<HttpResponse, Failure> {
-        let time = call.timeout.scaled(self.stretch);
+        let time = call.timeout.scaled(self.timeout_factor);
         let body = call.body.len();
-        let begun = Instant::now();
+        let started = Instant::now();
         let first = match self.attempt(call, time.first(body), None).await {
             Err(failure) if time.has_retry() && failure.is_connection_failure() => failure,
             result => return result,
         };
-        let span = time.second(body, begun.elapsed());
-        let second = self.attempt(call, span, None).await;
-        second.map_err(|again| again.after_attempt(&first))
+        let timeout = time.second(body, started.elapsed());
+        let second = self.attempt(call, timeout, None).await;
+        second.map_err(|failed| failed.after_attempt(&first))
     }
 
-    /// Like [`Client::call`], from a thread that may wait.
+    /// Like [`Client::call`], blocking the calling thread.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// As for [`Client::call`].
     pub fn send(&self, call: &Call) -> Result<HttpResponse, Failure> {
-        wait(self.call(call))
+        block_on(self.call(call))
     }
 
-    /// Makes the call once, within this time.
+    /// Makes a single attempt within these time-outs, over the bound connection if one is given.
     async fn attempt(
         &self,
         call: &Call<'_>,
-        span: AttemptTimeout,
+        timeout: AttemptTimeout,
         bound: Option<ConnectionId>,
     ) -> Result<HttpResponse, Failure> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let request = self.request(call)?;
         let receiver = receiver(call.url);
-        let mut kept = match self.pool.connection(receiver, span.connect(), bound).await {
-            Ok(kept) => kept,
-            Err(fault) => {
+        let mut connection = match self
+            .pool
+            .connection(receiver, timeout.connect(), bound)
+            .await
+        {
+            Ok(connection) => connection,
+            Err(error) => {
                 traffic::record(&traffic::call_kind(call.url), 0, 0);
-                return Err(self.failed(call, &fault, 0));
+                return Err(self.failure(call, &error, 0));
             }
         };
-        let result = exchange(&mut kept, request, span, begun).await;
+        let result = exchange(&mut connection, request, timeout, started).await;
         if result.is_err() {
-            kept.meter.seal();
+            connection.meter.seal();
         }
-        let sent = kept.meter.sent();
-        let heard = result
+        let sent = connection.meter.sent();
+        let received = result
             .as_ref()
-            .map_or(0, |answer| answer.body.len() + traffic::HEAD_BYTES);
-        traffic::record(&traffic::call_kind(call.url), sent, heard);
+            .map_or(0, |response| response.body.len() + traffic::HEAD_BYTES);
+        traffic::record(&traffic::call_kind(call.url), sent, received);
         match result {
-            Ok(answer) => {
-                self.pool.keep(receiver, kept);
-                Ok(answer)
+            Ok(response) => {
+                self.pool.put_back(receiver, connection);
+                Ok(response)
             }
-            Err(fault) => Err(self.failed(call, &fault, sent)),
+            Err(error) => Err(self.failure(call, &error, sent)),
         }
     }
 
-    /// The failure that a fault is after so many bytes were handed over.
-    fn failed(&self, call: &Call, fault: &Fault, sent: usize) -> Failure {
-        if matches!(fault, Fault::Connecting | Fault::Late) {
+    /// Converts an error into a failure, given the number of bytes sent. A time-out is recorded in the pool.
+    fn failure(&self, call: &Call, error: &AttemptError, sent: usize) -> Failure {
+        if matches!(
+            error,
+            AttemptError::ConnectTimeout | AttemptError::RequestTimeout
+        ) {
             self.pool
                 .record_timeout(receiver(call.url), BootInstant::now());
         }
-        classify(fault, sent)
+        classify(error, sent)
     }
 
+    /// Builds the HTTP request with the headers of the call, the host and the token.
     fn request(&self, call: &Call) -> Result<Request<Full<Bytes>>, Failure> {
         let invalid = |text: String| Failure::not_run(Cause::Invalid, text);
         let uri: Uri = call
@@ -251,9 +262,9 @@
         let mut builder = Request::builder()
             .method(call.method)
             .uri(path)
-            .header(header::USER_AGENT, AGENT);
-        let names_host = |(name, _): &(&str, &str)| name.eq_ignore_ascii_case("host");
-        if !call.headers.iter().any(names_host) {
+            .header(header::USER_AGENT, USER_AGENT);
+        let is_host = |(name, _): &(&str, &str)| name.eq_ignore_ascii_case("host");
+        if !call.headers.iter().any(is_host) {
             builder = builder.header(header::HOST, receiver(call.url));
         }
         for (name, value) in call.headers {
@@ -269,11 +280,11 @@
             .map_err(|error| invalid(error.to_string()))
     }
 
-    /// Posts a message to another process of ours and reads the message that answers it.
+    /// Posts a message to another process of the scheduler and decodes the message in the response.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`]; and the receiver's own [`Failure`], passed on as it gave it.
+    /// As [`Client::send`], and the [`Failure`] that the receiver returned, unchanged.
     pub fn post<T: Serialize, R: DeserializeOwned>(
         &self,
         url: &str,
@@ -283,7 +294,7 @@
         self.post_encoded(url, &wire::encode(message)?, time)
     }
 
-    /// Like [`Client::post`], for a message that is encoded already.
+    /// Like [`Client::post`], for an encoded message.
     ///
     /// # Errors
     ///
@@ -295,131 +306,131 @@
         time: impl Into<Timeout>,
     ) -> Result<R, Failure> {
         let headers = [("content-type", wire::CONTENT_TYPE)];
-        let answer = self.send(&Call {
+        let response = self.send(&Call {
             method: "POST",
             url,
             headers: &headers,
             body,
             timeout: time.into(),
         })?;
-        if answer.status == 200 {
-            return wire::decode(&answer.body).map_err(|e| as_answer(&e));
+        if response.status == 200 {
+            return wire::decode(&response.body).map_err(|e| as_bad_response(&e));
         }
-        let passed: Result<Failure, Failure> = wire::decode(&answer.body);
-        Err(passed.unwrap_or_else(|_| {
+        let returned: Result<Failure, Failure> = wire::decode(&response.body);
+        Err(returned.unwrap_or_else(|_| {
             Failure::may_have_run(
                 Cause::BadAnswer,
-                format!("status {} from {url}", answer.status),
+                format!("unexpected status {} from {url}", response.status),
             )
         }))
     }
 }
 
-/// An answer that cannot be read says nothing of whether the request ran.
-fn as_answer(failure: &Failure) -> Failure {
+/// Converts a decoding failure: a malformed response does not show whether the request ran.
+fn as_bad_response(failure: &Failure) -> Failure {
     Failure::may_have_run(Cause::BadAnswer, failure.text.clone())
 }
 
-/// The address and port in a whole address.
+/// The address and port in a URL.
 fn receiver(url: &str) -> &str {
     let rest = url.split_once("://").map_or(url, |(_, rest)| rest);
     rest.split('/').next().unwrap_or(rest)
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt failed.
 #[derive(Debug, displaydoc::Display)]
-enum Fault {
-    /// the time for connecting is over
-    Connecting,
-    /// the time is over
-    Late,
-    /// the connection that the call is bound to is gone
-    Gone,
+enum AttemptError {
+    /// connect timed out
+    ConnectTimeout,
+    /// request timed out
+    RequestTimeout,
+    /// the connection that the call is bound to is closed
+    ConnectionClosed,
     /// {0}
     Io(io::Error),
     /// {0}
     Library(hyper::Error),
-    /// an answer without a length cannot be told from a cut one
-    Endless,
-    /// the answer is too large
-    Large,
+    /// response without a declared length, truncation cannot be detected
+    UnknownLength,
+    /// response body too large
+    TooLarge,
 }
 
-fn wait(
+fn block_on(
     work: impl Future<Output = Result<HttpResponse, Failure>>,
 ) -> Result<HttpResponse, Failure> {
     runtime::block_on(work)
         .unwrap_or_else(|error| Err(Failure::not_run(Cause::Unreachable, error.to_string())))
 }
 
-/// Sends a request and takes the whole answer in, within this time.
+/// Sends a request and reads the complete response, within these time-outs.
 async fn exchange(
-    kept: &mut Kept,
+    pooled: &mut PooledConnection,
     request: Request<Full<Bytes>>,
-    span: AttemptTimeout,
-    begun: Instant,
-) -> Result<HttpResponse, Fault> {
-    let (connection, meter) = (kept.number, kept.meter.clone());
+    timeout: AttemptTimeout,
+    started: Instant,
+) -> Result<HttpResponse, AttemptError> {
+    let (connection, meter) = (pooled.id, pooled.meter.clone());
     let work = async {
-        let response = kept.sender.send_request(request).await;
-        let response = response.map_err(Fault::Library)?;
-        refuse_endless(&response)?;
+        let response = pooled.sender.send_request(request).await;
+        let response = response.map_err(AttemptError::Library)?;
+        require_length(&response)?;
         let (head, body) = response.into_parts();
         Ok(HttpResponse {
             status: head.status.as_u16(),
             headers: head.headers,
-            body: read_whole(body).await?,
+            body: read_body(body).await?,
             connection,
         })
     };
     let mut work = std::pin::pin!(work);
     loop {
-        let deadline = span.deadline(begun, meter.heard());
+        let deadline = timeout.deadline(started, meter.received());
         tokio::select! {
             biased;
             result = work.as_mut() => return result,
             () = tokio::time::sleep_until(deadline.into()) => {}
         }
-        if span.deadline(begun, meter.heard()) <= Instant::now() {
-            return Err(Fault::Late);
+        if timeout.deadline(started, meter.received()) <= Instant::now() {
+            return Err(AttemptError::RequestTimeout);
         }
     }
 }
 
-async fn read_whole(body: Incoming) -> Result<Vec<u8>, Fault> {
+async fn read_body(body: Incoming) -> Result<Vec<u8>, AttemptError> {
     match Limited::new(body, MAX_RESPONSE as usize).collect().await {
-        Ok(whole) => Ok(whole.to_bytes().into()),
-        Err(error) if error.is::<LengthLimitError>() => Err(Fault::Large),
+        Ok(body) => Ok(body.to_bytes().into()),
+        Err(error) if error.is::<LengthLimitError>() => Err(AttemptError::TooLarge),
         Err(error) => Err(match error.downcast() {
-            Ok(error) => Fault::Library(*error),
-            Err(error) => Fault::Io(io::Error::other(error)),
+            Ok(error) => AttemptError::Library(*error),
+            Err(error) => AttemptError::Io(io::Error::other(error)),
         }),
     }
 }
 
-/// Refuses an answer whose end is only the end of the connection: it may be cut unseen.
-fn refuse_endless<B>(response: &Response<B>) -> Result<(), Fault> {
+/// Rejects a response that is delimited only by the end of the connection: its truncation would go undetected.
+fn require_length<B>(response: &Response<B>) -> Result<(), AttemptError> {
     let (status, headers) = (response.status().as_u16(), response.headers());
-    let bodiless = status == 204 || status == 304;
+    let has_no_body = status == 204 || status == 304;
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
-    if bodiless || chunked || headers.contains_key(header::CONTENT_LENGTH) {
+    if has_no_body || chunked || headers.contains_key(header::CONTENT_LENGTH) {
         return Ok(());
     }
-    Err(Fault::Endless)
+    Err(AttemptError::UnknownLength)
 }
 
-/// Turns a fault into a failure, by the bytes that left.
-fn classify(fault: &Fault, sent: usize) -> Failure {
-    let cause = match fault {
-        Fault::Connecting | Fault::Gone => Cause::Unreachable,
-        Fault::Late => Cause::Timeout,
-        Fault::Endless | Fault::Large => Cause::BadAnswer,
-        Fault::Library(error) if error.is_parse() => Cause::BadAnswer,
-        Fault::Io(_) | Fault::Library(_) if sent == 0 => Cause::Unreachable,
-        Fault::Io(_) | Fault::Library(_) => Cause::Broken,
+/// Converts an error into a failure, with a verdict from the number of bytes sent.
+fn classify(error: &AttemptError, sent: usize) -> Failure {
+    let cause = match error {
+        AttemptError::ConnectTimeout | AttemptError::ConnectionClosed => Cause::Unreachable,
+        AttemptError::RequestTimeout => Cause::Timeout,
+        AttemptError::UnknownLength | AttemptError::TooLarge => Cause::BadAnswer,
+        AttemptError::Library(error) if error.is_parse() => Cause::BadAnswer,
+        AttemptError::Io(_) | AttemptError::Library(_) if sent == 0 => Cause::Unreachable,
+        AttemptError::Io(_) | AttemptError::Library(_) => Cause::Broken,
     };
     if sent == 0 {
-        return Failure::not_run(cause, fault.to_string());
+        return Failure::not_run(cause, error.to_string());
     }
-    Failure::may_have_run(cause, fault.to_string())
+    Failure::may_have_run(cause, error.to_string())
 }
--- a/components/kernel/src/client/metered.rs
+++ b/components/kernel/src/client/metered.rs
@@ -1,4 +1,4 @@
-//! A connection that counts what it hands to the system, and notes when it last brought some bytes.
+//! Connection wrapper that counts the bytes passed to the operating system and records when data was last received.
 
 use {
     crate::{clock::ClockPair, sync::lock},
@@ -17,87 +17,88 @@
     tokio::net::TcpStream,
 };
 
-/// The number of the last connection that was opened.
-static OPENED: AtomicU64 = AtomicU64::new(0);
+/// Identifier of the connection that was opened last.
+static LAST_ID: AtomicU64 = AtomicU64::new(0);
 
-/// One connection, told apart from all others of the process.
+/// Identifies a connection, uniquely within this process.
 ///
-/// Whoever answers on it is the one that answered on it before: the end of a process ends its connections.
+/// All responses on a connection come from the same peer process, since a process's connections end with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId(u64);
 
 impl ConnectionId {
+    /// A new identifier.
     pub(super) fn next() -> Self {
-        ConnectionId(OPENED.fetch_add(1, Ordering::Relaxed) + 1)
+        ConnectionId(LAST_ID.fetch_add(1, Ordering::Relaxed) + 1)
     }
 }
 
-/// What a connection has moved in the present call.
+/// Traffic of a connection in the current call.
 #[derive(Debug)]
 pub struct Meter {
-    /// Bytes that the system has taken.
+    /// Bytes accepted by the operating system.
     sent: AtomicUsize,
-    /// Bytes are being handed over: the system may have taken some.
-    is_handing: AtomicBool,
-    /// Nothing more is handed over.
+    /// A write is in progress: the operating system may have accepted part of it.
+    is_writing: AtomicBool,
+    /// Further writes are rejected.
     sealed: AtomicBool,
-    /// When the connection was opened, or last brought bytes.
-    proof: Mutex<ClockPair>,
-    /// It has brought bytes in the present call.
-    has_heard: AtomicBool,
+    /// When data was last received or, before that, when the connection was opened.
+    last_received: Mutex<ClockPair>,
+    /// Data was received in the current call.
+    has_received: AtomicBool,
 }
 
 impl Meter {
     pub(super) fn new() -> Self {
         Meter {
             sent: AtomicUsize::new(0),
-            is_handing: AtomicBool::new(false),
+            is_writing: AtomicBool::new(false),
             sealed: AtomicBool::new(false),
-            proof: Mutex::new(ClockPair::now()),
-            has_heard: AtomicBool::new(false),
+            last_received: Mutex::new(ClockPair::now()),
+            has_received: AtomicBool::new(false),
         }
     }
 
-    /// Begins a call.
+    /// Resets the counts for a new call.
     pub(super) fn begin(&self) {
         self.sent.store(0, Ordering::SeqCst);
-        self.has_heard.store(false, Ordering::SeqCst);
+        self.has_received.store(false, Ordering::SeqCst);
     }
 
-    /// The bytes of the present call; at least one while some may be on their way.
+    /// Bytes sent in the current call; at least 1 while a write is in progress.
     pub(super) fn sent(&self) -> usize {
-        // In this order: a hand-over adds its bytes before it ends.
-        let least = usize::from(self.is_handing.load(Ordering::SeqCst));
-        self.sent.load(Ordering::SeqCst).max(least)
+        // The order of these loads matters: a write adds its bytes before it clears the flag.
+        let pending = usize::from(self.is_writing.load(Ordering::SeqCst));
+        self.sent.load(Ordering::SeqCst).max(pending)
     }
 
-    /// Lets nothing more leave, so that the bytes counted are all there will be.
+    /// Rejects further writes, so that the count of sent bytes is final.
     pub(super) fn seal(&self) {
         self.sealed.store(true, Ordering::SeqCst);
     }
 
-    /// When the present call last brought bytes; `None` before the first.
-    pub(super) fn heard(&self) -> Option<Instant> {
-        let has_heard = self.has_heard.load(Ordering::SeqCst);
-        has_heard.then(|| self.proof().monotonic)
+    /// When data was last received in the current call; `None` before the first.
+    pub(super) fn received(&self) -> Option<Instant> {
+        let has_received = self.has_received.load(Ordering::SeqCst);
+        has_received.then(|| self.last_received().monotonic)
     }
 
-    /// When the connection was opened, or last brought bytes.
-    pub(super) fn proof(&self) -> ClockPair {
-        *lock(&self.proof)
+    /// When data was last received or, before that, when the connection was opened.
+    pub(super) fn last_received(&self) -> ClockPair {
+        *lock(&self.last_received)
     }
 
-    fn note_heard(&self) {
-        *lock(&self.proof) = ClockPair::now();
-        self.has_heard.store(true, Ordering::SeqCst);
+    fn record_received(&self) {
+        *lock(&self.last_received) = ClockPair::now();
+        self.has_received.store(true, Ordering::SeqCst);
     }
 
-    /// Hands bytes over, unless the connection is sealed.
-    fn hand_over(
+    /// Performs a write and counts its bytes, unless the connection is sealed.
+    fn write_counted(
         &self,
         write: impl FnOnce() -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.is_handing.store(true, Ordering::SeqCst);
+        self.is_writing.store(true, Ordering::SeqCst);
         let written = match self.sealed.load(Ordering::SeqCst) {
             true => Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())),
             false => write(),
@@ -105,18 +106,18 @@
         if let Poll::Ready(Ok(bytes)) = written {
             self.sent.fetch_add(bytes, Ordering::SeqCst);
         }
-        self.is_handing.store(false, Ordering::SeqCst);
+        self.is_writing.store(false, Ordering::SeqCst);
         written
     }
 }
 
-/// A connection with its meter.
-pub(super) struct Metered {
+/// A TCP connection with its meter.
+pub(super) struct MeteredStream {
     pub(super) inner: TokioIo<TcpStream>,
     pub(super) meter: std::sync::Arc<Meter>,
 }
 
-impl Read for Metered {
+impl Read for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -124,20 +125,20 @@
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.inner).poll_read(cx, buffer);
         if read.is_ready() {
-            self.meter.note_heard();
+            self.meter.record_received();
         }
         read
     }
 }
 
-impl Write for Metered {
+impl Write for MeteredStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let Metered { inner, meter } = self.get_mut();
-        meter.hand_over(|| Pin::new(inner).poll_write(cx, buffer))
+        let MeteredStream { inner, meter } = self.get_mut();
+        meter.write_counted(|| Pin::new(inner).poll_write(cx, buffer))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -157,7 +158,7 @@
         cx: &mut Context<'_>,
         buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let Metered { inner, meter } = self.get_mut();
-        meter.hand_over(|| Pin::new(inner).poll_write_vectored(cx, buffers))
+        let MeteredStream { inner, meter } = self.get_mut();
+        meter.write_counted(|| Pin::new(inner).poll_write_vectored(cx, buffers))
     }
 }
--- a/components/kernel/src/client/pool.rs
+++ b/components/kernel/src/client/pool.rs
@@ -1,9 +1,9 @@
-//! Connections that are kept for further calls.
+//! Pool of idle connections, by receiver.
 
 use {
     super::{
-        Fault, PoolLimits,
-        metered::{ConnectionId, Meter, Metered},
+        AttemptError, PoolLimits,
+        metered::{ConnectionId, Meter, MeteredStream},
     },
     crate::{clock::BootInstant, reuse::ReusePolicy, sync::lock},
     http_body_util::Full,
@@ -22,26 +22,26 @@
     tokio::{net::TcpStream, task::AbortHandle, time::timeout},
 };
 
-/// Between two looks for connections that were idle for too long.
-const SWEEP_GAP: Duration = Duration::from_secs(5);
+/// Interval between two sweeps of closed and expired connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A connection; dropped, it is closed.
-pub(super) struct Kept {
-    pub number: ConnectionId,
+/// An open connection. Dropping it closes it.
+pub(super) struct PooledConnection {
+    pub id: ConnectionId,
     pub sender: SendRequest<Full<Bytes>>,
     pub meter: Arc<Meter>,
-    /// When it was put back.
-    since: Instant,
+    /// When it was returned to the pool.
+    idle_since: Instant,
     task: AbortHandle,
 }
 
-impl Drop for Kept {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Idle connections, by receiver, the last used one last.
+/// Idle connections by receiver, most recently used last.
 pub(super) struct Pool {
     limits: PoolLimits,
     reuse: ReusePolicy,
@@ -49,9 +49,9 @@
 }
 
 struct Idle {
-    by_receiver: HashMap<Box<str>, Vec<Kept>>,
+    by_receiver: HashMap<Box<str>, Vec<PooledConnection>>,
     count: usize,
-    swept: Instant,
+    last_sweep: Instant,
 }
 
 impl Pool {
@@ -59,7 +59,7 @@
         let idle = Idle {
             by_receiver: HashMap::new(),
             count: 0,
-            swept: Instant::now(),
+            last_sweep: Instant::now(),
         };
         Pool {
             limits,
@@ -68,78 +68,78 @@
         }
     }
 
-    /// Notes that a call to a receiver has timed out now.
+    /// Records that a call to a receiver timed out at `now`.
     pub fn record_timeout(&self, receiver: &str, now: BootInstant) {
         self.reuse.record_timeout(receiver, now);
     }
 
-    /// A connection to a receiver, an idle one where there is one that may be used; the bound one or none.
+    /// Returns a reusable idle connection to a receiver, or opens one. With `bound`, returns only that connection.
     pub async fn connection(
         &self,
         receiver: &str,
         time: Duration,
         bound: Option<ConnectionId>,
-    ) -> Result<Kept, Fault> {
-        while let Some(mut kept) = self.take(receiver, bound) {
-            // It is ready once its task has seen the end of the last answer.
-            if let Ok(Ok(())) = timeout(time, kept.sender.ready()).await {
-                kept.meter.begin();
-                return Ok(kept);
+    ) -> Result<PooledConnection, AttemptError> {
+        while let Some(mut pooled) = self.take(receiver, bound) {
+            // The connection is ready once its task has processed the end of the last response.
+            if let Ok(Ok(())) = timeout(time, pooled.sender.ready()).await {
+                pooled.meter.begin();
+                return Ok(pooled);
             }
         }
         if bound.is_some() {
-            return Err(Fault::Gone);
+            return Err(AttemptError::ConnectionClosed);
         }
         match timeout(time, connect(receiver)).await {
-            Ok(connected) => connected.map_err(Fault::Io),
-            Err(_) => Err(Fault::Connecting),
+            Ok(connected) => connected.map_err(AttemptError::Io),
+            Err(_) => Err(AttemptError::ConnectTimeout),
         }
     }
 
-    /// Takes an idle connection out that may be used again.
-    fn take(&self, receiver: &str, bound: Option<ConnectionId>) -> Option<Kept> {
+    /// Removes a reusable idle connection from the pool.
+    fn take(&self, receiver: &str, bound: Option<ConnectionId>) -> Option<PooledConnection> {
         let mut idle = lock(&self.idle);
         let Idle {
             by_receiver, count, ..
         } = &mut *idle;
         let list = by_receiver.get_mut(receiver)?;
-        while let Some(kept) = list.pop() {
-            let is_young = kept.since.elapsed() < self.limits.idle_timeout;
-            if !is_young || !self.reuse.may_reuse(receiver, kept.meter.proof()) {
+        while let Some(pooled) = list.pop() {
+            let is_fresh = pooled.idle_since.elapsed() < self.limits.idle_timeout;
+            if !is_fresh || !self.reuse.may_reuse(receiver, pooled.meter.last_received()) {
                 *count -= 1;
                 continue;
             }
-            if bound.is_some_and(|bound| bound != kept.number) {
-                list.push(kept);
+            if bound.is_some_and(|bound| bound != pooled.id) {
+                list.push(pooled);
                 return self.take_bound(list, count, bound?);
             }
             *count -= 1;
-            return Some(kept);
+            return Some(pooled);
         }
         None
     }
 
-    /// Takes a certain connection out, which is not the last one.
+    /// Removes the bound connection, which is not the last one of the list.
     fn take_bound(
         &self,
-        list: &mut Vec<Kept>,
+        list: &mut Vec<PooledConnection>,
         count: &mut usize,
         bound: ConnectionId,
-    ) -> Option<Kept> {
-        let index = list.iter().position(|kept| kept.number == bound)?;
+    ) -> Option<PooledConnection> {
+        let index = list.iter().position(|pooled| pooled.id == bound)?;
         *count -= 1;
         Some(list.remove(index))
     }
 
-    /// Keeps a connection for further calls.
-    pub fn keep(&self, receiver: &str, mut kept: Kept) {
+    /// Returns a connection to the pool, which may evict the least recently used one.
+    pub fn put_back(&self, receiver: &str, mut pooled: PooledConnection) {
         let now = Instant::now();
-        kept.since = now;
+        pooled.idle_since = now;
         let mut idle = lock(&self.idle);
-        if now > idle.swept + SWEEP_GAP || idle.count >= self.limits.max_idle {
+        if now > idle.last_sweep + SWEEP_INTERVAL || idle.count >= self.limits.max_idle {
             idle.sweep(self.limits.idle_timeout, now);
         }
-        if idle.count >= self.limits.max_idle || kept.sender.is_closed() {
+        if idle.count >= self.limits.max_idle || pooled.sender.is_closed() {
             return;
         }
         idle.count += 1;
@@ -147,7 +147,7 @@
             Some(list) => list,
             None => idle.by_receiver.entry(receiver.into()).or_default(),
         };
-        list.push(kept);
+        list.push(pooled);
         if list.len() > self.limits.per_host {
             list.remove(0);
             idle.count -= 1;
@@ -156,38 +156,40 @@
 }
 
 impl Idle {
-    /// Drops what is closed or was idle for too long.
-    fn sweep(&mut self, age: Duration, now: Instant) {
-        self.swept = now;
+    /// Drops closed connections and those idle for longer than the limit.
+    fn sweep(&mut self, idle_timeout: Duration, now: Instant) {
+        self.last_sweep = now;
         self.by_receiver.retain(|_, list| {
-            list.retain(|kept| now < kept.since + age && !kept.sender.is_closed());
+            list.retain(|pooled| {
+                now < pooled.idle_since + idle_timeout && !pooled.sender.is_closed()
+            });
             !list.is_empty()
         });
         self.count = self.by_receiver.values().map(Vec::len).sum();
     }
 }
 
-/// Opens a connection. Receivers are named by numbers, and no name server is asked.
-async fn connect(receiver: &str) -> io::Result<Kept> {
+/// Opens a connection. Receivers have numeric addresses, so no name resolution takes place.
+async fn connect(receiver: &str) -> io::Result<PooledConnection> {
     let address: SocketAddr = receiver.parse().map_err(io::Error::other)?;
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let meter = Arc::new(Meter::new());
-    let link = Metered {
+    let link = MeteredStream {
         inner: TokioIo::new(stream),
         meter: meter.clone(),
     };
     let handshake = http1::Builder::new().handshake(link).await;
     let (sender, connection) = handshake.map_err(io::Error::other)?;
     let task = tokio::spawn(async move {
-        // The call that it breaks tells of it.
+        // The call that is interrupted reports the error.
         let _ = connection.await;
     });
-    Ok(Kept {
-        number: ConnectionId::next(),
+    Ok(PooledConnection {
+        id: ConnectionId::next(),
         sender,
         meter,
-        since: Instant::now(),
+        idle_since: Instant::now(),
         task: task.abort_handle(),
     })
 }
--- a/components/kernel/src/server.rs
+++ b/components/kernel/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP ports by `hyper`: one thread waits for all connections of the process.
+//! HTTP server on `hyper`: one I/O thread serves all connections of the process, handlers run on a thread pool.
 
 use {
     crate::{
@@ -33,28 +33,28 @@
     },
 };
 
-/// The largest body that is taken in, in bytes: the store's largest value and some room.
+/// Maximum size of a request body in bytes: the largest value of the store with a margin.
 pub const MAX_BODY: usize = 2 * 1024 * 1024;
-/// The largest head of a request, in bytes.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD: usize = 32 * 1024;
-/// The pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failure to accept a connection, such as a lack of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// An answer to one request.
+/// The response to a request.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// The status code.
     pub status: u16,
     /// The content type.
     pub content_type: &'static str,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// Plain text.
+    /// A plain-text response.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let body = text.into().into_bytes();
         Reply {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Bytes of a given type.
+    /// A response with a body of the given content type.
     pub fn bytes(status: u16, kind: &'static str, body: Vec<u8>) -> Self {
         Reply {
             status,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A message of ours, or the failure that came instead.
+    /// An encoded message, or the failure with its status code.
     pub fn message<T: Serialize>(result: &Result<T, Failure>) -> Self {
         match result.as_ref().map(wire::encode) {
             Ok(Ok(body)) => Reply::bytes(200, wire::CONTENT_TYPE, body),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Like [`Reply::message`], without the names of fields.
+    /// Like [`Reply::message`], without field names.
     pub fn compact<T: Serialize>(result: &Result<T, Failure>) -> Self {
         match result.as_ref().map(wire::encode_compact) {
             Ok(Ok(body)) => Reply::bytes(200, wire::CONTENT_TYPE, body),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Like [`Reply::compact`], packed for a narrow link.
+    /// Like [`Reply::compact`], compressed for a slow link.
     pub fn compressed<T: Serialize>(result: &Result<T, Failure>) -> Self {
         let reply = Reply::compact(result);
         Reply {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A failure, with the status that fits its cause.
+    /// A failure, with the status code of its cause.
     pub fn failure(failure: &Failure) -> Self {
         let body = wire::encode(failure).unwrap_or_default();
         Reply::bytes(status(failure.cause), wire::CONTENT_TYPE, body)
@@ -115,7 +115,7 @@
     }
 }
 
-/// The status code of a failure.
+/// The HTTP status code of a failure's cause.
 pub fn status(cause: Cause) -> u16 {
     match cause {
         Cause::Invalid => 400,
@@ -128,24 +128,24 @@
     }
 }
 
-/// One whole request. It may be kept and answered later, from any thread.
+/// A complete request. It may be stored and responded to later, from any thread.
 pub struct Request {
     /// The method, such as `POST`.
     pub method: String,
-    /// The path without the query.
+    /// The path, without the query.
     pub path: String,
-    /// The query without the question mark.
+    /// The query, without the question mark.
     pub query: String,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
     headers: HeaderMap,
-    answer: oneshot::Sender<Reply>,
+    responder: oneshot::Sender<Reply>,
 }
 
 impl Request {
-    /// A request without a body that came by no connection; its answer goes nowhere.
+    /// A request without a body or a connection, whose reply is discarded.
     pub fn detached(method: &str, path: &str, headers: &[(&'static str, &'static str)]) -> Self {
-        let (answer, _) = oneshot::channel();
+        let (responder, _) = oneshot::channel();
         let header = |(name, value): &(&'static str, &'static str)| {
             (
                 HeaderName::from_static(name),
@@ -158,16 +158,16 @@
             query: String::new(),
             body: Vec::new(),
             headers: headers.iter().map(header).collect(),
-            answer,
+            responder,
         }
     }
 
-    /// The text of a header; empty when there is none.
+    /// The value of a header; empty if it is missing or not text.
     pub fn header(&self, name: &str) -> &str {
-        text_of(self.headers.get(name))
+        header_text(self.headers.get(name))
     }
 
-    /// A parameter of the query; names and values of ours need no escapes.
+    /// A query parameter. Internal names and values contain no characters that need escaping.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         for pair in self.query.split('&') {
             let Some((key, value)) = pair.split_once('=') else {
@@ -180,28 +180,28 @@
         None
     }
 
-    /// Reads the body as a message of ours.
+    /// Decodes the body as a message.
     ///
     /// # Errors
     ///
-    /// `Invalid` when it is none.
+    /// `Invalid` if the body is not such a message.
     pub fn message<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         wire::decode(&self.body)
     }
 
-    /// Answers. A receiver that has gone is nobody's loss.
+    /// Sends the reply. Does nothing if the client has disconnected.
     pub fn respond(self, reply: Reply) {
-        let (sent, heard) = (reply.body.len(), self.body.len());
+        let (sent, received) = (reply.body.len(), self.body.len());
         traffic::record(
             &self.path,
             sent + traffic::HEAD_BYTES,
-            heard + traffic::HEAD_BYTES,
+            received + traffic::HEAD_BYTES,
         );
-        let _ = self.answer.send(reply);
+        let _ = self.responder.send(reply);
     }
 }
 
-fn text_of(value: Option<&HeaderValue>) -> &str {
+fn header_text(value: Option<&HeaderValue>) -> &str {
     value
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
@@ -222,55 +222,55 @@
     response
 }
 
-/// Answers requests on the thread of all connections, so it must not block; gives back those that take longer.
+/// Handles requests on the I/O thread, so it must not block. Returns the requests that it does not handle.
 pub type FastHandler = Arc<dyn Fn(Request) -> Option<Request> + Send + Sync>;
 
-/// Answers requests on a thread for work that blocks.
+/// Handles requests on a thread for blocking work.
 pub type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
-/// What a port does with each request.
+/// Request handlers of a port.
 #[derive(Clone)]
 pub struct Service {
-    /// Has each request first.
+    /// Receives each request first.
     pub fast: FastHandler,
-    /// Has those that `quick` gives back.
+    /// Receives the requests that `fast` returns.
     pub handler: Handler,
-    /// How many of these are handled at once.
+    /// Number of requests that `handler` processes concurrently.
     pub concurrency: usize,
 }
 
-/// The bounds of a port's connections.
+/// Limits on the connections of a port.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Connections at once; more wait to be accepted.
+    /// Concurrent connections; further ones wait to be accepted.
     pub max_connections: usize,
-    /// The time for the head of a request, which an unused connection waits for.
+    /// Time-out for receiving the head of a request, and so the maximum idle time of a connection.
     pub idle: Duration,
 }
 
-/// Those of ports between our own processes, whose clients keep unused connections for up to two minutes.
+/// Limits of internal ports, whose clients keep idle connections for up to two minutes.
 pub const INTERNAL: Bounds = Bounds {
     max_connections: 4_096,
     idle: Duration::from_secs(180),
 };
 
-/// A port that is open.
+/// An open port. Dropping it closes the port.
 pub struct Server {
     address: SocketAddr,
-    /// Tells the port's tasks to end.
+    /// Signals the tasks of the port to end.
     stop: watch::Sender<bool>,
-    /// Closed once the port and all handlers have ended.
-    ended: Mutex<mpsc::Receiver<Infallible>>,
+    /// Disconnected once the port and all handlers have finished.
+    finished: Mutex<mpsc::Receiver<Infallible>>,
 }
 
 impl Server {
-    /// Opens a port between our own processes, with this many tasks at once; port 0 takes a free one.
+    /// Opens an internal port that handles up to `tasks` requests concurrently; port 0 selects a free port.
     ///
-    /// With a token, a request that does not show it gets 401, but for `/healthz` and `/readyz`.
+    /// If a token is set, a request without it gets status 401, except for `/healthz` and `/readyz`.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or the system has no room for threads.
+    /// The address cannot be bound, or a thread cannot be created.
     pub fn open(
         address: SocketAddr,
         tasks: usize,
@@ -285,7 +285,7 @@
         Self::open_with_bounds(address, INTERNAL, token, service)
     }
 
-    /// Opens a port with bounds of its own.
+    /// Opens a port with the given limits and handlers.
     ///
     /// # Errors
     ///
@@ -301,10 +301,10 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
-        let (running, ended) = mpsc::channel();
-        let port = Arc::new(Port {
+        let (guard, finished) = mpsc::channel();
+        let port = Arc::new(PortState {
             token,
-            tasks: Arc::new(Semaphore::new(service.concurrency)),
+            handler_permits: Arc::new(Semaphore::new(service.concurrency)),
             service,
             bounds,
         });
@@ -312,29 +312,29 @@
             let _entered = runtime.enter();
             tokio::net::TcpListener::from_std(listener)?
         };
-        runtime.spawn(accept(listener, port, stopped, running));
+        runtime.spawn(accept(listener, port, stopped, guard));
         Ok(Server {
             address,
             stop,
-            ended: Mutex::new(ended),
+            finished: Mutex::new(finished),
         })
     }
 
-    /// The address that is bound.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The base of the port's addresses.
+    /// The base URL of the port.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Takes no further request and waits for those being handled.
+    /// Stops accepting requests and waits for those in progress.
     pub fn close(&mut self) {
         let _ = self.stop.send(true);
-        // Nothing is ever sent: the wait ends with the last sender.
-        let _ = lock(&self.ended).recv();
+        // Nothing is ever sent on this channel: `recv` returns once the last sender is dropped.
+        let _ = lock(&self.finished).recv();
     }
 }
 
@@ -344,69 +344,70 @@
     }
 }
 
-/// What the connections of a port share.
-struct Port {
+/// State shared by the connections of a port.
+struct PortState {
     token: Option<Token>,
     service: Service,
     bounds: Bounds,
-    /// Handlers that may begin.
-    tasks: Arc<Semaphore>,
+    /// Permits to run the handler.
+    handler_permits: Arc<Semaphore>,
 }
 
-/// Held by whatever has to end before the port is closed.
-type Running = mpsc::Sender<Infallible>;
+/// Held by everything that must finish before the port is closed.
+type CloseGuard = mpsc::Sender<Infallible>;
 
+/// Accepts connections until the port is closed.
 async fn accept(
     listener: tokio::net::TcpListener,
-    port: Arc<Port>,
+    port: Arc<PortState>,
     mut stopped: watch::Receiver<bool>,
-    running: Running,
+    guard: CloseGuard,
 ) {
-    let room = Arc::new(Semaphore::new(port.bounds.max_connections));
+    let permits = Arc::new(Semaphore::new(port.bounds.max_connections));
     loop {
         let next = async {
             // The semaphore is never closed.
-            let place = room.clone().acquire_owned().await.ok();
-            (place, listener.accept().await)
+            let permit = permits.clone().acquire_owned().await.ok();
+            (permit, listener.accept().await)
         };
-        let (place, accepted) = tokio::select! {
+        let (permit, accepted) = tokio::select! {
             next = next => next,
             _ = stopped.changed() => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 let (port, stopped) = (port.clone(), stopped.clone());
-                let running = running.clone();
+                let guard = guard.clone();
                 tokio::spawn(async move {
-                    serve(stream, port, stopped, running).await;
-                    drop(place);
+                    serve(stream, port, stopped, guard).await;
+                    drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!(target: "kernel", error:% = error; "A connection could not be accepted.");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(target: "kernel", error:% = error; "Failed to accept a connection.");
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves a connection until it ends or the port is closed.
+/// Serves a connection until it or the port is closed.
 async fn serve(
     stream: TcpStream,
-    port: Arc<Port>,
+    port: Arc<PortState>,
     mut stopped: watch::Receiver<bool>,
-    running: Running,
+    guard: CloseGuard,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(target: "kernel", error:% = error; "A connection ended before it was served.");
+        log::debug!(target: "kernel", error:% = error; "Connection closed before it was served.");
         return;
     }
     let idle = port.bounds.idle;
-    // A port that is closed waits for handlers, not for connections.
-    let running = Mutex::new(Some(running));
+    // Closing the port waits for handlers, not for connections.
+    let guard = Mutex::new(Some(guard));
     let service = service_fn(|request| {
-        let held = lock(&running).clone();
-        answer(port.clone(), request, held)
+        let guard = lock(&guard).clone();
+        handle(port.clone(), request, guard)
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -415,76 +416,77 @@
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         _ = stopped.changed() => {
-            lock(&running).take();
+            lock(&guard).take();
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        log::debug!(target: "kernel", error:% = error; "A connection broke.");
+    if let Err(error) = result {
+        log::debug!(target: "kernel", error:% = error; "Connection failed.");
     }
 }
 
-/// Takes one request in whole and has it handled.
-async fn answer(
-    port: Arc<Port>,
+/// Reads a complete request, has it handled and returns the response.
+async fn handle(
+    port: Arc<PortState>,
     request: hyper::Request<Incoming>,
-    running: Option<Running>,
+    guard: Option<CloseGuard>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, body) = request.into_parts();
-    let taken = match admitted(&port, &head) {
-        Ok(()) => read_whole(body).await,
+    let received = match authorize(&port, &head) {
+        Ok(()) => read_body(body).await,
         Err(failure) => Err(failure),
     };
-    let body = match taken {
+    let body = match received {
         Ok(body) => body,
         Err(failure) => return Ok(response(Reply::failure(&failure))),
     };
-    let (answer, answered) = oneshot::channel();
+    let (responder, reply) = oneshot::channel();
     let request = Request {
         method: head.method.as_str().to_owned(),
         path: head.uri.path().to_owned(),
         query: head.uri.query().unwrap_or_default().to_owned(),
         headers: head.headers,
         body,
-        answer,
+        responder,
     };
     if let Some(request) = (port.service.fast)(request) {
         // The semaphore is never closed.
-        let place = port.tasks.clone().acquire_owned().await.ok();
+        let permit = port.handler_permits.clone().acquire_owned().await.ok();
         tokio::task::spawn_blocking(move || {
             (port.service.handler)(request);
-            drop((place, running));
+            drop((permit, guard));
         });
     }
     let dropped = |_| Reply::text(500, "the request was dropped\n");
-    Ok(response(answered.await.unwrap_or_else(dropped)))
+    Ok(response(reply.await.unwrap_or_else(dropped)))
 }
 
-fn admitted(port: &Port, head: &hyper::http::request::Parts) -> Result<(), Failure> {
+/// Checks the token, except for the paths that are open to all.
+fn authorize(port: &PortState, head: &hyper::http::request::Parts) -> Result<(), Failure> {
     let path = head.uri.path();
-    let open = path == "/healthz" || path == "/readyz";
+    let is_open = path == "/healthz" || path == "/readyz";
     match &port.token {
-        Some(token) if !open && !token.matches(text_of(head.headers.get(AUTHORIZATION))) => Err(
-            Failure::not_run(Cause::Denied, "the token is missing or wrong"),
-        ),
+        Some(token) if !is_open && !token.matches(header_text(head.headers.get(AUTHORIZATION))) => {
+            Err(Failure::not_run(Cause::Denied, "missing or invalid token"))
+        }
         _ => Ok(()),
     }
 }
 
-/// Reads a request's body in whole, or says why the request is refused.
-async fn read_whole(body: Incoming) -> Result<Vec<u8>, Failure> {
-    let refused = |text| Failure::not_run(Cause::Invalid, text);
+/// Reads the complete body of a request.
+async fn read_body(body: Incoming) -> Result<Vec<u8>, Failure> {
+    let rejected = |text| Failure::not_run(Cause::Invalid, text);
     if body.size_hint().lower() > MAX_BODY as u64 {
-        return Err(refused("the body is too large"));
+        return Err(rejected("request body too large"));
     }
     match Limited::new(body, MAX_BODY).collect().await {
-        Ok(whole) => Ok(whole.to_bytes().into()),
-        Err(error) if error.is::<LengthLimitError>() => Err(refused("the body is too large")),
-        Err(_) => Err(refused("the body is cut")),
+        Ok(body) => Ok(body.to_bytes().into()),
+        Err(error) if error.is::<LengthLimitError>() => Err(rejected("request body too large")),
+        Err(_) => Err(rejected("request body truncated")),
     }
 }
 
@@ -500,6 +502,7 @@
         test_case::test_case,
     };
 
+    /// A server that returns the request body.
     fn echo(token: Option<Token>) -> Server {
         let handler = |request: Request| {
             let body = request.body.clone();
@@ -508,6 +511,7 @@
         Server::open(([127, 0, 0, 1], 0).into(), 1, token, Arc::new(handler)).unwrap()
     }
 
+    /// Sends raw bytes and returns the raw response.
     fn raw(server: &Server, request: &str) -> String {
         let mut stream = TcpStream::connect(server.address()).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
@@ -517,7 +521,7 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Connections that come in one burst were left to wait for each other's end.
+    /// Guards against connections of one burst being served only one after the other.
     #[test]
     fn serve_burst_of_connections() {
         let server = echo(None);
@@ -533,10 +537,10 @@
             let calls: Vec<_> = (0..32).map(|_| scope.spawn(connect)).collect();
             calls.into_iter().map(|call| call.join().unwrap()).collect()
         });
-        // All stay open until the last is answered.
+        // All connections stay open until the last one has a response.
         for mut stream in &streams {
-            let most = std::time::Duration::from_secs(30);
-            stream.set_read_timeout(Some(most)).unwrap();
+            let limit = std::time::Duration::from_secs(30);
+            stream.set_read_timeout(Some(limit)).unwrap();
             assert!(stream.read(&mut [0; 12]).is_ok_and(|read| read > 0));
         }
     }
@@ -557,7 +561,7 @@
         Server::open_with_bounds(([127, 0, 0, 1], 0).into(), bounds, None, service).unwrap()
     }
 
-    /// Connects and has one request answered.
+    /// Opens a connection and completes one request on it.
     fn connected(server: &Server) -> TcpStream {
         let mut stream = TcpStream::connect(server.address()).unwrap();
         stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -566,15 +570,15 @@
     }
 
     #[test]
-    fn serve_unused_connection_ends() {
+    fn serve_closes_idle_connection() {
         let server = bounded(8, Duration::from_millis(50));
         let mut stream = connected(&server);
         assert_eq!(stream.read(&mut [0; 1]).unwrap_or(0), 0);
     }
 
-    /// One connection more than there may be is served once another has ended.
+    /// A connection beyond the limit is served once another one has closed.
     #[test]
-    fn serve_connections_at_once() {
+    fn serve_connection_limit() {
         let server = bounded(1, Duration::from_secs(60));
         let first = connected(&server);
         let mut second = TcpStream::connect(server.address()).unwrap();
@@ -589,20 +593,20 @@
 
     #[test_case(9; "small")]
     #[test_case(9000; "large")]
-    fn serve_cut_body(declared: usize) {
+    fn serve_truncated_body(declared: usize) {
         let server = echo(None);
         let head = format!("POST / HTTP/1.1\r\nContent-Length: {declared}\r\n\r\nshort");
         let text = raw(&server, &head);
         assert!(text.starts_with("HTTP/1.1 400"), "{text}");
     }
 
-    #[test_case(Some("right"), "/x", 200; "the token")]
-    #[test_case(Some("wrong"), "/x", 401; "another token")]
-    #[test_case(None, "/x", 401; "no token")]
+    #[test_case(Some("right"), "/x", 200; "valid token")]
+    #[test_case(Some("wrong"), "/x", 401; "invalid token")]
+    #[test_case(None, "/x", 401; "missing token")]
     #[test_case(None, "/healthz", 200; "open path")]
-    fn serve_token(shown: Option<&str>, path: &str, status: u16) {
+    fn serve_token(token: Option<&str>, path: &str, status: u16) {
         let server = echo(Some(Token::new("right")));
-        let client = Client::new(shown.map(Token::new));
+        let client = Client::new(token.map(Token::new));
         let url = format!("{}{path}", server.url());
         let call = crate::Call {
             method: "GET",
--- a/components/kernel/src/timeout.rs
+++ b/components/kernel/src/timeout.rs
@@ -12,7 +12,7 @@
 /// The time-outs of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeout {
-    /// For the total call; for a streaming call, until the response begins.
+    /// For the whole call; for a streaming call, until the response begins.
     total: Duration,
     /// Time-out of the first attempt. After it, or if the connection is lost, the call is retried on a new
     /// connection within the remaining time.
@@ -146,7 +146,7 @@
     head: Duration,
     /// Longest pause after that; `None` if only the total time is limited.
     pause: Option<Duration>,
-    /// For the total attempt.
+    /// For the whole attempt.
     pub end: Duration,
 }
 
--- a/components/kernel/tests/connections.rs
+++ b/components/kernel/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Calls that are bound to one connection.
+//! Tests of calls that are bound to one connection.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -20,7 +20,7 @@
     },
 };
 
-/// A receiver that closes each connection after so many answers, and counts its connections and requests.
+/// A server that closes each connection after a number of responses, and counts connections and requests.
 struct Receiver {
     url: String,
     connections: Arc<AtomicUsize>,
@@ -28,7 +28,7 @@
 }
 
 impl Receiver {
-    fn open(answers: usize) -> Self {
+    fn open(responses: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let url = format!("http://{}/", listener.local_addr().unwrap());
         let (connections, requests) = (Arc::default(), Arc::default());
@@ -41,7 +41,7 @@
             for stream in listener.incoming().flatten() {
                 connections.fetch_add(1, Ordering::SeqCst);
                 let requests = requests.clone();
-                thread::spawn(move || serve(&stream, answers, &requests));
+                thread::spawn(move || serve(&stream, responses, &requests));
             }
         });
         receiver
@@ -70,9 +70,9 @@
     }
 }
 
-fn serve(stream: &TcpStream, answers: usize, requests: &AtomicUsize) {
+fn serve(stream: &TcpStream, responses: usize, requests: &AtomicUsize) {
     let mut reader = BufReader::new(stream);
-    for _ in 0..answers {
+    for _ in 0..responses {
         let mut line = String::new();
         while line != "\r\n" {
             line.clear();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn send_over_same_connection() {
+fn call_over_same_connection() {
     let (receiver, client) = (Receiver::open(usize::MAX), Client::new(None));
     let first = receiver.send(&client);
     let second = receiver.send_over(&client, first.connection).unwrap();
@@ -98,12 +98,12 @@
     assert_eq!(receiver.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Whoever is at the receiver's address now may be another one.
+/// Guards against a bound call on a new connection: another process may be listening at the same address.
 #[test]
-fn send_over_closed_connection() {
+fn call_over_closed_connection() {
     let (receiver, client) = (Receiver::open(1), Client::new(None));
     let first = receiver.send(&client);
-    // The end of the connection may still be on its way: what is sent until then gets no answer.
+    // The client may not have seen the close yet: a request sent until then gets no response.
     let failure = receiver.send_over(&client, first.connection).unwrap_err();
     assert!(matches!(
         failure.verdict,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn send_over_connection_of_another_client() {
+fn call_over_connection_of_other_client() {
     let (receiver, client) = (Receiver::open(usize::MAX), Client::new(None));
     let other = receiver.send(&client.with_own_pool()).connection;
     let own = receiver.send(&client).connection;
