--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -82,7 +82,7 @@
     pub fn start(settings: Settings) -> io::Result<Self> {
         let (name, hall, choice) = (settings.name.clone(), settings.hall, settings.choice);
         let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, choice))?;
-        let gate = host.remote().clone();
+        let gate = host.actor_ref().clone();
         let ready = Readiness::new();
         let shared = Shared {
             gate: gate.clone(),
--- a/components/kernel/examples/actor.rs
+++ b/components/kernel/examples/actor.rs
@@ -12,20 +12,20 @@
 }
 
 fn main() -> io::Result<()> {
-    let host = ActorThread::start("counter", |_, _| Counter { count: 0 })?;
+    let thread = ActorThread::start("counter", |_, _| Counter { count: 0 })?;
     let mut threads = Vec::new();
     for number in 0..4 {
-        let remote = host.remote().clone();
+        let actor = thread.actor_ref().clone();
         threads.push(task::spawn(&format!("task-{number}"), move || {
             for _ in 0..1000 {
-                remote.tell(|counter, _| counter.count += 1);
+                actor.tell(|counter, _| counter.count += 1);
             }
         })?);
     }
     for thread in threads {
         let _ = thread.join();
     }
-    let count: Result<u64, Failure> = host.remote().ask(|counter, _| counter.count);
+    let count: Result<u64, Failure> = thread.actor_ref().ask(|counter, _| counter.count);
     println!("{count:?}");
     Ok(())
 }
--- a/components/kernel/src/actor.rs
+++ b/components/kernel/src/actor.rs
@@ -161,7 +161,7 @@
     }
 
     /// A handle to the actor.
-    pub fn remote(&self) -> &ActorRef<A> {
+    pub fn actor_ref(&self) -> &ActorRef<A> {
         &self.remote
     }
 
@@ -229,33 +229,34 @@
 
     #[test]
     fn ask_returns_state() {
-        let mut host = ActorThread::start("counter", |_, _| Counter(1)).unwrap();
-        assert!(host.remote().tell(|counter, _| counter.0 += 1));
-        assert_eq!(host.remote().ask(|counter, _| counter.0), Ok(2));
-        let remote = host.remote().clone();
-        host.stop();
-        assert!(!remote.tell(|counter, _| counter.0 += 1));
+        let mut thread = ActorThread::start("counter", |_, _| Counter(1)).unwrap();
+        assert!(thread.actor_ref().tell(|counter, _| counter.0 += 1));
+        assert_eq!(thread.actor_ref().ask(|counter, _| counter.0), Ok(2));
+        let actor = thread.actor_ref().clone();
+        thread.stop();
+        assert!(!actor.tell(|counter, _| counter.0 += 1));
         assert_eq!(
-            remote.ask(|counter, _| counter.0).unwrap_err().cause,
+            actor.ask(|counter, _| counter.0).unwrap_err().cause,
             Cause::Stopping
         );
     }
 
     #[test]
     fn ask_later_after_timer() {
-        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
-        let response = host
-            .remote()
+        let thread = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
+        let response = thread
+            .actor_ref()
             .ask_deferred(|counter, cx, responder| counter.send_later(cx, responder));
         assert_eq!(response, Ok(7));
     }
 
     #[test]
     fn ask_within_time() {
-        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
+        let thread = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
         let (sender, receiver) = mpsc::channel();
         let timed_out: Result<u64, _> =
-            host.remote()
+            thread
+                .actor_ref()
                 .ask_within(Duration::ZERO, move |_, _, responder| {
                     let _ = sender.send(responder);
                 });
@@ -265,9 +266,9 @@
 
     #[test]
     fn ask_dropped_responder() {
-        let host = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
-        let response: Result<u64, _> = host
-            .remote()
+        let thread = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
+        let response: Result<u64, _> = thread
+            .actor_ref()
             .ask_deferred(|_, _, responder| drop(responder));
         assert!(response.is_err());
     }
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -342,7 +342,7 @@
 enum AttemptError {
     /// connect timed out
     ConnectTimeout,
-    /// request timed out
+    /// no response within the time-out
     RequestTimeout,
     /// the connection that the call is bound to is closed
     ConnectionClosed,
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -134,7 +134,7 @@
         let host = ActorThread::start("sched", move |cx, remote| {
             Scheduler::new(cx, theirs, remote)
         })?;
-        let remote = host.remote().clone();
+        let remote = host.actor_ref().clone();
         let port = Port {
             remote: remote.clone(),
             client: client.clone(),
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -54,7 +54,7 @@
 #[test]
 fn claims_after_listening() {
     let host = scheduler();
-    let claims = host.remote().ask(|sched, cx| {
+    let claims = host.actor_ref().ask(|sched, cx| {
         let now = cx.now();
         let before = sched.claims(now + Duration::from_secs(9));
         sched.set_list(cx, list());
@@ -70,7 +70,7 @@
 #[test]
 fn claims_leave_newer_owner() {
     let host = scheduler();
-    let claims = host.remote().ask(|sched, cx| {
+    let claims = host.actor_ref().ask(|sched, cx| {
         let now: Instant = cx.now() + Duration::from_secs(9);
         sched.set_list(cx, list());
         sched.give_way("h1", "a test", now);
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -71,7 +71,7 @@
         let roster = Roster::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
-            keeper: host.remote().clone(),
+            keeper: host.actor_ref().clone(),
             store: settings.store,
             view: roster.view().clone(),
             client: Client::new(settings.token.clone()),
--- a/programs/load/src/slope/pick.rs
+++ b/programs/load/src/slope/pick.rs
@@ -77,7 +77,7 @@
         return 0.0;
     };
     let list = list(servers);
-    let timed = host.remote().ask(move |gate, cx| {
+    let timed = host.actor_ref().ask(move |gate, cx| {
         gate.set_list(&list, cx.now());
         gate.set_table(Arc::new(table()));
         let mut best = f64::MAX;
