--- a/components/kernel/examples/actor.rs
+++ b/components/kernel/examples/actor.rs
@@ -1,4 +1,6 @@
-//! An actor on its own thread, and threads that call it: `cargo run -p magpie-kernel --example actor`.
+//! An actor on its own thread, and threads that call it.
+//!
+//! Run with `cargo run -p magpie-kernel --example actor`.
 
 use {
     kernel::{ActorThread, Failure, task},
--- a/components/kernel/src/actor.rs
+++ b/components/kernel/src/actor.rs
@@ -1,7 +1,8 @@
 //! Actors on their own threads, and handles to call them from other threads and async tasks.
 //!
-//! An [`ActorThread`] runs one `stakker` main loop with one actor. Other threads hold an [`ActorRef`] and
-//! run closures on the actor through it, so shared state needs no locks and blocking code stays sequential.
+//! An [`ActorThread`] runs one `stakker` main loop with one actor. Other threads hold an
+//! [`ActorRef`] and run closures on the actor through it, so shared state needs no locks and
+//! blocking code stays sequential.
 
 use {
     crate::{
@@ -68,7 +69,8 @@
     ///
     /// # Errors
     ///
-    /// `Stopping` if the actor has stopped: the closure did not run, or ran while the actor was stopping.
+    /// `Stopping` if the actor has stopped: the closure did not run, or ran while the actor was
+    /// stopping.
     pub fn ask<R: Send + 'static>(
         &self,
         action: impl FnOnce(&mut A, &mut Cx<'_, A>) -> R + Send + 'static,
@@ -108,7 +110,8 @@
     ///
     /// # Errors
     ///
-    /// `Stopping` as for [`ActorRef::ask_deferred`]; `Timeout` with the verdict `may-have-run` after the time-out.
+    /// `Stopping` as for [`ActorRef::ask_deferred`]; `Timeout` with the verdict `may-have-run`
+    /// after the time-out.
     pub fn ask_within<R: Send + 'static>(
         &self,
         time: Duration,
@@ -131,7 +134,7 @@
 
 /// A thread that runs one main loop with one actor. Dropping it stops the actor.
 pub struct ActorThread<A: 'static> {
-    remote: ActorRef<A>,
+    actor_ref: ActorRef<A>,
     stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -152,9 +155,9 @@
         let stop_flag = stopped.clone();
         let (sender, receiver) = mpsc::sync_channel(1);
         let thread = task::spawn(name, move || run(init, &sender, &stop_flag))?;
-        let remote = receiver.recv().map_err(io::Error::other)?;
+        let actor_ref = receiver.recv().map_err(io::Error::other)?;
         Ok(ActorThread {
-            remote,
+            actor_ref,
             stopped,
             thread: Some(thread),
         })
@@ -162,7 +165,7 @@
 
     /// A handle to the actor.
     pub fn actor_ref(&self) -> &ActorRef<A> {
-        &self.remote
+        &self.actor_ref
     }
 
     /// Stops the main loop, drops the actor and joins the thread.
@@ -199,10 +202,10 @@
         target.defer(move |s| actor.apply(s, action));
     });
     let (channel, guard) = Channel::new(&mut stakker, actions);
-    let remote = ActorRef { channel };
-    let own = remote.clone();
-    actor.apply_prep(&mut stakker, move |cx| Some(init(cx, own)));
-    let _ = sender.send(remote);
+    let actor_ref = ActorRef { channel };
+    let init_ref = actor_ref.clone();
+    actor.apply_prep(&mut stakker, move |cx| Some(init(cx, init_ref)));
+    let _ = sender.send(actor_ref);
     while !stopped.load(Ordering::Acquire) {
         stakker.poll_wake();
         let idle = stakker.run(Instant::now(), false);
@@ -242,7 +245,7 @@
     }
 
     #[test]
-    fn ask_later_after_timer() {
+    fn ask_deferred_after_timer() {
         let thread = ActorThread::start("counter", |_, _| Counter(7)).unwrap();
         let response = thread
             .actor_ref()
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -1,7 +1,9 @@
-//! HTTP client on `hyper` with connection pooling, where each failure states whether the request may have run.
+//! HTTP client on `hyper` with connection pooling, where each failure states whether the request
+//! may have run.
 //!
-//! Errors of the library do not state whether a request was sent. Connections are therefore wrapped to count
-//! the bytes that the operating system accepts: if it has accepted none, the request did not run.
+//! Errors of the library do not state whether a request was sent. Connections are therefore wrapped
+//! to count the bytes that the operating system accepts: if it has accepted none, the request did
+//! not run.
 
 mod metered;
 mod pool;
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Multiplies the time-outs of all calls, for a machine so loaded that threads are delayed for as long as the
-    /// time-outs of calls.
+    /// Multiplies the time-outs of all calls, for a machine so loaded that threads are delayed for
+    /// as long as the time-outs of calls.
     #[must_use]
     pub fn with_timeout_factor(self, factor: u32) -> Self {
         Client {
@@ -154,8 +156,8 @@
 
     /// Makes a single attempt over the given connection only.
     ///
-    /// The call may close other idle connections to the receiver. Use bound calls with a client that has its
-    /// [own pool](Client::with_own_pool), where each receiver has one connection.
+    /// The call may close other idle connections to the receiver. Use bound calls with a client
+    /// that has its [own pool](Client::with_own_pool), where each receiver has one connection.
     ///
     /// # Errors
     ///
@@ -176,8 +178,8 @@
     ///
     /// # Errors
     ///
-    /// `not-run` only if no byte was sent to the receiver, otherwise `may-have-run`. A response that is truncated or
-    /// does not declare its length is `BadAnswer`.
+    /// `not-run` only if no byte was sent to the receiver, otherwise `may-have-run`. A response
+    /// that is truncated or does not declare its length is `BadAnswer`.
     pub async fn call(&self, call: &Call<'_>) -> Result<HttpResponse, Failure> {
         let time = call.timeout.scaled(self.timeout_factor);
         let body = call.body.len();
@@ -239,7 +241,8 @@
         }
     }
 
-    /// Converts an error into a failure, given the number of bytes sent. A time-out is recorded in the pool.
+    /// Converts an error into a failure, given the number of bytes sent. A time-out is recorded in
+    /// the pool.
     fn failure(&self, call: &Call, error: &AttemptError, sent: usize) -> Failure {
         if matches!(
             error,
@@ -408,7 +411,8 @@
     }
 }
 
-/// Rejects a response that is delimited only by the end of the connection: its truncation would go undetected.
+/// Rejects a response that is delimited only by the end of the connection: its truncation would go
+/// undetected.
 fn require_length<B>(response: &Response<B>) -> Result<(), AttemptError> {
     let (status, headers) = (response.status().as_u16(), response.headers());
     let has_no_body = status == 204 || status == 304;
--- a/components/kernel/src/client/metered.rs
+++ b/components/kernel/src/client/metered.rs
@@ -1,4 +1,5 @@
-//! Connection wrapper that counts the bytes passed to the operating system and records when data was last received.
+//! Connection wrapper that counts the bytes passed to the operating system and records when data
+//! was last received.
 
 use {
     crate::{clock::ClockPair, sync::lock},
@@ -22,7 +23,8 @@
 
 /// Identifies a connection, uniquely within this process.
 ///
-/// All responses on a connection come from the same peer process, since a process's connections end with it.
+/// All responses on a connection come from the same peer process, since a process's connections end
+/// with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId(u64);
 
--- a/components/kernel/src/client/pool.rs
+++ b/components/kernel/src/client/pool.rs
@@ -73,7 +73,8 @@
         self.reuse.record_timeout(receiver, now);
     }
 
-    /// Returns a reusable idle connection to a receiver, or opens one. With `bound`, returns only that connection.
+    /// Returns a reusable idle connection to a receiver, or opens one. With `bound`, returns only
+    /// that connection.
     pub async fn connection(
         &self,
         receiver: &str,
--- a/components/kernel/src/clock.rs
+++ b/components/kernel/src/clock.rs
@@ -1,9 +1,10 @@
-//! Monotonic clock that includes the time while the machine is suspended, and detection of suspensions.
+//! Monotonic clock that includes the time while the machine is suspended, and detection of
+//! suspensions.
 //!
 //! A machine may be suspended for seconds. The monotonic clock of the operating system, and so
-//! `std::time::Instant`, does not count that time, while leases, owners and configurations elsewhere
-//! advance. [`BootInstant`] counts it. Waits, sockets and measurements of work use `Instant`, since the
-//! timers of the operating system follow the monotonic clock.
+//! `std::time::Instant`, does not count that time, while leases, owners and configurations
+//! elsewhere advance. [`BootInstant`] counts it. Waits, sockets and measurements of work use
+//! `Instant`, since the timers of the operating system follow the monotonic clock.
 
 use {
     nix::time::{ClockId, clock_gettime},
@@ -14,8 +15,8 @@
     },
 };
 
-/// Shorter suspensions are ignored: no cached state becomes invalid in so short a time, and the process may be
-/// descheduled for a while between reading the two clocks.
+/// Shorter suspensions are ignored: no cached state becomes invalid in so short a time, and the
+/// process may be descheduled for a while between reading the two clocks.
 const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
 /// Time added by [`simulate_suspension`], in milliseconds.
@@ -62,13 +63,11 @@
 impl ClockPair {
     /// The current time.
     pub fn now() -> Self {
-        // A delay between the two readings, here and below, looks like a suspension: a false positive is safe.
+        // A delay between the two readings, here and below, looks like a suspension: a false
+        // positive is safe.
         let at = BootInstant::now();
-        let steady = Instant::now();
-        ClockPair {
-            at,
-            monotonic: steady,
-        }
+        let monotonic = Instant::now();
+        ClockPair { at, monotonic }
     }
 
     /// True if the machine was suspended for more than 100 ms since this point.
@@ -88,7 +87,7 @@
     match clock_gettime(clock) {
         Ok(time) => Duration::from(time),
         Err(error) => {
-            log::error!(target: "kernel", clock:? = clock, error:% = error; "Cannot read_clock a system clock; using 0.");
+            log::error!(target: "kernel", clock:? = clock, error:% = error; "Cannot read a system clock, using 0.");
             Duration::ZERO
         }
     }
--- a/components/kernel/src/json_log.rs
+++ b/components/kernel/src/json_log.rs
@@ -1,7 +1,7 @@
 //! Encodes log events as JSON, one line per event.
 //!
-//! The log storage keeps only the last part of a process's output, so lines are short: time in UTC, level,
-//! target and message, followed by the key-values at the same level.
+//! The log storage keeps only the last part of a process's output, so lines are short: time in UTC,
+//! level, target and message, followed by the key-values at the same level.
 
 use {
     crate::wall_clock,
@@ -228,7 +228,8 @@
         );
     }
 
-    /// Guards against long lines: with module, file, thread and nested attributes, this event took 340 bytes.
+    /// Guards against long lines: with module, file, thread and nested attributes, this event took
+    /// 340 bytes.
     #[test]
     fn line_typical_is_short() {
         let values = [
--- a/components/kernel/src/logs.rs
+++ b/components/kernel/src/logs.rs
@@ -1,8 +1,8 @@
 //! Logging with `log4rs`: one line per event, with a fixed target per component.
 //!
-//! Two formats: text on the standard error output for people, and JSON on the standard output for programs.
-//! The JSON output never blocks the caller and is rate-limited: lines are queued for a writer thread, and
-//! excess lines are dropped and counted.
+//! Two formats: text on the standard error output for people, and JSON on the standard output for
+//! programs. The JSON output never blocks the caller and is rate-limited: lines are queued for a
+//! writer thread, and excess lines are dropped and counted.
 
 use {
     crate::{json_log::JsonEncoder, sync::lock, task},
@@ -41,8 +41,9 @@
 const LOCATION_SHARE: f64 = 0.5;
 /// Minimum interval between two reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum size of one write in bytes: writes of up to `PIPE_BUF` (4,096 on Linux) to a pipe are atomic, whereas
-/// readers have kept only the beginning of longer writes. A longer line is written on its bucket.
+/// Maximum size of one write in bytes: writes of up to `PIPE_BUF` (4,096 on Linux) to a pipe are
+/// atomic, whereas readers have kept only the beginning of longer writes. A longer line is written
+/// on its own.
 const MAX_WRITE: usize = 4_096;
 
 static HANDLE: OnceLock<Handle> = OnceLock::new();
@@ -51,7 +52,8 @@
 ///
 /// # Errors
 ///
-/// The message of the library if the configuration is rejected or another logger is already installed.
+/// The message of the library if the configuration is rejected or another logger is already
+/// installed.
 pub fn start(level: LevelFilter) -> Result<(), String> {
     let console = ConsoleAppender::builder()
         .target(Target::Stderr)
@@ -278,8 +280,8 @@
         );
     }
 
-    /// Guards against starvation: on a large site, the lines about placements and ends of runs used up the rate in
-    /// busy seconds and displaced the lines needed for diagnosis.
+    /// Guards against starvation: on a large site, the lines about placements and ends of runs used
+    /// up the rate in busy seconds and displaced the lines needed for diagnosis.
     #[test]
     fn take_limits_each_location() {
         let start = Instant::now();
@@ -329,8 +331,8 @@
         assert_eq!(appender.dropped.load(Ordering::Relaxed), 0);
     }
 
-    /// Guards against truncated lines: on a busy box, everything beyond 8,192 bytes of a single write was lost, in
-    /// the middle of a line.
+    /// Guards against truncated lines: on a busy box, everything beyond 8,192 bytes of a single
+    /// write was lost, in the middle of a line.
     #[test]
     fn write_complete_lines() {
         // Size of an atomic write to a pipe on Linux.
--- a/components/kernel/src/ops.rs
+++ b/components/kernel/src/ops.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Responds to the operator endpoints and returns all other requests to the caller. `is_ready` is evaluated
-/// only for `/readyz`.
+/// Responds to the operator endpoints and returns all other requests to the caller. `is_ready` is
+/// evaluated only for `/readyz`.
 pub fn route(request: Request, is_ready: impl FnOnce() -> bool) -> Option<Request> {
     let reply = match request.path.as_str() {
         "/healthz" => Reply::text(200, "alive\n"),
--- a/components/kernel/src/plugin.rs
+++ b/components/kernel/src/plugin.rs
@@ -1,8 +1,9 @@
-//! Plug-in registry: implementations that register themselves and are selected by name in the settings.
+//! Plug-in registry: implementations that register themselves and are selected by name in the
+//! settings.
 //!
-//! A crate adds a plug-in with `inventory::submit!` of an [`Entry`], without changes to the kernel or to the
-//! crate that uses it. The `kind` is the extension point, and `make` returns a box of the trait object that
-//! this kind requires, as `dyn Any`.
+//! A crate adds a plug-in with `inventory::submit!` of an [`Entry`], without changes to the kernel
+//! or to the crate that uses it. The `kind` is the extension point, and `make` returns a box of the
+//! trait object that this kind requires, as `dyn Any`.
 
 use {
     crate::verdict::{Cause, Failure},
@@ -27,22 +28,23 @@
 
 /// The plug-ins of a kind, sorted by name.
 pub fn of_kind(kind: &str) -> Vec<&'static Entry> {
-    let mut found = Vec::new();
+    let mut matching = Vec::new();
     for entry in inventory::iter::<Entry> {
         if entry.kind != kind {
             continue;
         }
-        found.push(entry);
+        matching.push(entry);
     }
-    found.sort_by_key(|entry| entry.name);
-    found
+    matching.sort_by_key(|entry| entry.name);
+    matching
 }
 
 /// Creates the plug-in of this kind and name.
 ///
 /// # Errors
 ///
-/// `Invalid` if no plug-in has this name (the message lists the available names) or if its type does not match.
+/// `Invalid` if no plug-in has this name (the message lists the available names) or if its type
+/// does not match.
 pub fn make<T: 'static>(kind: &str, name: &str) -> Result<T, Failure> {
     let entries = of_kind(kind);
     for entry in &entries {
@@ -59,7 +61,7 @@
     }
     let names: Vec<&str> = entries.iter().map(|entry| entry.name).collect();
     let text = format!(
-        "unknown {kind} plug-in {name}; there are: {}",
+        "unknown {kind} plug-in {name}; available: {}",
         names.join(", ")
     );
     Err(Failure::not_run(Cause::Invalid, text))
@@ -98,7 +100,7 @@
     #[test]
     fn make_unknown() {
         let failure = make::<Box<dyn Shape>>("shape", "circle").err().unwrap();
-        assert!(failure.text.contains("there are: square"));
+        assert!(failure.text.contains("available: square"));
     }
 
     #[test]
--- a/components/kernel/src/public_server.rs
+++ b/components/kernel/src/public_server.rs
@@ -1,5 +1,5 @@
-//! HTTP server on `oxhttp` for clients outside the scheduler: one thread for each connection, with limits
-//! on headers, on connections and on the time of each read or write.
+//! HTTP server on `oxhttp` for clients outside the scheduler: one thread for each connection, with
+//! limits on headers, on connections and on the time of each read or write.
 
 use {
     oxhttp::{
@@ -35,8 +35,8 @@
 
 /// Opens a port, which stays open until the process exits. Returns its address.
 ///
-/// The library does not report which port it bound for port 0, so a free port is determined first. If another
-/// process binds that port in between, another one is tried.
+/// The library does not report which port it bound for port 0, so a free port is determined first.
+/// If another process binds that port in between, another one is tried.
 ///
 /// # Errors
 ///
--- a/components/kernel/src/reuse.rs
+++ b/components/kernel/src/reuse.rs
@@ -1,12 +1,12 @@
 //! Decides which idle connections of a pool may be reused.
 //!
-//! An open connection may stop delivering data permanently, without a reset, while new connections work. Only a
-//! time-out reveals this, and if one connection to a receiver is affected, others to it usually are too. After
-//! a time-out, no connection to that receiver is reused unless it has received data since; the next call opens
-//! a new connection.
+//! An open connection may stop delivering data permanently, without a reset, while new connections
+//! work. Only a time-out reveals this, and if one connection to a receiver is affected, others to
+//! it usually are too. After a time-out, no connection to that receiver is reused unless it has
+//! received data since; the next call opens a new connection.
 //!
-//! Connections that were open while the machine was suspended are not reused either: the peer may have closed
-//! them or may have ended.
+//! Connections that were open while the machine was suspended are not reused either: the peer may
+//! have closed them or may have ended.
 
 use {
     crate::{
@@ -20,7 +20,8 @@
 #[derive(Debug)]
 pub(crate) struct ReusePolicy {
     timeouts: Mutex<HashMap<Box<str>, BootInstant>>,
-    /// Idle time-out of connections: after it, no pooled connection is older than a recorded time-out.
+    /// Idle time-out of connections: after it, no pooled connection is older than a recorded
+    /// time-out.
     idle_timeout: Duration,
 }
 
@@ -55,8 +56,8 @@
 mod tests {
     use {super::*, crate::clock, std::sync::MutexGuard};
 
-    /// Serializes the tests: the simulated suspension applies to the whole process, so it would invalidate the
-    /// connections of other tests.
+    /// Serializes the tests: the simulated suspension applies to the whole process, so it would
+    /// invalidate the connections of other tests.
     fn serialize() -> MutexGuard<'static, ()> {
         static SERIAL: Mutex<()> = Mutex::new(());
         lock(&SERIAL)
@@ -75,8 +76,8 @@
         assert!(policy.may_reuse("10.0.0.1:1", ClockPair { at, ..before }));
     }
 
-    /// Guards against reuse after a suspension: a resumed box waited for a response on a connection that the peer
-    /// had closed long before.
+    /// Guards against reuse after a suspension: a resumed box waited for a response on a connection
+    /// that the peer had closed long before.
     #[test]
     fn may_reuse_after_suspension() {
         let _guard = serialize();
--- a/components/kernel/src/runtime.rs
+++ b/components/kernel/src/runtime.rs
@@ -1,4 +1,5 @@
-//! The process-wide `tokio` runtime: one I/O thread for all connections, and a pool of threads for blocking work.
+//! The process-wide `tokio` runtime: one I/O thread for all connections, and a pool of threads for
+//! blocking work.
 
 use {
     crate::{sync::lock, task},
--- a/components/kernel/src/server.rs
+++ b/components/kernel/src/server.rs
@@ -1,4 +1,5 @@
-//! HTTP server on `hyper`: one I/O thread serves all connections of the process, handlers run on a thread pool.
+//! HTTP server on `hyper`: one I/O thread serves all connections of the process, handlers run on a
+//! thread pool.
 
 use {
     crate::{
@@ -222,7 +223,8 @@
     response
 }
 
-/// Handles requests on the I/O thread, so it must not block. Returns the requests that it does not handle.
+/// Handles requests on the I/O thread, so it must not block. Returns the requests that it does not
+/// handle.
 pub type FastHandler = Arc<dyn Fn(Request) -> Option<Request> + Send + Sync>;
 
 /// Handles requests on a thread for blocking work.
@@ -264,7 +266,8 @@
 }
 
 impl Server {
-    /// Opens an internal port that handles up to `tasks` requests concurrently; port 0 selects a free port.
+    /// Opens an internal port that handles up to `tasks` requests concurrently; port 0 selects a
+    /// free port.
     ///
     /// If a token is set, a request without it gets status 401, except for `/healthz` and `/readyz`.
     ///
--- a/components/kernel/src/settings.rs
+++ b/components/kernel/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings from flags and environment variables, validated at start.
 //!
-//! Every flag `--some-name` has the variable `MAGPIE_SOME_NAME`; the flag takes precedence. A program reads
-//! each setting through a [`Reader`], which collects all invalid settings, and then calls [`Reader::finish`]
-//! or [`Reader::build`].
+//! Every flag `--some-name` has the variable `MAGPIE_SOME_NAME`; the flag takes precedence. A
+//! program reads each setting through a [`Reader`], which collects all invalid settings, and then
+//! calls [`Reader::finish`] or [`Reader::build`].
 
 use std::{env, fmt, net::SocketAddr, process, str::FromStr};
 
@@ -222,8 +222,8 @@
     authority.parse::<SocketAddr>().is_ok()
 }
 
-/// Returns the settings, or prints all invalid ones and exits with code 2. If `check` is set and all settings are
-/// valid, exits with code 0.
+/// Returns the settings, or prints all invalid ones and exits with code 2. If `check` is set and
+/// all settings are valid, exits with code 0.
 pub fn unwrap_or_exit<T>(result: Result<T, Vec<Fault>>, check: bool) -> T {
     match result {
         Ok(_) if check => {
--- a/components/kernel/src/timeout.rs
+++ b/components/kernel/src/timeout.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-/// Added to the time-out of a call that transfers large data. The largest values of stores have 1 MiB, which
-/// is 1.4 MB as text, and the slowest links of boxes have 2 Mbit/s, which transfer that in 5.6 s; the remainder
-/// is for other calls on the same link.
+/// Added to the time-out of a call that transfers large data. The largest values of stores have 1
+/// MiB, which is 1.4 MB as text, and the slowest links of boxes have 2 Mbit/s, which transfer that
+/// in 5.6 s; the remainder is for other calls on the same link.
 pub const BULK_ALLOWANCE: Duration = Duration::from_millis(8_000);
 /// Bytes per millisecond on the slowest link: 2 Mbit/s.
 const MIN_BYTES_PER_MS: u64 = 250;
@@ -14,8 +14,8 @@
 pub struct Timeout {
     /// For the whole call; for a streaming call, until the response begins.
     total: Duration,
-    /// Time-out of the first attempt. After it, or if the connection is lost, the call is retried on a new
-    /// connection within the remaining time.
+    /// Time-out of the first attempt. After it, or if the connection is lost, the call is retried
+    /// on a new connection within the remaining time.
     first_attempt: Option<Duration>,
     /// Limits once the response has started.
     stream: Option<Stream>,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The time-outs of an idempotent call that may be made twice: without a response after `first_attempt`, or after a
-    /// lost connection, it is retried on a new connection.
+    /// The time-outs of an idempotent call that may be made twice: without a response after
+    /// `first_attempt`, or after a lost connection, it is retried on a new connection.
     pub const fn with_retry(total: Duration, first_attempt: Duration) -> Self {
         Timeout {
             total,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Extends the call while its response arrives, by up to [`BULK_ALLOWANCE`] beyond its total time, as long as no
-    /// pause exceeds the time that the first attempt waits for the beginning. Each attempt also gets the time
-    /// that its body needs on the slowest link.
+    /// Extends the call while its response arrives, by up to [`BULK_ALLOWANCE`] beyond its total
+    /// time, as long as no pause exceeds the time that the first attempt waits for the beginning.
+    /// Each attempt also gets the time that its body needs on the slowest link.
     ///
-    /// The duration of a response depends on its size and on the link. A call that is cancelled during the response
-    /// and retried may never complete. An unresponsive receiver takes no longer to detect than without streaming,
-    /// except for the time to send a large body.
+    /// The duration of a response depends on its size and on the link. A call that is cancelled
+    /// during the response and retried may never complete. An unresponsive receiver takes no longer
+    /// to detect than without streaming, except for the time to send a large body.
     #[must_use]
     pub const fn streaming(self) -> Self {
         let pause = match self.first_attempt {
@@ -76,13 +76,15 @@
     }
 
     /// All time-outs multiplied by a factor.
-    pub(crate) fn scaled(self, by: u32) -> Self {
+    pub(crate) fn scaled(self, factor: u32) -> Self {
         Timeout {
-            total: self.total * by,
-            first_attempt: self.first_attempt.map(|first_attempt| first_attempt * by),
+            total: self.total * factor,
+            first_attempt: self
+                .first_attempt
+                .map(|first_attempt| first_attempt * factor),
             stream: self.stream.map(|stream| Stream {
-                pause: stream.pause * by,
-                allowance: stream.allowance * by,
+                pause: stream.pause * factor,
+                allowance: stream.allowance * factor,
             }),
         }
     }
@@ -94,15 +96,16 @@
 
     /// The time-out of the first attempt, with a request body of `body` bytes.
     pub(crate) fn first(&self, body: usize) -> AttemptTimeout {
-        // An unresponsive connection should be detected early, but a body in transfer must not be sent again: that
-        // doubles the load of a link that is already too slow.
+        // An unresponsive connection should be detected early, but a body in transfer must not be
+        // sent again: that doubles the load of a link that is already too slow.
         let head = self.first_attempt.unwrap_or(self.total) + self.sending_time(body);
         self.attempt(head, Duration::ZERO)
     }
 
     /// The time-out of the second attempt, after the first has taken `spent`.
     pub(crate) fn second(&self, body: usize, spent: Duration) -> AttemptTimeout {
-        // Sending the body and receiving a response do not count as waiting for the beginning of the response.
+        // Sending the body and receiving a response do not count as waiting for the beginning of
+        // the response.
         let waited = self
             .first_attempt
             .map_or(spent, |first_attempt| spent.min(first_attempt));
@@ -142,7 +145,7 @@
 /// Time-outs of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AttemptTimeout {
-    /// Until the response begins, including connecting and sending_time.
+    /// Until the response begins, including connecting and sending.
     head: Duration,
     /// Longest pause after that; `None` if only the total time is limited.
     pause: Option<Duration>,
@@ -181,8 +184,11 @@
     const STREAMING: Timeout = WITH_RETRY.streaming_within(ms(300), ms(8_000));
 
     /// Until the response begins, and in total, in milliseconds.
-    fn parts(span: AttemptTimeout) -> (u64, u64) {
-        (span.head.as_millis() as u64, span.end.as_millis() as u64)
+    fn parts(attempt: AttemptTimeout) -> (u64, u64) {
+        (
+            attempt.head.as_millis() as u64,
+            attempt.end.as_millis() as u64,
+        )
     }
 
     const BODY: usize = 500_000;
@@ -215,9 +221,9 @@
     #[test]
     fn deadline_moves_with_bytes() {
         let started = Instant::now();
-        let span = STREAMING.first(0);
-        assert_eq!(span.deadline(started, None), started + ms(400));
-        let deadline = |at| span.deadline(started, Some(started + ms(at)));
+        let attempt = STREAMING.first(0);
+        assert_eq!(attempt.deadline(started, None), started + ms(400));
+        let deadline = |at| attempt.deadline(started, Some(started + ms(at)));
         assert_eq!(deadline(390), started + ms(690));
         assert_eq!(deadline(8_800), started + ms(8_900));
         let not_streaming = WITH_RETRY.first(0);
--- a/components/kernel/src/token.rs
+++ b/components/kernel/src/token.rs
@@ -26,7 +26,8 @@
         format!("Bearer {}", self.0)
     }
 
-    /// True if the header value matches. The comparison takes the same time wherever the values differ.
+    /// True if the header value matches. The comparison takes the same time wherever the values
+    /// differ.
     pub fn matches(&self, header: &str) -> bool {
         let expected = self.header();
         let mut difference = expected.len() ^ header.len();
--- a/components/kernel/src/traffic.rs
+++ b/components/kernel/src/traffic.rs
@@ -1,18 +1,20 @@
 //! Counts the bytes that this process sends and receives, by kind of call.
 //!
-//! A box whose network link is saturated serves no requests, while its CPU usage looks normal. Counters
-//! of body and header bytes by kind of call show the cause: the metric `magpie_link_bytes_total` and a
-//! periodic log line.
+//! A box whose network link is saturated serves no requests, while its CPU usage looks normal.
+//! Counters of body and header bytes by kind of call show the cause: the metric
+//! `magpie_link_bytes_total` and a periodic log line.
 
 use {
     crate::{sync::lock, task},
     std::{collections::BTreeMap, fmt::Write, io, sync::Mutex, thread, time::Duration},
 };
 
-/// Estimated size in bytes of a request or response head (first line, length, date, content type), which
-/// is not counted exactly. Heads have 140 to 230 bytes in calls to the store, workers and other boxes.
+/// Estimated size in bytes of a request or response head (first line, length, date, content type),
+/// which is not counted exactly. Heads have 140 to 230 bytes in calls to the store, workers and
+/// other boxes.
 pub const HEAD_BYTES: usize = 180;
-/// Maximum number of distinct kinds; further kinds count as `other`. A box makes about twenty kinds of calls.
+/// Maximum number of distinct kinds; further kinds count as `other`. A box makes about twenty kinds
+/// of calls.
 const MAX_KINDS: usize = 64;
 
 /// Interval between two log lines.
@@ -40,17 +42,17 @@
         .increment(sent);
     metrics::counter!("magpie_link_bytes_total", "call" => kind.to_owned(), "way" => "heard")
         .increment(received);
-    let mut amounts = lock(&TRAFFIC);
-    let is_new = !amounts.contains_key(kind);
-    let kind = if is_new && amounts.len() >= MAX_KINDS {
+    let mut totals = lock(&TRAFFIC);
+    let is_new = !totals.contains_key(kind);
+    let kind = if is_new && totals.len() >= MAX_KINDS {
         "other"
     } else {
         kind
     };
-    let amount = amounts.entry(kind.into()).or_default();
-    amount.calls += 1;
-    amount.sent += sent;
-    amount.received += received;
+    let traffic = totals.entry(kind.into()).or_default();
+    traffic.calls += 1;
+    traffic.sent += sent;
+    traffic.received += received;
 }
 
 /// Starts the thread that logs the traffic since its last line every 5 s.
@@ -70,18 +72,18 @@
 
 /// Logs one line: the totals, and the largest kinds as `KIND:CALLS:SENT:RECEIVED`.
 fn log_totals() {
-    let amounts = take_totals();
-    let sent: u64 = amounts.values().map(|amount| amount.sent).sum();
-    let received: u64 = amounts.values().map(|amount| amount.received).sum();
-    let mut kinds: Vec<_> = amounts.into_iter().collect();
-    kinds.sort_by_key(|(_, amount)| std::cmp::Reverse(amount.sent + amount.received));
+    let totals = take_totals();
+    let sent: u64 = totals.values().map(|traffic| traffic.sent).sum();
+    let received: u64 = totals.values().map(|traffic| traffic.received).sum();
+    let mut kinds: Vec<_> = totals.into_iter().collect();
+    kinds.sort_by_key(|(_, traffic)| std::cmp::Reverse(traffic.sent + traffic.received));
     let mut text = String::new();
-    for (kind, amount) in kinds.iter().take(LOGGED_KINDS) {
+    for (kind, traffic) in kinds.iter().take(LOGGED_KINDS) {
         let Traffic {
             calls,
             sent,
             received,
-        } = amount;
+        } = traffic;
         // Writing to a string cannot fail.
         let _ = write!(text, "{kind}:{calls}:{sent}:{received} ");
     }
@@ -93,8 +95,8 @@
     std::mem::take(&mut *lock(&TRAFFIC))
 }
 
-/// Derives the kind of a call from its URL: the first segment of the path and, if the first query parameter
-/// holds a key with slashes, that key without its last segment, limited to two segments.
+/// Derives the kind of a call from its URL: the first segment of the path and, if the first query
+/// parameter holds a key with slashes, that key without its last segment, limited to two segments.
 pub fn call_kind(url: &str) -> String {
     let rest = url.split_once("://").map_or(url, |(_, rest)| rest);
     let path = rest.split_once('/').map_or("", |(_, path)| path);
@@ -105,7 +107,8 @@
     let Some((parts, _)) = key.rsplit_once('/') else {
         return first.to_owned();
     };
-    // The last segment of a key of three segments is a number or a name; some prefixes end with a slash.
+    // The last segment of a key of three segments is a number or a name; some prefixes end with a
+    // slash.
     let parts: Vec<&str> = parts.split('/').take(2).collect();
     format!("{first} {}", parts.join("/"))
 }
@@ -129,8 +132,8 @@
     fn record_taken_once() {
         record("a kind of its own", 10, 20);
         record("a kind of its own", 1, 2);
-        let amount = take_totals().remove("a kind of its own").unwrap();
-        assert_eq!((amount.calls, amount.sent, amount.received), (2, 11, 22));
+        let traffic = take_totals().remove("a kind of its own").unwrap();
+        assert_eq!((traffic.calls, traffic.sent, traffic.received), (2, 11, 22));
         assert!(!take_totals().contains_key("a kind of its own"));
     }
 }
--- a/components/kernel/src/verdict.rs
+++ b/components/kernel/src/verdict.rs
@@ -103,8 +103,8 @@
         matches!(self.cause, Cause::Timeout | Cause::Broken)
     }
 
-    /// The failure of a second attempt after `first`. If the first attempt may have been executed, the verdict
-    /// becomes `MayHaveRun`.
+    /// The failure of a second attempt after `first`. If the first attempt may have been executed,
+    /// the verdict becomes `MayHaveRun`.
     pub(crate) fn after_attempt(self, first: &Failure) -> Failure {
         match first.verdict {
             Verdict::NotRun => self,
@@ -116,12 +116,13 @@
     }
 }
 
-/// Retries an idempotent call once: returns the result of the first attempt unless it failed with a time-out or a
-/// lost connection, otherwise the result of the second attempt.
+/// Retries an idempotent call once: returns the result of the first attempt unless it failed with a
+/// time-out or a lost connection, otherwise the result of the second attempt.
 ///
 /// # Errors
 ///
-/// The failure of the last attempt, with the verdict `MayHaveRun` if either attempt may have been executed.
+/// The failure of the last attempt, with the verdict `MayHaveRun` if either attempt may have been
+/// executed.
 pub fn retry_once<T>(
     first: Result<T, Failure>,
     second: impl FnOnce() -> Result<T, Failure>,
--- a/components/kernel/src/wall_clock.rs
+++ b/components/kernel/src/wall_clock.rs
@@ -1,4 +1,5 @@
-//! Wall-clock time, for output and for stored timestamps. Leases and waits use monotonic clocks instead.
+//! Wall-clock time, for output and for stored timestamps. Leases and waits use monotonic clocks
+//! instead.
 
 use {
     chrono::{DateTime, SecondsFormat},
@@ -21,7 +22,8 @@
     since_epoch().as_secs()
 }
 
-/// Formats milliseconds since the Unix epoch, as in `2026-08-27T13:05:20Z`; `None` if out of range for the calendar.
+/// Formats milliseconds since the Unix epoch, as in `2026-08-27T13:05:20Z`; `None` if out of range
+/// for the calendar.
 pub fn utc(millis: u64, format: SecondsFormat) -> Option<String> {
     let millis = i64::try_from(millis).ok()?;
     let time = DateTime::from_timestamp_millis(millis)?;
--- a/components/kernel/src/wire.rs
+++ b/components/kernel/src/wire.rs
@@ -20,8 +20,8 @@
     rmp_serde::to_vec_named(value).map_err(|e| Failure::not_run(Cause::Invalid, e.to_string()))
 }
 
-/// Like [`encode`], without field names, which halves the size. For messages that are sent tens of times a
-/// second between processes of the same version. [`decode`] accepts both forms.
+/// Like [`encode`], without field names, which halves the size. For messages that are sent tens of
+/// times a second between processes of the same version. [`decode`] accepts both forms.
 ///
 /// # Errors
 ///
@@ -39,9 +39,9 @@
 /// Maximum size of a decompressed message in bytes, equal to the limit of a response.
 const MAX_MESSAGE: usize = 16 * 1024 * 1024;
 
-/// Compresses an encoded message for a slow link; [`decode`] accepts compressed messages. Names of jobs and
-/// workers repeat within a message and consist of digits: requests of relays shrink to 0.5 of their size, for
-/// 0.1 ms of CPU time each.
+/// Compresses an encoded message for a slow link; [`decode`] accepts compressed messages. Names of
+/// jobs and workers repeat within a message and consist of digits: requests of relays shrink to 0.5
+/// of their size, for 0.1 ms of CPU time each.
 pub fn compress(message: Vec<u8>) -> Vec<u8> {
     if message.len() < MIN_COMPRESSED_SIZE {
         return message;
@@ -59,8 +59,9 @@
 ///
 /// # Errors
 ///
-/// `Invalid` if the bytes are not a message of this type. The verdict is `not-run`, since a receiver that
-/// cannot decode a request does not act on it; a caller that decodes a *response* must change the verdict.
+/// `Invalid` if the bytes are not a message of this type. The verdict is `not-run`, since a
+/// receiver that cannot decode a request does not act on it; a caller that decodes a *response*
+/// must change the verdict.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Failure> {
     let invalid = |text: String| Failure::not_run(Cause::Invalid, text);
     let Some((&COMPRESSED_MARKER, compressed)) = bytes.split_first() else {
--- a/components/kernel/tests/connections.rs
+++ b/components/kernel/tests/connections.rs
@@ -20,7 +20,8 @@
     },
 };
 
-/// A server that closes each connection after a number of responses, and counts connections and requests.
+/// A server that closes each connection after a number of responses, and counts connections and
+/// requests.
 struct Receiver {
     url: String,
     connections: Arc<AtomicUsize>,
@@ -98,7 +99,8 @@
     assert_eq!(receiver.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Guards against a bound call on a new connection: another process may be listening at the same address.
+/// Guards against a bound call on a new connection: another process may be listening at the same
+/// address.
 #[test]
 fn call_over_closed_connection() {
     let (receiver, client) = (Receiver::open(1), Client::new(None));
--- a/programs/gate/tests/settings.rs
+++ b/programs/gate/tests/settings.rs
@@ -48,9 +48,9 @@
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4, "{text}");
     assert!(text.contains("--name (MAGPIE_NAME): 'a b' is invalid; expected a name"));
-    assert!(text.contains("--boxes (MAGPIE_BOXES): 'ftp://x' is wrong"));
-    assert!(text.contains("there are: least, random, round-robin, two-choices"));
-    assert!(text.contains("--deadline-ms (MAGPIE_DEADLINE_MS): '0' is wrong"));
+    assert!(text.contains("--boxes (MAGPIE_BOXES): 'ftp://x' is invalid; expected"));
+    assert!(text.contains("available: least, random, round-robin, two-choices"));
+    assert!(text.contains("--deadline-ms (MAGPIE_DEADLINE_MS): '0' is invalid; expected"));
 }
 
 #[test_case(&["--check", "--hall", "a b"], 2; "the flag goes before the variable")]
