--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -1,4 +1,5 @@
-//! Claiming the cell and reading what its former owner left.
+//! Claims the ownership of the cell, after checking that its last owner is gone, and loads the cell's
+//! state from the store.
 
 use {
     crate::{
@@ -25,27 +26,29 @@
     },
 };
 
-/// Boxes that see the same key go wait up to this long, so that one of them comes first.
+/// Longest random delay before a claim, in milliseconds. It spreads out the claims of boxes that see
+/// the owner's key expire at the same time, so that one of them comes first.
 const JITTER: u64 = 120;
-/// How often a former owner is asked before its silence counts.
+/// Number of probes that a former owner must leave unanswered before the cell is claimed.
 const PROBES: u32 = 2;
-/// How long a box with a narrow link may take to read the cell: 1 MB at 2 Mbit/s with other calls beside. One that dies
-/// meanwhile is replaced that much later.
-const LOADING: Duration = Duration::from_millis(6_000);
-/// Between two of these questions; a silent owner has cost its lease of 2 s and 0.4 s a question by
-/// then.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
+/// Length of the lease while a box with a narrow link reads the cell: enough for 1 MB at 2 Mbit/s beside
+/// other calls. If the box dies during the read, its replacement is delayed by that much.
+const LOAD_LEASE: Duration = Duration::from_millis(6_000);
+/// Pause between two probes. An unreachable owner has by then delayed the takeover by its lease of 2 s
+/// and by 0.4 s for each probe.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the owner's key says to a box that may claim the cell.
+/// State of the owner's key, as seen by a box that may claim the cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyState {
-    /// It is absent, or cannot be read: its last owner may live.
+    /// The key is absent or unreadable; the last owner may be alive.
     Unknown,
-    /// This box wrote it in an earlier life or ownership.
+    /// This box wrote the key, before a restart or in an earlier ownership.
     Own,
 }
 
-/// Claims the cell, whose owner's key has this revision (0: it is absent), unless its owner lives.
+/// Claims the cell unless its last owner is alive. `revision` is that of the owner's key; 0 when the
+/// key is absent.
 ///
 /// # Errors
 ///
@@ -58,26 +61,26 @@
     if node.shared.is_stopping() {
         return Ok(());
     }
-    // Another box may have come first meanwhile.
+    // Another box may have claimed the cell during the delays.
     let present = node.external.store.get(&keys::owner(CELL))?;
     if present.map_or(0, |item| item.revision) != revision {
         return Ok(());
     }
-    if known != KeyState::Own && owner_lives(node) {
+    if known != KeyState::Own && is_owner_alive(node) {
         thread::sleep(OWNER_RETRY_PAUSE);
         return Ok(());
     }
     let store = &node.external.store;
-    let lease = store.grant(loading_lease(node))?;
+    let lease = store.grant(load_lease(node))?;
     let head = store.get(&keys::head(CELL))?;
-    let change = claim_of(node, revision, head.map_or(0, |item| item.revision), lease);
+    let change = claim_change(node, revision, head.map_or(0, |item| item.revision), lease);
     let begun = time::now();
     let fence = match store.apply(&change)? {
         ApplyResult::Done(fence) => fence,
         ApplyResult::Conflict(_) => return Ok(()),
-        ApplyResult::NoLease => return Err(lease_over()),
+        ApplyResult::NoLease => return Err(lease_expired()),
     };
-    log::info!(target: "owner", fence; "The cell is claimed.");
+    log::info!(target: "owner", fence; "Cell ownership claimed.");
     metrics::counter!("magpie_claims_total").increment(1);
     let renewed = AtomicU64::new(begun);
     let Loaded {
@@ -85,13 +88,13 @@
         learned,
         closures,
         read,
-    } = load_leased(node, lease, &renewed)?;
+    } = load_with_lease(node, lease, &renewed)?;
     let summary = cell.summary(time::now());
-    log::info!(target: "owner", fence, jobs = summary.jobs, workers = summary.workers, took = time::now() - begun; "The cell is read.");
+    log::info!(target: "owner", fence, jobs = summary.jobs, workers = summary.workers, took = time::now() - begun; "Cell state loaded from the store.");
     let mut ownership = Ownership::new(fence, lease, cell, renewed.into_inner());
     ownership.take_closures(closures, read);
     if node.settings.has_narrow_link() {
-        // From now on others are to notice soon when this box is gone.
+        // The cell is loaded: a shorter lease lets other boxes detect a failure of this box sooner.
         ownership.lease = store.grant(OWNER_LEASE)?;
         ownership.republish = true;
     }
@@ -104,17 +107,18 @@
     Ok(())
 }
 
-/// The lease under which the cell is read. On a narrow link the answer to a renewal waits behind what is read: seen with
-/// 500 jobs on 2 Mbit/s, where owners followed each other every 5 s, each reading everything.
-fn loading_lease(node: &Node) -> Duration {
+/// Length of the lease under which the cell is read. On a narrow link the answer to a renewal queues
+/// behind the data that is read: with 500 jobs on 2 Mbit/s the lease expired during the read, and a
+/// new owner took over every 5 s and read everything again.
+fn load_lease(node: &Node) -> Duration {
     if node.settings.has_narrow_link() {
-        LOADING
+        LOAD_LEASE
     } else {
         OWNER_LEASE
     }
 }
 
-fn claim_of(node: &Node, owner: u64, head: u64, lease: u64) -> Change {
+fn claim_change(node: &Node, owner: u64, head: u64, lease: u64) -> Change {
     let mark = Head {
         fence: 0,
         claim: fastrand::u64(1..),
@@ -129,12 +133,16 @@
     }
 }
 
-fn lease_over() -> Failure {
-    Failure::not_run(Cause::Refused, "the lease was over before the claim")
+fn lease_expired() -> Failure {
+    Failure::not_run(
+        Cause::Refused,
+        "the lease expired before the cell was claimed",
+    )
 }
 
-/// True when the last known owner says that it owns the cell and reaches the store.
-fn owner_lives(node: &Node) -> bool {
+/// True when the last known owner answers that it owns the cell and can reach the store. The last
+/// probe asks it to release the cell if it cannot reach the store.
+fn is_owner_alive(node: &Node) -> bool {
     let Some(owner) = node.shared.owner.load_full() else {
         return false;
     };
@@ -143,7 +151,7 @@
     }
     for probe in 0..PROBES {
         if probe > 0 {
-            thread::sleep(PROBE_PAUSE);
+            thread::sleep(PROBE_INTERVAL);
         }
         let ask = PeerRequest::Probe {
             release: probe + 1 == PROBES,
@@ -156,22 +164,24 @@
             Ok(PeerResponse::Owning { owning: false, .. }) => return false,
             Ok(_) => {}
             Err(failure) => {
-                log::info!(target: "owner", owner = &*owner.name, error:% = failure; "The former owner does not answer.");
+                log::info!(target: "owner", owner = &*owner.name, error:% = failure; "A probe of the former owner failed.");
             }
         }
     }
     false
 }
 
-/// Reads what the former owner left, and keeps the lease alive meanwhile: how long that takes depends on
-/// how much it is and on the link of this box, and a lease that ends lets others claim the cell. `renewed` is moved to when it was
-/// last alive.
-fn load_leased(node: &Node, lease: u64, renewed: &AtomicU64) -> Result<Loaded, Failure> {
+/// Loads the cell and renews the lease meanwhile. The load time depends on the size of the cell and on
+/// the link of this box, and an expired lease lets other boxes claim the cell. Sets `renewed` to the
+/// time when the lease was last known to be valid.
+fn load_with_lease(node: &Node, lease: u64, renewed: &AtomicU64) -> Result<Loaded, Failure> {
     let loaded = Signal::new();
     thread::scope(|scope| {
         let builder = Builder::new().name("keep".to_owned());
-        if let Err(error) = builder.spawn_scoped(scope, || keep(node, lease, &loaded, renewed)) {
-            log::error!(target: "owner", lease, error:% = error; "The lease cannot be renewed while the cell is read.");
+        if let Err(error) =
+            builder.spawn_scoped(scope, || renew_until(node, lease, &loaded, renewed))
+        {
+            log::error!(target: "owner", lease, error:% = error; "The thread that renews the lease while the cell is loaded could not be started.");
         }
         let cell = load(node);
         loaded.stop();
@@ -179,8 +189,8 @@
     })
 }
 
-/// Keeps a lease alive until the signal says stop.
-fn keep(node: &Node, lease: u64, until: &Signal, renewed: &AtomicU64) {
+/// Renews a lease until `until` is stopped or the lease has expired.
+fn renew_until(node: &Node, lease: u64, until: &Signal, renewed: &AtomicU64) {
     loop {
         until.wait(RENEW_INTERVAL);
         if until.is_stopped() {
@@ -190,48 +200,51 @@
         match node.external.store.renew(lease) {
             Ok(true) => renewed.store(asked, Ordering::Release),
             Ok(false) => {
-                log::warn!(target: "owner", lease; "The lease was over before the cell was read.");
+                log::warn!(target: "owner", lease; "The lease expired before the cell was loaded.");
                 return;
             }
             Err(failure) => {
-                log::info!(target: "owner", lease, error:% = failure; "The lease was not renewed while the cell is read.");
+                log::info!(target: "owner", lease, error:% = failure; "The lease could not be renewed while the cell is loaded.");
             }
         }
     }
 }
 
-/// What was read of a key, or nothing where it cannot be read: one such key is no reason to leave all others alone.
-fn read_or_tell<T>(item: &Item, read: Result<T, Failure>) -> Option<T> {
+/// Returns a decoded value, or logs and counts it as unreadable. A takeover skips unreadable values,
+/// so that one of them does not block the rest of the cell.
+fn readable<T>(item: &Item, read: Result<T, Failure>) -> Option<T> {
     match read {
         Ok(value) => Some(value),
         Err(error) => {
             metrics::counter!("magpie_unreadable_total").increment(1);
-            log::error!(target: "owner", key = item.key.as_str(), error:% = error; "What is kept under a key cannot be read, and is left alone.");
+            log::error!(target: "owner", key = item.key.as_str(), error:% = error; "A stored value cannot be decoded and is skipped.");
             None
         }
     }
 }
 
-/// What an owner begins with.
+/// State of the cell that a new owner loads.
 struct Loaded {
     cell: Cell,
-    /// The revision of what was learned.
+    /// Revision of the key of the interference model.
     learned: u64,
-    /// The data halls that are shut.
+    /// The closed data halls.
     closures: Vec<HallClosure>,
-    /// When the read of these was begun.
+    /// When the read of the closed data halls was started.
     read: u64,
 }
 
-/// Reads jobs, records and workers into a cell; and last which data halls are shut, as reading the rest may take seconds.
+/// Loads jobs, records and workers into a cell. Reads the closed data halls last, since the other
+/// reads may take seconds and a hall may be closed meanwhile.
 fn load(node: &Node) -> Result<Loaded, Failure> {
     let store = &*node.external.store;
     let (intake, _) = range_all(store, keys::INTAKE)?;
     let (states, _) = range_all(store, keys::STATE)?;
     let fleet = store.get_large(&keys::fleet(CELL))?;
     let mut listing = node.external.workers.list()?;
-    // One of a pool that nobody names is no worker; those that may hold tasks are in the record of the fleet besides. Asked
-    // all the same, it would hold the takeover up until all leases are over (4.9 s).
+    // Workers of a pool that the configuration does not name are ignored; those that may hold tasks
+    // are in the fleet record as well. Polling the others would delay the takeover until all leases
+    // have expired (4.9 s).
     if let Some(config) = &*node.shared.config.load() {
         listing.entries.retain(|entry| config.has_pool(&entry.pool));
     }
@@ -243,7 +256,7 @@
         let Some(id) = keys::id(&item.key, keys::STATE) else {
             continue;
         };
-        let Some(record) = read_or_tell(item, kept::record(item)) else {
+        let Some(record) = readable(item, kept::record(item)) else {
             unreadable.insert(id);
             continue;
         };
@@ -259,10 +272,10 @@
             cancelled.push(id);
             continue;
         }
-        let Some(submission) = read_or_tell(item, kept::submission(item)) else {
+        let Some(submission) = readable(item, kept::submission(item)) else {
             continue;
         };
-        // What it has done is not known, and must not be done twice.
+        // It is unknown which steps of the job have run, and none may run twice.
         if unreadable.contains(&submission.id) {
             continue;
         }
@@ -278,14 +291,14 @@
         match wire::decode(&item.value) {
             Ok(learned) => cell.recall(learned),
             Err(error) => {
-                log::warn!(target: "owner", error:% = error; "What was learned cannot be read, and is learned anew.");
+                log::warn!(target: "owner", error:% = error; "The stored interference model cannot be decoded; a new one is learned.");
             }
         }
     }
     cell.list(listing, now);
     if let Some(item) = fleet {
         let members = wire::decode::<Vec<WorkerRecord>>(&item.value);
-        let members = read_or_tell(&item, members).unwrap_or_default();
+        let members = readable(&item, members).unwrap_or_default();
         cell.inherit(members.into_iter().map(Entry::from).collect());
     }
     let read = time::now();
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -1,4 +1,5 @@
-//! The state of a box, in one actor; and the handle that its tasks share.
+//! The actor that holds the state of a box, its start and shutdown, and the handle that the tasks of
+//! the box share.
 
 use {
     crate::{
@@ -33,75 +34,79 @@
     },
 };
 
-/// What tasks read without asking the actor.
+/// State that tasks read without a call to the actor.
 #[derive(Default)]
 pub struct Shared {
     /// The configuration in force.
     pub config: ArcSwapOption<Config>,
-    /// The owner of the cell, as last known.
+    /// The last known owner of the cell.
     pub owner: ArcSwapOption<Owner>,
-    /// When the store last answered.
-    stored: AtomicU64,
-    /// The last call of the store failed.
+    /// Time of the last answer of the store.
+    last_answer: AtomicU64,
+    /// The last call to the store failed.
     failing: AtomicBool,
-    /// The fence of the cell that this box owns; 0 for none.
+    /// Fence under which this box owns the cell; 0 while it does not own it.
     owning: AtomicU64,
-    /// The box is being stopped.
+    /// The box is shutting down.
     stopping: AtomicBool,
-    /// Since when a probe of the store has been on its way; 0 for none.
-    probing: AtomicU64,
-    /// When the configuration in force was last proven to be the newest; none before the first one.
-    proof: Mutex<Option<Mark>>,
-    /// The store's revision of the configuration that was found last.
+    /// Start of the store probe in progress; 0 while there is none.
+    probe_started: AtomicU64,
+    /// When the configuration in force was last verified to be the newest; `None` before the first
+    /// verification.
+    config_verified: Mutex<Option<Mark>>,
+    /// Store revision of the configuration that was read last.
     pub(crate) config_revision: AtomicU64,
     /// How callers that are refused are told to come back.
     pub comeback: Comeback,
-    /// What the owner has told of the store.
+    /// The last heartbeat of the owner.
     pub(crate) monitor: Monitor,
 }
 
 impl Shared {
-    /// Notes that the configuration in force was the newest at this time.
+    /// Records that the configuration in force was the newest one at `at`.
     pub(crate) fn mark_config_current(&self, at: Mark) {
-        *lock(&self.proof) = Some(at);
+        *lock(&self.config_verified) = Some(at);
     }
 
-    /// How long ago the configuration in force was the newest; `None` before the first proof.
+    /// Time since the configuration in force was last verified to be the newest; `None` before the
+    /// first verification.
     pub(crate) fn config_age(&self) -> Option<Duration> {
-        lock(&self.proof).map(|mark| mark.at.elapsed())
+        lock(&self.config_verified).map(|mark| mark.at.elapsed())
     }
 
-    /// True when this box was suspended since the configuration was last proven to be the newest.
+    /// True when this box was suspended after the configuration was last verified to be the newest.
     pub fn is_config_unverified(&self) -> bool {
-        lock(&self.proof).is_some_and(Mark::has_slept)
+        lock(&self.config_verified).is_some_and(Mark::has_slept)
     }
 
-    /// True when calls of the store fail and it has not answered for some time. Without a failure
-    /// there may just be a watch that waits.
+    /// True when calls to the store fail and it has not answered for [`STORE_UNREACHABLE`]. Without a
+    /// failed call, a missing answer may only mean that a watch is waiting.
     pub fn is_store_unreachable(&self) -> bool {
         if !self.is_store_failing() {
             return false;
         }
-        let stored = self.stored.load(Ordering::Acquire);
-        time::now().saturating_sub(stored) > STORE_UNREACHABLE.as_millis() as u64
+        let last_answer = self.last_answer.load(Ordering::Acquire);
+        time::now().saturating_sub(last_answer) > STORE_UNREACHABLE.as_millis() as u64
     }
 
-    /// True when the last call of the store failed, in whichever way.
+    /// True when the last call to the store failed for any reason.
     pub fn is_store_failing(&self) -> bool {
         self.failing.load(Ordering::Acquire)
     }
 
-    /// True when a probe of the store takes so long that nothing good is to be expected of it.
+    /// True when the probe in progress has taken longer than [`SLOW_PROBE_MS`], so that it will
+    /// probably fail.
     pub fn is_probe_slow(&self) -> bool {
-        let since = self.probing.load(Ordering::Acquire);
+        let since = self.probe_started.load(Ordering::Acquire);
         since != 0 && time::now().saturating_sub(since) > SLOW_PROBE_MS
     }
 
-    /// Sees whether the store answers.
+    /// Checks whether the store answers.
     pub fn probe(&self, store: &dyn Store) -> Result<(), Failure> {
-        self.probing.store(time::now().max(1), Ordering::Release);
+        self.probe_started
+            .store(time::now().max(1), Ordering::Release);
         let result = store.probe();
-        self.probing.store(0, Ordering::Release);
+        self.probe_started.store(0, Ordering::Release);
         result
     }
 
@@ -115,23 +120,23 @@
         self.owning.load(Ordering::Acquire) != 0
     }
 
-    /// Notes under which fence this box owns the cell, 0 when it does no more.
+    /// Sets the fence under which this box owns the cell; 0 when it does not own it.
     pub(crate) fn set_owning(&self, fence: u64) {
         self.owning.store(fence, Ordering::Release);
     }
 
-    /// True when the box is being stopped.
+    /// True once the box is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// True when the store has not answered for this long.
+    /// True when the store has not answered any call for `time`.
     pub(crate) fn is_store_silent(&self, time: Duration) -> bool {
-        let stored = self.stored.load(Ordering::Acquire);
-        time::now().saturating_sub(stored) >= time.as_millis() as u64
+        let last_answer = self.last_answer.load(Ordering::Acquire);
+        time::now().saturating_sub(last_answer) >= time.as_millis() as u64
     }
 
-    /// Waits until the store, which has failed, answers again, and probes it meanwhile.
+    /// Probes a failing store with exponential backoff until it answers or the box shuts down.
     pub(crate) fn probe_until_recovered(&self, store: &dyn Store) {
         let mut pause = STORE_RETRY_PAUSE;
         loop {
@@ -143,7 +148,7 @@
         }
     }
 
-    /// Waits while the store fails, until it answers another task or some time has passed.
+    /// Waits until the store answers a call of another task, at most [`RECOVERY_WAIT_MS`].
     pub(crate) fn await_recovery(&self) {
         let begun = time::now();
         loop {
@@ -155,121 +160,122 @@
         }
     }
 
-    fn note(&self, result: Result<(), &Failure>) {
+    fn record(&self, result: Result<(), &Failure>) {
         match result {
             Ok(()) => {
-                self.stored.store(time::now(), Ordering::Release);
+                self.last_answer.store(time::now(), Ordering::Release);
                 if self.failing.swap(false, Ordering::AcqRel) {
-                    log::info!(target: "store", "The store answers again.");
+                    log::info!(target: "store", "The store is reachable again.");
                 }
             }
             Err(failure) => {
                 metrics::counter!("magpie_store_failures_total").increment(1);
                 if !self.failing.swap(true, Ordering::AcqRel) {
-                    log::warn!(target: "store", error:% = failure; "The store does not answer.");
+                    log::warn!(target: "store", error:% = failure; "A call to the store failed; the store is considered unavailable.");
                 }
             }
         }
     }
 }
 
-/// A store whose answers are noted, so that the box knows whether it is cut off.
-struct Noted {
+/// Wraps the store and records the outcome of each call, so that the box knows whether the store is
+/// reachable.
+struct TrackedStore {
     inner: Arc<dyn Store>,
     shared: Arc<Shared>,
 }
 
-impl Noted {
-    fn note<T>(&self, call: &'static str, result: Result<T, Failure>) -> Result<T, Failure> {
+impl TrackedStore {
+    fn record<T>(&self, call: &'static str, result: Result<T, Failure>) -> Result<T, Failure> {
         metrics::counter!("magpie_store_calls_total", "call" => call).increment(1);
-        self.shared.note(result.as_ref().map(|_| ()));
+        self.shared.record(result.as_ref().map(|_| ()));
         result
     }
 }
 
-impl Store for Noted {
+impl Store for TrackedStore {
     fn get(&self, key: &str) -> Result<Option<Item>, Failure> {
-        self.note("get", self.inner.get(key))
+        self.record("get", self.inner.get(key))
     }
 
     fn get_large(&self, key: &str) -> Result<Option<Item>, Failure> {
-        self.note("get", self.inner.get_large(key))
+        self.record("get", self.inner.get_large(key))
     }
 
     fn get_stale(&self, key: &str) -> Result<Option<Item>, Failure> {
-        self.note("get_stale", self.inner.get_stale(key))
+        self.record("get_stale", self.inner.get_stale(key))
     }
 
     fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, Failure> {
-        self.note("range", self.inner.range(prefix, after))
+        self.record("range", self.inner.range(prefix, after))
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchResult, Failure> {
-        self.note("watch", self.inner.watch(prefix, after, wait))
+        self.record("watch", self.inner.watch(prefix, after, wait))
     }
 
     fn apply(&self, change: &Change) -> Result<ApplyResult, Failure> {
-        self.note("apply", self.inner.apply(change))
+        self.record("apply", self.inner.apply(change))
     }
 
     fn probe(&self) -> Result<(), Failure> {
-        self.note("probe", self.inner.probe())
+        self.record("probe", self.inner.probe())
     }
 
     fn grant(&self, length: Duration) -> Result<u64, Failure> {
-        self.note("grant", self.inner.grant(length))
+        self.record("grant", self.inner.grant(length))
     }
 
     fn renew(&self, lease: u64) -> Result<bool, Failure> {
-        self.note("renew", self.inner.renew(lease))
+        self.record("renew", self.inner.renew(lease))
     }
 }
 
-/// The actor.
+/// The actor that holds the state of a box.
 pub struct Core {
     pub(crate) node: Node,
     pub(crate) ownership: Option<Ownership>,
 }
 
-/// What the tasks of a box share.
+/// Handle that the tasks of a box share.
 #[derive(Clone)]
 pub struct Node {
     /// Settings of the box.
     pub settings: Arc<Settings>,
-    /// The outside.
+    /// Clients of the external services.
     pub external: External,
-    /// What is read without asking the actor.
+    /// State that is read without a call to the actor.
     pub shared: Arc<Shared>,
-    /// Calls to other boxes.
+    /// Client for calls to other boxes.
     pub client: Client,
     pub(crate) remote: Remote<Core>,
     pub(crate) acceptor: accept::Door,
-    /// Cancellations that the owner has not confirmed.
+    /// Queue of cancellations that the owner has not confirmed.
     pub(crate) untold: cancel::Door,
-    /// Specifications that were read from the store.
+    /// Cache of job specifications that were read from the store.
     pub(crate) fetched: Arc<Fetched>,
 }
 
-/// A box that runs.
+/// A running box; the actor stops when it is dropped.
 pub struct Running {
-    /// The handle.
+    /// The handle that tasks and request handlers use.
     pub node: Node,
     _host: Host<Core>,
 }
 
-/// Starts the actor and the tasks of a box.
+/// Starts the actor and the threads of a box.
 ///
 /// # Errors
 ///
-/// The system has no room for threads.
+/// A thread could not be started.
 pub fn start(settings: Settings, outside: External, client: Client) -> io::Result<Running> {
     let shared = Arc::new(Shared::default());
-    let noted = Noted {
+    let tracked = TrackedStore {
         inner: outside.store,
         shared: shared.clone(),
     };
     let outside = External {
-        store: Arc::new(noted),
+        store: Arc::new(tracked),
         ..outside
     };
     let (acceptor, submissions) = accept::door();
@@ -287,7 +293,7 @@
             untold,
             fetched: Arc::default(),
         };
-        // The receiver waits for just this one.
+        // The receiver exists until this value arrives, so the send cannot fail.
         let _ = sender.send(node.clone());
         Core {
             node,
@@ -295,43 +301,44 @@
         }
     })?;
     let node = receiver.recv().map_err(io::Error::other)?;
-    let own = node.clone();
-    task::spawn("accept", move || accept::run(&own, &submissions))?;
-    let own = node.clone();
-    task::spawn("cancel", move || cancel::run(&own, &cancellations))?;
-    let own = node.clone();
-    task::spawn("config", move || config::follow(&own))?;
-    let own = node.clone();
-    task::spawn("owner", move || follow::ownership(&own))?;
-    let own = node.clone();
-    task::spawn("relay", move || relay::run(&own))?;
+    let task_node = node.clone();
+    task::spawn("accept", move || accept::run(&task_node, &submissions))?;
+    let task_node = node.clone();
+    task::spawn("cancel", move || cancel::run(&task_node, &cancellations))?;
+    let task_node = node.clone();
+    task::spawn("config", move || config::follow(&task_node))?;
+    let task_node = node.clone();
+    task::spawn("owner", move || follow::ownership(&task_node))?;
+    let task_node = node.clone();
+    task::spawn("relay", move || relay::run(&task_node))?;
     Ok(Running { node, _host: host })
 }
 
 impl Node {
-    /// True when callers should be sent here.
+    /// Readiness: true when callers should be routed to this box.
     pub fn is_ready(&self) -> bool {
         let has_config = self.shared.config.load().is_some();
-        let is_sure = has_config && !self.shared.is_config_unverified();
-        is_sure && !self.shared.is_stopping() && !self.shared.is_store_unreachable()
+        let is_config_verified = has_config && !self.shared.is_config_unverified();
+        is_config_verified && !self.shared.is_stopping() && !self.shared.is_store_unreachable()
     }
 
-    /// Takes part in nothing new and hands the cell over, within this time.
+    /// Shuts the box down: it accepts no new work, and hands the cell over if it owns it. Returns
+    /// after `time` at the latest.
     pub fn shut_down(&self, time: Duration) {
         self.shared.stopping.store(true, Ordering::Release);
-        let released = self.remote.ask_within(time, |core, cx, answerer| {
+        let outcome = self.remote.ask_within(time, |core, cx, answerer| {
             core.hand_over(cx, answerer);
         });
-        match released {
-            Ok(true) => log::info!(target: "owner", "The cell is handed over."),
+        match outcome {
+            Ok(true) => log::info!(target: "owner", "Cell ownership released for shutdown."),
             Ok(false) => {}
             Err(failure) => {
-                log::warn!(target: "owner", error:% = failure; "The cell could not be handed over in time.");
+                log::warn!(target: "owner", error:% = failure; "Cell ownership was not released before the shutdown time-out.");
             }
         }
     }
 
-    /// Answers a relay without waiting; gives other requests back.
+    /// Handles a relay exchange without blocking. Returns requests with other paths.
     pub fn handle_relay(&self, request: kernel::Request) -> Option<kernel::Request> {
         if request.path != relay::PATH {
             return Some(request);
@@ -340,7 +347,7 @@
         None
     }
 
-    /// Answers another box; gives requests back that are not for boxes.
+    /// Handles a call of another box. Returns requests with other paths.
     pub fn handle_peer(&self, request: kernel::Request) -> Option<kernel::Request> {
         if request.path != peer::PATH {
             return Some(request);
--- a/components/node/src/external.rs
+++ b/components/node/src/external.rs
@@ -1,4 +1,5 @@
-//! The interfaces to workers and to the operators' configuration.
+//! Interfaces to the external services of a box: workers, machines, the operators' configuration, closed
+//! data halls and the placement advisor.
 
 use {
     crate::store::Store,
@@ -12,31 +13,32 @@
     std::{pin::Pin, sync::Arc, time::Duration},
 };
 
-/// Why a poll of a worker brought no report.
+/// Why a poll of a worker returned no report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PollError {
-    /// The worker refused.
+    /// The worker refused the poll.
     Refused(Reason),
-    /// Another life of the worker has answered, which began then, in milliseconds since 1970. It was told nothing that binds
-    /// it.
+    /// Another incarnation of the worker has answered, which was started at this time, in milliseconds
+    /// since 1970. The poll had no effect on it.
     OtherLife(u64),
-    /// No usable answer.
+    /// The worker gave no valid answer in time.
     Silent(Failure),
 }
 
-/// What comes later, for a task.
+/// A boxed future.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Workers, as they are listed and spoken to.
+/// The workers: their listing, and calls to each of them.
 pub trait Workers: Send + Sync {
-    /// Lists all workers. An entry that cannot be read is no reason to fail.
+    /// Lists all workers. Entries that cannot be decoded are not an error.
     ///
     /// # Errors
     ///
     /// The list could not be read.
     fn list(&self) -> Result<Listing, Failure>;
 
-    /// Sends an order under a fence to this life of a worker: one of the same name that began later does not get it.
+    /// Sends an order under a fence to this incarnation of a worker. A later incarnation with the same
+    /// name does not receive it.
     fn order<'a>(
         &'a self,
         worker: &'a Entry,
@@ -44,8 +46,8 @@
         order: &'a Order,
     ) -> BoxFuture<'a, Outcome>;
 
-    /// Renews the leases of all that runs on this life of a worker, acknowledges ends, and reads its report. Where nobody
-    /// knows yet whether this life is there, just the report is read.
+    /// Renews the leases of all tasks on this incarnation of a worker, acknowledges the ends of tasks, and
+    /// reads its report. Only reads the report while it is unknown whether this incarnation still exists.
     ///
     /// # Errors
     ///
@@ -58,60 +60,60 @@
     ) -> BoxFuture<'a, Result<Report, PollError>>;
 }
 
-/// A configuration as it was found.
+/// A configuration with the store revisions at which it was read.
 #[derive(Debug, Clone)]
 pub struct ConfigSnapshot {
     /// The configuration.
     pub config: Config,
-    /// The store's revision of its last change.
+    /// Revision of its last change.
     pub revision: u64,
-    /// The revision of the store at which it was the newest; a wait goes on from here.
+    /// Revision of the store at which it was the newest; a wait for changes continues from here.
     pub store_revision: u64,
-    /// The bytes of its value.
+    /// Size of the stored value, in bytes.
     pub bytes: usize,
 }
 
-/// What a read of the configuration tells.
+/// The result of a read of the configuration.
 #[derive(Debug, Clone)]
 pub enum ConfigRead {
-    /// There is none yet.
+    /// There is no configuration yet.
     Absent,
-    /// It is still that of the known revision; the revision of the store at which this is so.
+    /// The known revision is still the newest, as of this revision of the store.
     Unchanged(u64),
-    /// Another one.
+    /// A configuration of another revision than the known one.
     Found(ConfigSnapshot),
 }
 
-/// What a wait for a change of the configuration tells.
+/// The result of a wait for a change of the configuration.
 #[derive(Debug, Clone)]
 pub enum ConfigWait {
-    /// None came.
+    /// The configuration has not changed.
     Unchanged,
-    /// What came since cannot be told: it has to be read.
+    /// The history has been compacted; the configuration has to be read.
     Compacted,
-    /// The newest of those that came.
+    /// The newest configuration since then.
     Found(ConfigSnapshot),
 }
 
-/// The operators' configuration.
+/// Source of the operators' configuration.
 pub trait ConfigSource: Send + Sync {
-    /// Reads it. `known` is the revision of the one that the caller has, which need not be decoded again; 0
+    /// Reads the configuration. `known` is the revision that the caller has, which is not decoded again; 0
     /// for none.
     ///
     /// # Errors
     ///
-    /// It could not be read or is not valid.
+    /// The configuration could not be read or is invalid.
     fn read(&self, known: u64) -> Result<ConfigRead, Failure>;
 
-    /// Reads it where the owner has just told which revision is the `newest`. An answer that may be old is as good where it has
-    /// that one.
+    /// Reads the configuration when a heartbeat of the owner has given the `newest` revision. A stale read
+    /// is sufficient if it returns that revision.
     ///
     /// # Errors
     ///
     /// As for `read`.
     fn read_newest(&self, known: u64, newest: u64) -> Result<ConfigRead, Failure>;
 
-    /// Waits for a change after a revision of the store.
+    /// Waits up to `time` for a change after a revision of the store.
     ///
     /// # Errors
     ///
@@ -119,23 +121,23 @@
     fn wait(&self, after: u64, time: Duration) -> Result<ConfigWait, Failure>;
 }
 
-/// The service that tells which workers may run a step.
+/// The external placement service, which selects the workers that may run a step.
 pub trait Advisor: Send + Sync {
-    /// Asks it.
+    /// Requests advice for a step.
     ///
     /// # Errors
     ///
-    /// It gave no usable answer.
+    /// The service gave no valid answer in time.
     fn advise(&self, question: &Question) -> Result<Advice, Failure>;
 }
 
-/// The machines that workers live on, and the operators' waves of upkeep.
+/// The machines that host workers, and the operators' maintenance waves.
 pub trait Machines: Send + Sync {
-    /// The waves that are not complete.
+    /// Lists the maintenance waves that are not complete.
     ///
     /// # Errors
     ///
-    /// They could not be read.
+    /// The waves could not be read.
     fn waves(&self) -> Result<Vec<Wave>, Failure>;
 
     /// Lists all machines.
@@ -145,38 +147,38 @@
     /// The list could not be read.
     fn list(&self) -> Result<Vec<Machine>, Failure>;
 
-    /// Lets a machine go down for its upkeep, under the fence of this owner. False when that was
-    /// surely not done.
+    /// Takes a machine down for maintenance, under the fence of this owner. False when the request
+    /// surely had no effect.
     fn upkeep(&self, order: &Upkeep, owner: &str, fence: u64) -> bool;
 
-    /// Tells the operators how far a wave is.
+    /// Reports the progress of a maintenance wave to the operators.
     ///
     /// # Errors
     ///
-    /// It may not have been written.
+    /// The report may not have been written.
     fn report_progress(&self, standing: &Standing) -> Result<(), Failure>;
 }
 
-/// A data hall in which the operators want nothing started.
+/// A data hall that the operators have closed: no tasks are started in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HallClosure {
     /// The data hall.
     pub hall: Arc<str>,
-    /// Who asked for it, where that is told.
+    /// The operator who closed it, if known.
     pub by: Option<Arc<str>>,
 }
 
-/// The data halls that the operators have shut.
+/// Source of the data halls that the operators have closed.
 pub trait HallClosures: Send + Sync {
-    /// Reads them. An entry that cannot be read shuts nothing and is no reason to fail.
+    /// Reads the closed data halls. An entry that cannot be decoded closes no hall and is not an error.
     ///
     /// # Errors
     ///
-    /// They could not be read.
+    /// The closed data halls could not be read.
     fn read(&self) -> Result<Vec<HallClosure>, Failure>;
 }
 
-/// All that a box reaches outside of itself.
+/// Clients of all external services of a box.
 #[derive(Clone)]
 pub struct External {
     /// The store.
@@ -185,10 +187,10 @@
     pub workers: Arc<dyn Workers>,
     /// The configuration.
     pub configs: Arc<dyn ConfigSource>,
-    /// The service that advises on workers.
+    /// The placement advisor.
     pub advisor: Arc<dyn Advisor>,
     /// The machines.
     pub machines: Arc<dyn Machines>,
-    /// The data halls that are shut.
+    /// The closed data halls.
     pub closures: Arc<dyn HallClosures>,
 }
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -1,4 +1,5 @@
-//! Groups of records, written as one change that the head of the chain guards.
+//! Group commit: changed records of the cell that the owner writes to the store in one transaction. The
+//! transaction is conditional on the head key, so that it fails once another owner has written.
 
 use {
     crate::{
@@ -12,65 +13,65 @@
     serde::Serialize,
 };
 
-/// How many records of old jobs go with one group.
-const FORGET_AT_ONCE: usize = 2;
+/// Maximum number of expired job records that one group removes.
+const MAX_EXPIRED: usize = 2;
 
-/// The only cell so far; keys carry its number.
+/// Number of the only cell; it is part of the store keys.
 pub const CELL: u32 = 0;
 
-/// One group.
+/// One group of records.
 pub struct Group {
-    /// The change of the store.
+    /// The store transaction.
     pub change: Change,
-    /// What it covers of the cell.
-    pub covers: cell::Change,
-    /// It writes the owner's key anew.
-    pub announces: bool,
-    /// It gives the cell up.
-    pub is_last: bool,
-    /// Jobs that ended long ago, whose records it removes.
-    pub forgets: Vec<Id>,
+    /// The changes of the cell that the group writes.
+    pub cell_change: cell::Change,
+    /// The group writes the owner's key again.
+    pub republishes: bool,
+    /// The group removes the owner's key and so releases the cell.
+    pub is_release: bool,
+    /// Jobs past their retention time, whose records the group removes.
+    pub expired: Vec<Id>,
 }
 
 impl Group {
-    /// Takes the next group of a ownership. Records of jobs that ended before a time, in milliseconds
-    /// since 1970, are removed with it where it has room.
+    /// Builds the next group from the changes of the cell. Where it has room it also removes the records
+    /// of jobs that ended before `before`, in milliseconds since 1970.
     pub fn build(settings: &Settings, ownership: &mut Ownership, before: u64) -> Self {
-        let covers = ownership.cell.take_change(GROUP_ENTRIES);
-        // What is not written by then stays listed by its workers, and the next owner takes it from
-        // there: under load there is always something more to write.
-        let is_last = ownership.handover.is_some();
-        let mut change = guarded(ownership);
-        put_records(&mut change, &covers);
-        if is_last {
+        let cell_change = ownership.cell.take_change(GROUP_ENTRIES);
+        // Under load the cell always has unwritten changes, so the release does not wait for them. The
+        // workers keep reporting what is unwritten, and the next owner reads it from their reports.
+        let is_release = ownership.handover.is_some();
+        let mut change = conditional_change(ownership);
+        put_records(&mut change, &cell_change);
+        if is_release {
             change.remove.push(keys::owner(CELL));
         }
-        let announces = ownership.republish && ownership.lease != 0 && !is_last;
-        if announces {
+        let republishes = ownership.republish && ownership.lease != 0 && !is_release;
+        if republishes {
             ownership.republish = false;
             let owner = owner_record(settings);
             change
                 .put
                 .push(put(keys::owner(CELL), &owner, ownership.lease));
         }
-        let mut forgets = Vec::new();
-        if covers.records.len() <= GROUP_RECORDS / 2 {
-            forgets = ownership.cell.outdated(before, FORGET_AT_ONCE);
+        let mut expired = Vec::new();
+        if cell_change.records.len() <= GROUP_RECORDS / 2 {
+            expired = ownership.cell.outdated(before, MAX_EXPIRED);
         }
-        for id in &forgets {
+        for id in &expired {
             change.remove.push(keys::state(id));
             change.remove.push(keys::cancel(id));
         }
         Group {
             change,
-            covers,
-            announces,
-            is_last,
-            forgets,
+            cell_change,
+            republishes,
+            is_release,
+            expired,
         }
     }
 
-    /// The head's revision, where it shows that this owner wrote it last.
+    /// Revision of the head among the `items` of a conflict, if the owner with this fence wrote it last.
     pub fn own_head(&self, items: &[Item], fence: u64) -> Option<u64> {
         let key = keys::head(CELL);
         let item = items.iter().find(|item| item.key == key)?;
@@ -79,8 +80,8 @@
     }
 }
 
-/// A change that writes the head anew, on the condition that nobody else has written it.
-fn guarded(ownership: &Ownership) -> Change {
+/// A transaction that writes the head, on condition that no other owner has written it.
+fn conditional_change(ownership: &Ownership) -> Change {
     let head = Head {
         fence: ownership.fence,
         claim: 0,
@@ -92,24 +93,24 @@
     }
 }
 
-/// Adds what has changed of the cell: states of jobs and the list of workers.
-fn put_records(change: &mut Change, covers: &cell::Change) {
-    for (id, record) in &covers.records {
+/// Adds the changed job records and the list of workers to a transaction.
+fn put_records(change: &mut Change, cell_change: &cell::Change) {
+    for (id, record) in &cell_change.records {
         change.put.push(put_compact(keys::state(id), record));
         if record.state.is_final() {
             change.remove.push(keys::job(id));
-            if covers.apart.contains(id) {
+            if cell_change.apart.contains(id) {
                 change.remove.push(keys::text(id));
             }
         }
     }
-    if let Some(fleet) = &covers.fleet {
+    if let Some(fleet) = &cell_change.fleet {
         let members: Vec<WorkerRecord> = fleet.iter().cloned().map(WorkerRecord::from).collect();
         change.put.push(put_compact(keys::fleet(CELL), &members));
     }
 }
 
-/// The record of this box as an owner.
+/// The value of the owner's key for this box.
 pub fn owner_record(settings: &Settings) -> Owner {
     Owner {
         name: settings.name.clone(),
@@ -117,8 +118,8 @@
     }
 }
 
-/// A key and its value, encoded without the names of fields: for what is written tens of times a second. Records of
-/// states took a fifth of what an owner sent on a link of 2 Mbit/s.
+/// Encodes a key and its value without field names, for values that are written tens of times a second.
+/// With field names, job records took a fifth of what an owner sent on a link of 2 Mbit/s.
 pub fn put_compact<T: Serialize>(key: String, value: &T) -> Put {
     let value = kernel::wire::encode_compact(value).unwrap_or_default();
     Put {
@@ -128,9 +129,9 @@
     }
 }
 
-/// A key and its value, encoded.
+/// Encodes a key and its value, which lives under `lease` (0 for none).
 pub fn put<T: Serialize>(key: String, value: &T, lease: u64) -> Put {
-    // Only maps with odd keys cannot be encoded, and no value here has any.
+    // Encoding fails only for maps whose keys are not strings, which no value here has.
     let value = kernel::wire::encode(value).unwrap_or_default();
     Put { key, value, lease }
 }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// A cell in which two jobs were cancelled, which is to be written down.
+    /// A cell with unwritten records of two cancelled jobs.
     fn dirty_cell() -> Cell {
         let mut cell = Cell::new(TIMING);
         for id in ["00000000000000a1", "00000000000000b2"] {
@@ -208,21 +209,22 @@
         cell
     }
 
-    /// Seen while all boxes were restarted in turn under load: new ends came all the time, and the
-    /// owner waited in vain until there was nothing to write.
+    /// The release of the cell must not wait until all changes are written: during a rolling restart
+    /// under load, tasks ended all the time and the owner never ran out of changes to write.
     #[test]
-    fn build_last_with_records() {
+    fn build_release_with_pending_records() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
         let (leaving, _released) = Answerer::pair();
         ownership.handover = Some(leaving);
         let group = Group::build(&settings(), &mut ownership, 0);
-        assert!(group.is_last && !group.covers.records.is_empty());
+        assert!(group.is_release && !group.cell_change.records.is_empty());
         assert!(group.change.remove.contains(&keys::owner(CELL)));
     }
 
-    /// Records of ended jobs take two entries each, others one.
+    /// Records of ended jobs take two entries each, others take one; a group must stay within the limit
+    /// of the store.
     #[test]
-    fn build_keeps_to_the_entries() {
+    fn build_within_entry_limit() {
         let mut cell = Cell::new(TIMING);
         for number in 0..60 {
             let id = Id::new(&format!("{number:016x}")).unwrap();
@@ -239,28 +241,28 @@
         );
     }
 
-    /// Records of old jobs stayed in the store for good when the group that removed them had no room
-    /// or was not written: the cell had forgotten them by then.
+    /// The cell may forget an expired job only once the group that removes its record is written.
+    /// Otherwise the record stays in the store forever when the group has no room or is not written.
     #[test]
-    fn build_forgets_with_the_write() {
+    fn build_removes_expired_until_written() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
         let first = Group::build(&settings(), &mut ownership, 0);
-        ownership.cell.written(&first.covers);
-        assert!(first.forgets.is_empty());
+        ownership.cell.written(&first.cell_change);
+        assert!(first.expired.is_empty());
         let second = Group::build(&settings(), &mut ownership, 10);
-        assert_eq!(second.forgets.len(), 2);
+        assert_eq!(second.expired.len(), 2);
         assert!(
             second
                 .change
                 .remove
-                .contains(&keys::state(&second.forgets[0]))
+                .contains(&keys::state(&second.expired[0]))
         );
         let again = Group::build(&settings(), &mut ownership, 10);
-        assert_eq!(again.forgets.len(), 2);
-        ownership.cell.forget(&again.forgets);
+        assert_eq!(again.expired.len(), 2);
+        ownership.cell.forget(&again.expired);
         assert!(
             Group::build(&settings(), &mut ownership, 10)
-                .forgets
+                .expired
                 .is_empty()
         );
     }
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -1,8 +1,8 @@
-//! What the owner tells other boxes of the store, so that they need not ask it themselves.
+//! Heartbeats of the owner, which spare the other boxes reads of the store.
 //!
-//! Every box exchanges messages with the owner. An answer that comes from an owner which is sure of its ownership, and
-//! which has read the configuration lately, stands for a read of both keys. A box without such an answer reads and watches
-//! the keys itself.
+//! Every box exchanges messages with the owner. An answer of an owner that has recently renewed its
+//! lease and read the configuration replaces a read of the owner's key and of the configuration. A box
+//! without such an answer reads and watches both keys itself.
 
 use {
     crate::settings::{CONFIG_READ_INTERVAL, HEARTBEAT_SLACK, MAX_LEASE_AGE},
@@ -11,47 +11,48 @@
     std::{sync::Mutex, time::Duration},
 };
 
-/// What an owner knows of the store. Ages are in milliseconds.
+/// The state of the store as last read by the owner. Ages are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The store's revision of the newest configuration; 0 while there is none.
+    /// Store revision of the newest configuration; 0 while there is none.
     pub config: u64,
-    /// How long ago that was the newest.
+    /// Time since the owner last verified that this is the newest configuration.
     pub config_age: u64,
-    /// How long ago the cell was surely the owner's.
+    /// Time since the ownership was last confirmed by a lease renewal or a write.
     pub lease_age: u64,
 }
 
 impl Heartbeat {
-    /// True when it stands for a read of both keys.
+    /// True when the heartbeat replaces a read of both keys.
     fn is_fresh(&self) -> bool {
-        let config_most = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
-        let lease_most = MAX_LEASE_AGE.as_millis() as u64;
-        self.config_age < config_most && self.lease_age < lease_most
+        let max_config_age = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
+        let max_lease_age = MAX_LEASE_AGE.as_millis() as u64;
+        self.config_age < max_config_age && self.lease_age < max_lease_age
     }
 }
 
-/// The last heartbeat that a box has heard.
+/// The last heartbeat that a box has received.
 #[derive(Default)]
 pub struct Monitor {
-    heard: Mutex<Heard>,
-    /// Wakes the task that follows the configuration.
+    last: Mutex<LastHeartbeat>,
+    /// Wakes the thread that follows the configuration.
     pub config: Signal,
-    /// Wakes the task that follows the ownership.
+    /// Wakes the thread that watches the owner's key.
     pub owner: Signal,
 }
 
 #[derive(Default, Clone, Copy)]
-struct Heard {
-    /// The store's revision of the newest configuration.
+struct LastHeartbeat {
+    /// Store revision of the newest configuration.
     config: u64,
-    /// Until when the heartbeat stands for reads, on the clock of this box; 0 for no longer.
+    /// Expiry of the heartbeat on the clock of this box; 0 when it has expired.
     until: u64,
 }
 
 impl Monitor {
-    /// Notes a heartbeat that was asked for at `asked`, of an owner that expects the next exchange after `pause`.
-    /// Without one, or with one that is not fresh, the box is on its own.
+    /// Records the heartbeat in the answer to a request sent at `asked`, from an owner that expects the
+    /// next exchange after `pause`. A missing or stale heartbeat clears the last one, and the box reads
+    /// the store itself.
     pub fn record(&self, heartbeat: Option<Heartbeat>, asked: u64, pause: Duration) {
         let Some(heartbeat) = heartbeat.filter(Heartbeat::is_fresh) else {
             self.clear();
@@ -59,25 +60,25 @@
         };
         let until = asked + (pause + HEARTBEAT_SLACK).as_millis() as u64;
         let config = heartbeat.config;
-        let former = std::mem::replace(&mut *lock(&self.heard), Heard { config, until });
-        if former.config != config {
+        let previous = std::mem::replace(&mut *lock(&self.last), LastHeartbeat { config, until });
+        if previous.config != config {
             self.config.ring();
         }
     }
 
-    /// The owner has not answered.
+    /// Clears the last heartbeat, since the owner did not answer, and wakes both threads.
     pub fn clear(&self) {
-        let former = std::mem::take(&mut *lock(&self.heard));
-        if former.until != 0 {
+        let previous = std::mem::take(&mut *lock(&self.last));
+        if previous.until != 0 {
             self.config.ring();
             self.owner.ring();
         }
     }
 
-    /// The store's revision of the newest configuration and for how long no read is needed; `None` where the box is on its
-    /// own.
+    /// Store revision of the newest configuration and the time for which no read is needed; `None` when
+    /// the box has to read the store itself.
     pub fn valid(&self, now: u64) -> Option<(u64, Duration)> {
-        let Heard { config, until } = *lock(&self.heard);
+        let LastHeartbeat { config, until } = *lock(&self.last);
         let left = until.checked_sub(now).filter(|left| *left > 0)?;
         Some((config, Duration::from_millis(left)))
     }
@@ -88,10 +89,10 @@
     use {super::*, test_case::test_case};
 
     const PAUSE: Duration = Duration::from_millis(400);
-    const CONFIG_MOST: u64 = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
-    const LEASE_MOST: u64 = MAX_LEASE_AGE.as_millis() as u64;
+    const MAX_CONFIG_AGE_MS: u64 = 2 * CONFIG_READ_INTERVAL.as_millis() as u64;
+    const MAX_LEASE_AGE_MS: u64 = MAX_LEASE_AGE.as_millis() as u64;
 
-    fn beat(config_age: u64, lease_age: u64) -> Heartbeat {
+    fn heartbeat_with(config_age: u64, lease_age: u64) -> Heartbeat {
         Heartbeat {
             config: 7,
             config_age,
@@ -99,35 +100,36 @@
         }
     }
 
-    #[test_case(Some(beat(0, 0)), true; "fresh")]
-    #[test_case(Some(beat(CONFIG_MOST, 0)), false; "owner without the configuration")]
-    #[test_case(Some(beat(0, LEASE_MOST)), false; "owner in doubt")]
-    #[test_case(None, false; "no owner")]
-    fn fresh_after_heartbeat(heartbeat: Option<Heartbeat>, is_fresh: bool) {
+    #[test_case(Some(heartbeat_with(0, 0)), true; "fresh")]
+    #[test_case(Some(heartbeat_with(MAX_CONFIG_AGE_MS, 0)), false; "stale configuration")]
+    #[test_case(Some(heartbeat_with(0, MAX_LEASE_AGE_MS)), false; "lease not renewed")]
+    #[test_case(None, false; "no heartbeat")]
+    fn valid_after_record(heartbeat: Option<Heartbeat>, is_fresh: bool) {
         let monitor = Monitor::default();
         monitor.record(heartbeat, 1_000, PAUSE);
         assert_eq!(monitor.valid(1_100).is_some(), is_fresh);
     }
 
     #[test]
-    fn fresh_ends() {
+    fn valid_until_expiry() {
         let monitor = Monitor::default();
-        let most = (PAUSE + HEARTBEAT_SLACK).as_millis() as u64;
-        monitor.record(Some(beat(0, 0)), 1_000, PAUSE);
+        let lifetime = (PAUSE + HEARTBEAT_SLACK).as_millis() as u64;
+        monitor.record(Some(heartbeat_with(0, 0)), 1_000, PAUSE);
         assert_eq!(
-            monitor.valid(999 + most),
+            monitor.valid(999 + lifetime),
             Some((7, Duration::from_millis(1)))
         );
-        assert_eq!(monitor.valid(1_000 + most), None);
+        assert_eq!(monitor.valid(1_000 + lifetime), None);
     }
 
-    /// Both tasks go on by themselves at once when the owner does not answer, and are left alone while it did not before.
+    /// When the owner stops answering, both threads wake at once and read the store themselves. They are
+    /// not woken again while it stays unreachable.
     #[test]
-    fn miss_wakes_once() {
+    fn clear_wakes_once() {
         let monitor = Monitor::default();
         monitor.clear();
         assert!(!monitor.owner.wait(Duration::ZERO));
-        monitor.record(Some(beat(0, 0)), 1_000, PAUSE);
+        monitor.record(Some(heartbeat_with(0, 0)), 1_000, PAUSE);
         assert!(monitor.config.wait(Duration::ZERO));
         monitor.clear();
         assert!(monitor.owner.wait(Duration::ZERO) && monitor.config.wait(Duration::ZERO));
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -1,59 +1,59 @@
-//! The names of what is kept in the store.
+//! Keys and key prefixes in the store.
 
 use job::Id;
 
-/// Everything that comes from callers.
+/// Prefix of the intake: everything that callers have sent.
 pub const INTAKE: &str = "magpie/in/";
-/// Cancellations, by job.
+/// Prefix of cancellations, by job.
 pub const CANCEL: &str = "magpie/in/cancel/";
-/// Submissions, by job.
+/// Prefix of submissions, by job.
 pub const JOB: &str = "magpie/in/job/";
-/// Records of jobs.
+/// Prefix of job records, by job.
 pub const STATE: &str = "magpie/state/";
-/// Owners, by cell.
+/// Prefix of owner keys, by cell.
 pub const OWNER: &str = "magpie/owner/";
 
-/// The submission of a job.
+/// Key of the submission of a job.
 pub fn job(id: &Id) -> String {
     format!("{JOB}{id}")
 }
 
-/// The specification of a job, where it is kept by itself.
+/// Key of the specification of a job that is stored apart from its submission.
 pub fn text(id: &Id) -> String {
     format!("magpie/text/{id}")
 }
 
-/// The cancellation of a job.
+/// Key of the cancellation of a job.
 pub fn cancel(id: &Id) -> String {
     format!("{CANCEL}{id}")
 }
 
-/// The record of a job.
+/// Key of the record of a job.
 pub fn state(id: &Id) -> String {
     format!("{STATE}{id}")
 }
 
-/// The owner of a cell.
+/// Key of the owner of a cell, which lives under the owner's lease.
 pub fn owner(cell: u32) -> String {
     format!("{OWNER}{cell}")
 }
 
-/// The head of a cell's chain of writes.
+/// Key of a cell's head. Each write of an owner replaces it and expects its last revision.
 pub fn head(cell: u32) -> String {
     format!("magpie/head/{cell}")
 }
 
-/// The workers of a cell that may hold tasks.
+/// Key of the list of workers of a cell that may hold tasks.
 pub fn fleet(cell: u32) -> String {
     format!("magpie/fleet/{cell}")
 }
 
-/// What a cell's owners learned of which tasks disturb which.
+/// Key of the interference model that the owners of a cell have learned.
 pub fn interference(cell: u32) -> String {
     format!("magpie/learned/{cell}")
 }
 
-/// The job that a key under `prefix` names.
+/// Parses the job out of a key under `prefix`; `None` for other keys.
 pub fn id(key: &str, prefix: &str) -> Option<Id> {
     Id::new(key.strip_prefix(prefix)?)
 }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,9 +1,12 @@
-//! One box of the system: it accepts jobs, and owns the cell of workers when it is its turn.
+//! A box: one control-plane node of the scheduler. It accepts jobs, and schedules the cell of
+//! workers while it owns the cell.
 //!
-//! The state is in one actor, [`core::Core`]. Around it, each written straight down: a task that
-//! follows the configuration, one that follows and claims ownership, one that accepts jobs, one that
-//! tells the owner of cancellations again, and while owning one that renews the lease, one that reads
-//! the intake, one that writes groups, one that lists workers. Two for each worker wait on the thread of all connections.
+//! The state lives in one actor, [`core::Core`]. Background threads do the blocking work. Every box
+//! has threads that follow the configuration, watch and claim the ownership of the cell, accept
+//! jobs, exchange messages with the owner, and repeat cancellations to it until it confirms them.
+//! The owner also has threads that renew its lease, read the intake, write groups of records, list
+//! the workers, run maintenance waves and read which data halls are closed. Two async tasks for each
+//! worker run on the network thread.
 
 pub mod accept;
 pub mod callers;
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -1,4 +1,4 @@
-//! Values kept in the store, and messages between boxes.
+//! Serialized values in the store, and messages between boxes: peer calls and relay exchanges.
 
 use {
     crate::{callers::Reply, external::PollError, heartbeat::Heartbeat, news::News},
@@ -8,25 +8,25 @@
     std::sync::Arc,
 };
 
-/// Who owns a cell.
+/// The owner of a cell, as written to its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The name of the box.
     pub name: Arc<str>,
-    /// Where other boxes reach it.
+    /// The address and port where other boxes reach it.
     pub address: Arc<str>,
 }
 
-/// The head of a cell's chain of writes.
+/// The value of a cell's head key, which every write of an owner replaces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The fence of the owner that wrote it; 0 in the write that claims the cell.
     pub fence: u64,
-    /// Tells one claim from another.
+    /// A random number that tells the writes of two claims apart; 0 in other writes.
     pub claim: u64,
 }
 
-/// A worker that may hold tasks.
+/// A worker that may hold tasks, as stored in the fleet record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
     id: Arc<str>,
@@ -74,47 +74,47 @@
     }
 }
 
-/// What one box asks another.
+/// A call from one box to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The state of a job.
+    /// Read the state of a job.
     State(Id),
-    /// The jobs of a queue that wait.
+    /// Count the waiting jobs of a queue.
     Waiting(Arc<str>),
-    /// To accept a job, since the asking box does not reach the store.
+    /// Accept a job, since the calling box cannot reach the store.
     Submit(Box<Submission>),
-    /// To cancel a job, for the same reason.
+    /// Cancel a job, for the same reason.
     Cancel(Id),
-    /// To take in that a job is cancelled, which is written down already. [`Reply::Cancelled`] confirms
-    /// that it is taken in; any other answer does not.
+    /// Apply the cancellation of a job, which is already in the store. Only [`Reply::Cancelled`] confirms
+    /// that the owner has applied it.
     Cancelled(Id),
-    /// Whether it owns the cell.
+    /// Check whether the box owns the cell.
     Probe {
-        /// It is to give the cell up if it is cut off from the store.
+        /// The box has to release the cell if it cannot reach the store.
         release: bool,
     },
-    /// Which data halls are shut.
+    /// List the closed data halls.
     Halls {
-        /// Another box passes the question on: it goes no further.
+        /// The call was forwarded by another box and is not forwarded again.
         passed: bool,
     },
 }
 
-/// A data hall that is shut, as the owner knows it.
+/// A closed data hall, in which no tasks are started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedHall {
     /// The data hall.
     pub hall: Arc<str>,
-    /// Who asked for it, where that is told.
+    /// The operator who closed it, if known.
     pub by: Option<Arc<str>>,
-    /// When this owner first read of it, in milliseconds since 1970.
+    /// When this owner first read that it is closed, in milliseconds since 1970.
     pub since: u64,
 }
 
-/// The answer to an [`PeerRequest`].
+/// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// See [`PeerRequest::State`]; `None` where it is not known.
+    /// See [`PeerRequest::State`]; `None` when the job is unknown.
     State(Option<State>),
     /// See [`PeerRequest::Waiting`]; `None` from a box that does not own the cell.
     Waiting(Option<usize>),
@@ -122,107 +122,111 @@
     Reply(Reply),
     /// See [`PeerRequest::Probe`].
     Owning {
-        /// It owns the cell.
+        /// The box owns the cell.
         owning: bool,
-        /// It is cut off from the store.
+        /// The box cannot reach the store.
         cut_off: bool,
     },
-    /// See [`PeerRequest::Halls`]; `None` where no owner answers.
+    /// See [`PeerRequest::Halls`]; `None` when no owner answers.
     Halls(Option<Vec<ClosedHall>>),
 }
 
-/// What a relay brings to the owner. It is sent again unchanged until it is answered.
+/// A relay's half of an exchange with the owner: worker reports and acknowledgements. It is sent again
+/// unchanged until it is answered.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayRequest {
     /// The name of the box.
     pub name: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the box.
     pub hall: Arc<str>,
-    /// Its share of a core, in thousandths.
+    /// The processor share of the box, in thousandths of a core.
     pub share: u32,
-    /// What its link carries each way, in bytes a millisecond.
+    /// The bandwidth of its link in each direction, in bytes per millisecond.
     pub link: u64,
-    /// The session that the owner gave it; 0 before the first.
+    /// The session number that the owner assigned; 0 before the first session.
     pub session: u64,
-    /// Counts up with each offer of a session.
+    /// The number of the request within its session.
     pub batch: u64,
-    /// The last duty that was taken on.
+    /// The batch of the last response that the relay has processed.
     pub ack: u64,
-    /// What workers said.
+    /// Events of workers since the last request.
     pub heard: Vec<WorkerEvent>,
 }
 
-/// One thing that a worker said to a relay.
+/// An event of a worker, as seen by its relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WorkerEvent {
-    /// The outcome of a poll that was allowed at this time of the owner's clock.
+    /// Result of a poll of this worker, which the owner allowed at this time of its clock.
     Report(Arc<str>, u64, Result<News, PollError>),
-    /// The relay looks after this worker no longer: the next report of it stands by itself.
+    /// The relay has dropped this worker, so that its next report is a complete one.
     Left(Arc<str>),
-    /// The outcome of the order of this number.
+    /// Outcome of the order with this number.
     Answer(u64, Outcome),
 }
 
-/// What the owner asks of a relay. It is sent again unchanged until it is acknowledged.
+/// The owner's half of an exchange with a relay: the commands to carry out. It is sent again unchanged
+/// until it is acknowledged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RelayResponse {
-    /// The session; 0 when there is nothing to do for this box.
+    /// The session; 0 when the box is not needed as a relay.
     pub session: u64,
     /// The fence of the owner.
     pub fence: u64,
-    /// Counts up with each duty of a session.
+    /// The number of the response within its session.
     pub batch: u64,
-    /// The time of the owner's clock.
+    /// Current time of the owner's clock.
     pub now: u64,
-    /// How long the box is to wait before its next exchange, in milliseconds; 0 where the owner does not say.
+    /// Pause before the next exchange, in milliseconds; 0 leaves it to the box.
     pub pause: u64,
-    /// What to do, in this order.
+    /// Commands, in the order in which to carry them out.
     pub commands: Vec<Command>,
-    /// What the owner knows of the store; `None` from a box that owns no cell.
+    /// The owner's heartbeat; `None` from a box that does not own the cell.
     pub heartbeat: Option<Heartbeat>,
 }
 
-/// One command to a relay.
+/// A command to a relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Command {
-    /// Look after a worker.
+    /// Take over the connection to a worker.
     Tend(WorkerRecord),
-    /// Look after it no longer.
+    /// Drop a worker.
     Leave(Arc<str>),
-    /// Poll a worker; the time is the owner's and goes back with the report.
+    /// Poll a worker; the time of the owner's clock is returned with the report.
     Poll(Arc<str>, u64, Poll),
-    /// Keep the specification of a job, which orders that follow leave out. Without it, read it from the store: the
-    /// owner's link has no room for it.
+    /// Cache the specification of a job, which later orders leave out. `None` when the owner's link has no
+    /// room for it: the relay reads it from the store.
     Text(Id, Option<Arc<str>>),
-    /// Send a worker the order of this number, which was decided at this time of the owner's clock.
+    /// Send a worker an order: its number, the time of the decision on the owner's clock, and the order.
     Order(Arc<str>, u64, u64, Order),
-    /// Start tasks of a job, decided at this time of the owner's clock.
+    /// Start tasks of a job; the time is that of the decision on the owner's clock.
     Starts(Id, u64, Vec<CompactStart>),
 }
 
-/// A start as a relay is told of it, without what all starts of its job have in common: half the bytes.
+/// An order to start a task, without the fields that all starts of its job share. This halves its size
+/// on the link to the relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompactStart {
     /// The worker.
     pub worker: Arc<str>,
     /// The number of the order.
     pub number: u64,
-    /// The place of the task in its job.
+    /// Index of the task in its job.
     pub place: usize,
-    /// Its name within its job.
+    /// Address of the task within its job.
     pub address: Address,
     /// The number of the run.
     pub run: u64,
-    /// The checkpoint to go on from.
+    /// The checkpoint to resume from.
     pub saved: Option<Arc<str>>,
-    /// On the worker's clock: an order that arrives later is refused.
+    /// Deadline on the worker's clock; the worker refuses an order that arrives later.
     pub deadline: u64,
-    /// What the worker must be shown on queues where a service outside chooses.
+    /// The admission ticket to present to the worker, on queues whose placement is advised by an external
+    /// service.
     pub ticket: Option<Arc<str>>,
 }
 
 impl CompactStart {
-    /// A start on its way to a worker, under a number.
+    /// Creates the compact form of a start order for a worker.
     pub fn new(worker: Arc<str>, number: u64, start: &Start) -> Self {
         CompactStart {
             worker,
@@ -236,7 +240,7 @@
         }
     }
 
-    /// The start, of this job with this specification.
+    /// Restores the full order for this job and specification.
     pub fn start(self, job: Id, text: Arc<str>) -> Start {
         let place = self.place;
         Start {
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -342,7 +342,7 @@
         let took = Duration::from_millis(time::now() - begun);
         metrics::histogram!("magpie_group_seconds").record(took);
         if let Err(failure) = &result {
-            log::warn!(target: "owner", records = group.covers.records.len(), error:% = failure; "A group was not written.");
+            log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "A group was not written.");
             thread::sleep(STORE_RETRY_PAUSE);
         }
         node.remote
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -90,12 +90,12 @@
             Ok(ApplyResult::Done(revision)) => {
                 ownership.head = revision;
                 ownership.confirmed();
-                if group.is_last {
+                if group.is_release {
                     self.end_ownership("it is handed over");
                     return;
                 }
-                ownership.cell.forget(&group.forgets);
-                let kept = ownership.cell.written(&group.covers);
+                ownership.cell.forget(&group.expired);
+                let kept = ownership.cell.written(&group.cell_change);
                 for id in kept {
                     self.let_poll(fence, &id);
                 }
@@ -108,18 +108,18 @@
                 log::info!(target: "owner", head; "A group without an answer turns out to be written.");
                 ownership.head = head;
                 ownership.confirmed();
-                ownership.republish |= group.announces;
-                ownership.cell.unwritten(group.covers);
+                ownership.republish |= group.republishes;
+                ownership.cell.unwritten(group.cell_change);
             }
             Ok(ApplyResult::NoLease) => {
                 ownership.lease = 0;
                 ownership.republish = true;
-                ownership.cell.unwritten(group.covers);
+                ownership.cell.unwritten(group.cell_change);
             }
             Err(_) => {
                 ownership.unconfirmed();
-                ownership.republish |= group.announces;
-                ownership.cell.unwritten(group.covers);
+                ownership.republish |= group.republishes;
+                ownership.cell.unwritten(group.cell_change);
             }
         }
         self.wake_writer(cx);
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -84,7 +84,7 @@
     }
 
     /// The data halls that are shut; `None` where this box does not own the cell for sure.
-    pub(crate) fn halls(&mut self) -> Option<Vec<ClosedHall>> {
+    pub(crate) fn closed_halls(&mut self) -> Option<Vec<ClosedHall>> {
         Some(self.confirmed_ownership()?.halls.shut.clone())
     }
 }
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -61,7 +61,7 @@
 
     /// Takes what a relay brings, and gives it what to do next. An owner in doubt does so too: starts that were decided
     /// before it stood still are too old for the relay to send, and polls let no lease go on.
-    pub(crate) fn take_offer(
+    pub(crate) fn handle_exchange(
         &mut self,
         cx: &mut Cx<'_, Self>,
         offer: RelayRequest,
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between boxes.
+//! Calls between boxes: requests to another box or to the owner, and the handlers of such requests.
 
 use {
     crate::{
@@ -14,48 +14,51 @@
     std::sync::Arc,
 };
 
-/// The path of calls between boxes.
+/// HTTP path of calls between boxes.
 pub const PATH: &str = "/peer";
 
-/// Asks another box.
+/// Sends a request to the box at this address.
 ///
 /// # Errors
 ///
-/// It gave no usable answer.
-pub fn call(node: &Node, address: &str, ask: &PeerRequest) -> Result<PeerResponse, Failure> {
+/// The box gave no valid answer in time.
+pub fn call(node: &Node, address: &str, request: &PeerRequest) -> Result<PeerResponse, Failure> {
     let url = format!("http://{address}{PATH}");
-    let time = match ask {
-        // Its refusal has to be true, and that of a second try says nothing of the first.
+    let time = match request {
+        // These calls are not retried: the refusal of a retry would not show whether the first attempt
+        // took effect.
         PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Time::from(PEER_TIMEOUT),
         _ => PEER_RETRY,
     };
-    node.client.post(&url, ask, time)
+    node.client.post(&url, request, time)
 }
 
-/// Asks the owner of the cell, when it is another box.
-pub fn call_owner(node: &Node, question: &PeerRequest) -> Option<PeerResponse> {
+/// Sends a request to the owner of the cell. `None` when this box is the owner, or no owner is known or
+/// answers.
+pub fn call_owner(node: &Node, request: &PeerRequest) -> Option<PeerResponse> {
     let owner = node.shared.owner.load_full()?;
     if owner.name == node.settings.name {
         return None;
     }
-    match call(node, &owner.address, question) {
-        Ok(told) => Some(told),
+    match call(node, &owner.address, request) {
+        Ok(response) => Some(response),
         Err(failure) => {
-            log::info!(target: "peer", owner = &*owner.name, error:% = failure; "The owner does not answer.");
+            log::info!(target: "peer", owner = &*owner.name, error:% = failure; "A call to the owner failed.");
             None
         }
     }
 }
 
-/// Lets the owner do what this box cannot. Without an owner that answers, nothing was sent.
-pub(crate) fn forward(node: &Node, question: &PeerRequest, reply: Reply) -> Reply {
+/// Forwards a caller's request that this box cannot serve to the owner. Returns `reply` if the request
+/// surely had no effect there, and [`Reply::Unsure`] if it may have had one.
+pub(crate) fn forward(node: &Node, request: &PeerRequest, reply: Reply) -> Reply {
     let Some(owner) = node.shared.owner.load_full() else {
         return reply;
     };
     if owner.name == node.settings.name {
         return reply;
     }
-    match call(node, &owner.address, question) {
+    match call(node, &owner.address, request) {
         Ok(PeerResponse::Reply(passed)) => passed,
         Ok(_) => Reply::Unsure,
         Err(failure) if failure.is_not_run() => reply,
@@ -63,33 +66,33 @@
     }
 }
 
-/// Answers another box.
+/// Handles a call of another box.
 pub fn handle(node: &Node, request: Request) {
     let result = request
         .message()
-        .and_then(|ask: PeerRequest| dispatch(node, ask));
+        .and_then(|call: PeerRequest| dispatch(node, call));
     request.respond(server::Reply::message(&result));
 }
 
-/// Has the actor answer a relay.
+/// Handles the exchange of a relay on the actor, without blocking.
 pub fn handle_relay(node: &Node, request: Request) {
-    let offer: RelayRequest = match request.message() {
-        Ok(offer) => offer,
+    let exchange: RelayRequest = match request.message() {
+        Ok(exchange) => exchange,
         Err(failure) => return request.respond(server::Reply::failure(&failure)),
     };
     let has_narrow_link = node.settings.has_narrow_link();
     node.remote.tell(move |core, cx| {
-        let duty = Ok(core.take_offer(cx, offer));
+        let response = Ok(core.handle_exchange(cx, exchange));
         request.respond(if has_narrow_link {
-            server::Reply::packed(&duty)
+            server::Reply::packed(&response)
         } else {
-            server::Reply::compact(&duty)
+            server::Reply::compact(&response)
         });
     });
 }
 
-fn dispatch(node: &Node, ask: PeerRequest) -> Result<PeerResponse, Failure> {
-    match ask {
+fn dispatch(node: &Node, request: PeerRequest) -> Result<PeerResponse, Failure> {
+    match request {
         PeerRequest::State(id) => {
             let state = node.remote.ask(move |core, _| core.state(&id))?;
             Ok(PeerResponse::State(state))
@@ -106,7 +109,8 @@
     }
 }
 
-/// The jobs of a queue that wait; `None` when this box does not own the cell.
+/// Number of waiting jobs of a queue; `None` when this box does not own the cell or its ownership is
+/// unconfirmed.
 pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
     node.remote.ask(move |core, _| {
         let ownership = core.confirmed_ownership()?;
@@ -114,14 +118,14 @@
     })
 }
 
-/// The data halls that are shut, as the owner of the cell knows them; `None` where no owner answers. A question that
-/// another box has `passed` on goes no further.
+/// The closed data halls, as known by the owner of the cell; `None` when no owner answers. A request that
+/// another box has forwarded (`passed`) is not forwarded again.
 ///
 /// # Errors
 ///
-/// The box is stopping.
+/// The box is shutting down.
 pub fn closed_halls(node: &Node, passed: bool) -> Result<Option<Vec<ClosedHall>>, Failure> {
-    let own = node.remote.ask(|core, _| core.halls())?;
+    let own = node.remote.ask(|core, _| core.closed_halls())?;
     if own.is_some() || passed {
         return Ok(own);
     }
@@ -135,7 +139,7 @@
     let cut_off = node.shared.is_store_unreachable();
     let owning = node.remote.ask(move |core, _| {
         if release && cut_off {
-            core.end_ownership("it is cut off from the store, and another box is not");
+            core.end_ownership("the store is unreachable from here and another box can reach it");
         }
         core.ownership.is_some()
     })?;
--- a/components/node/src/store.rs
+++ b/components/node/src/store.rs
@@ -1,4 +1,4 @@
-//! The interface to the store that keeps what must last.
+//! The interface to the durable key-value store: transactions, watches and leases.
 
 use {kernel::Failure, std::time::Duration};
 
@@ -9,10 +9,10 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision of the last change of this key.
+    /// Revision of the last change of this key.
     pub revision: u64,
-    /// The store's revision when this was read: a watch goes on from here, since the history of
-    /// an old change may be gone.
+    /// Revision of the store at the time of the read. A watch continues from here, since the history
+    /// since the last change of the key may have been compacted.
     pub store_revision: u64,
 }
 
@@ -21,45 +21,45 @@
 pub struct Page {
     /// The keys.
     pub items: Vec<Item>,
-    /// There are more after the last one.
+    /// More keys follow after the last one.
     pub more: bool,
-    /// The store's revision when the page was read.
+    /// Revision of the store when the page was read.
     pub store_revision: u64,
 }
 
-/// One change that a watch has seen.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A key was written.
     Put(Item),
-    /// A key has gone.
+    /// A key was deleted, or its lease expired.
     Deleted(String),
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone)]
 pub enum WatchResult {
-    /// Changes, and the revision to go on from.
+    /// Changes, and the revision to continue the watch from.
     Events(Vec<Event>, u64),
-    /// The history that was asked for is gone: read everything anew.
+    /// The requested history has been compacted; the keys have to be read again.
     Compacted,
 }
 
-/// One key to write.
+/// A key to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The value.
     pub value: Vec<u8>,
-    /// The lease that it lives under; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     pub lease: u64,
 }
 
-/// A change that takes effect in whole or not at all.
+/// A transaction, which is applied as a whole or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Keys and the revisions that they must have; 0 when the key must be absent.
+    /// Conditions: keys and their expected revisions; 0 when the key must be absent.
     pub expect: Vec<(String, u64)>,
     /// Keys to write.
     pub put: Vec<Put>,
@@ -67,83 +67,83 @@
     pub remove: Vec<String>,
 }
 
-/// The most entries of a change, which the store states.
+/// Maximum number of entries of a transaction, as documented by the store.
 pub const MAX_ENTRIES: usize = 32;
 
-/// What came of a change that the store has answered.
+/// The result of a transaction that the store has answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It took effect, as this revision.
+    /// It was applied, as this revision.
     Done(u64),
-    /// A condition does not hold; the keys of the conditions as they are, without absent ones.
+    /// A condition does not hold; holds the current items of the conditions, without absent keys.
     Conflict(Vec<Item>),
-    /// The lease is over.
+    /// The lease has expired.
     NoLease,
 }
 
 /// A key-value store with conditions, watches and leases.
 ///
-/// Every error's verdict tells whether the call may have taken effect.
+/// The verdict of an error states whether the call may have taken effect.
 pub trait Store: Send + Sync {
-    /// Reads one key whose value is small. It takes no longer in all than other calls, since callers
-    /// wait for it.
+    /// Reads one key whose value is small. The total time is limited as for other calls, since callers
+    /// wait for the result.
     ///
     /// # Errors
     ///
-    /// The store gave no usable answer.
+    /// The store gave no valid answer in time.
     fn get(&self, key: &str) -> Result<Option<Item>, Failure>;
 
-    /// Reads one key whose value may be large. It goes on for as long as the value comes.
+    /// Reads one key whose value may be large. The read continues as long as data arrives.
     ///
     /// # Errors
     ///
     /// As for `get`.
     fn get_large(&self, key: &str) -> Result<Option<Item>, Failure>;
 
-    /// Reads one key at a tenth of the price of another read. The answer may be seconds old.
+    /// Reads one key at a tenth of the cost of a consistent read. The answer may be seconds old.
     ///
     /// # Errors
     ///
     /// As for `get`.
     fn get_stale(&self, key: &str) -> Result<Option<Item>, Failure>;
 
-    /// Reads a page of the keys that start with the prefix, after a key if one is given.
+    /// Reads a page of the keys with this prefix, those after the key `after` if it is given.
     ///
     /// # Errors
     ///
     /// As for `get`.
     fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, Failure>;
 
-    /// Waits for changes of keys that start with the prefix, after a revision.
+    /// Waits up to `wait` for changes of keys with this prefix after a revision.
     ///
     /// # Errors
     ///
     /// As for `get`.
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchResult, Failure>;
 
-    /// Makes a change.
+    /// Applies a transaction.
     ///
     /// # Errors
     ///
-    /// `not-run`: it surely takes no effect. `may-have-run`: it has taken effect, or may do so
-    /// later while its conditions hold.
+    /// `not-run`: the transaction was not applied and will not be. `may-have-run`: it was applied, or
+    /// may still be while its conditions hold.
     fn apply(&self, change: &Change) -> Result<ApplyResult, Failure>;
 
-    /// Sees whether the store answers, as cheaply as can be.
+    /// Checks with the cheapest call whether the store answers.
     ///
     /// # Errors
     ///
-    /// It does not.
+    /// The store gave no valid answer in time.
     fn probe(&self) -> Result<(), Failure>;
 
-    /// Opens a lease of about this length.
+    /// Grants a lease of about this length and returns its number.
     ///
     /// # Errors
     ///
     /// As for `get`.
     fn grant(&self, length: Duration) -> Result<u64, Failure>;
 
-    /// Renews a lease; false when it is over.
+    /// Renews a lease; false when it has expired.
     ///
     /// # Errors
     ///
@@ -151,8 +151,8 @@
     fn renew(&self, lease: u64) -> Result<bool, Failure>;
 }
 
-/// Reads all keys that start with the prefix. Returns them with the revision of the first page:
-/// changes after it may be missing, and a watch from there brings them.
+/// Reads all keys with this prefix, page by page. Returns them with the store revision of the first page.
+/// Changes after that revision may be missing, and a watch from it reports them.
 ///
 /// # Errors
 ///
--- a/components/node/src/time.rs
+++ b/components/node/src/time.rs
@@ -1,11 +1,12 @@
-//! The time of this box in milliseconds since the start of the process, suspensions included: what the box believes of
-//! leases, owners and workers ages while it is suspended.
+//! The monotonic clock of this box, in milliseconds since the start of the process. It advances while the
+//! box is suspended, so that its leases and its state of owners and workers expire meanwhile.
 
 use {kernel::clock::Moment, std::sync::OnceLock};
 
 static START: OnceLock<Moment> = OnceLock::new();
 
-/// Milliseconds since the start, by [`Moment`]; 1 at the first call, so that 0 means never.
+/// Milliseconds since the first call, by [`Moment`]. The first call returns 1, so that 0 can stand for
+/// "never".
 pub fn now() -> u64 {
     let start = START.get_or_init(Moment::now);
     start.elapsed().as_millis() as u64 + 1
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -1,4 +1,4 @@
-//! The two tasks of a worker: one polls it, the other sends it orders.
+//! The two async tasks that connect the owner to one worker: one polls it, the other sends it orders.
 
 use {
     crate::{
@@ -12,8 +12,8 @@
     kernel::{Failure, net, verdict::Cause},
 };
 
-/// Starts the tasks of a worker; they end with the ownership or with the worker. Returns the way for
-/// its orders.
+/// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the sender for
+/// its orders, or `None` if the tasks could not be started.
 pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
     let (entrance, orders) = queued::line();
     let polled = poll(node.clone(), fence, entry.clone());
@@ -21,7 +21,7 @@
     match net::spawn(polled).and_then(|()| net::spawn(sent)) {
         Ok(()) => Some(entrance),
         Err(error) => {
-            log::error!(target: "owner", error:% = error; "A worker's tasks cannot be started.");
+            log::error!(target: "owner", error:% = error; "The tasks that connect to a worker could not be started.");
             None
         }
     }
@@ -52,26 +52,27 @@
 
 async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit) {
     while let Some(queued) = orders.next().await {
-        // Orders may have waited behind others while the ownership ended.
+        // The ownership may have ended while the order was queued.
         if !node.shared.is_owning(fence) {
             return;
         }
         let order = queued.order.clone();
         let outcome = send_order(&node, fence, &entry, queued, &orders).await;
         if outcome == Outcome::Unknown {
-            log::info!(target: "owner", worker = &*entry.id, order:% = order; "An order has no answer.");
+            log::info!(target: "owner", worker = &*entry.id, order:% = order; "The outcome of an order is unknown: the worker gave no valid answer.");
         }
         let id = entry.id.clone();
-        let is_told = node
+        let is_delivered = node
             .remote
             .tell(move |core, cx| core.answered(cx, fence, &id, &order, outcome));
-        if !is_told {
+        if !is_delivered {
             return;
         }
     }
 }
 
-/// Sends an order, unless it has waited for too long or must not leave any more; a start with the specification of its job.
+/// Sends an order to a worker and returns the outcome. Refuses it locally if it has been queued for too
+/// long or was revoked. Adds the specification of its job to a start that has none.
 pub(crate) async fn send_order(
     node: &Node,
     fence: u64,
@@ -80,7 +81,7 @@
     line: &Exit,
 ) -> Outcome {
     if let Order::Withdraw { .. } = queued.order {
-        // It has done its part while it waited.
+        // It only revokes a queued start, which was done when it was queued.
         return Outcome::Done;
     }
     if let Order::Start(start) = &mut queued.order
@@ -88,10 +89,13 @@
     {
         let (own, job) = (node.clone(), start.key.job.clone());
         let read = move || own.fetched.text(&*own.external.store, &job);
-        match net::blocking(read).await.unwrap_or_else(|| Err(unread())) {
+        match net::blocking(read)
+            .await
+            .unwrap_or_else(|| Err(read_panicked()))
+        {
             Ok(text) => start.text = text,
             Err(failure) => {
-                log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A specification was not read; its start is not sent.");
+                log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A job specification could not be read; the start order is not sent.");
                 return Outcome::Refused(Reason::NotSent);
             }
         }
@@ -107,6 +111,9 @@
         .await
 }
 
-fn unread() -> Failure {
-    Failure::not_run(Cause::Broken, "the read of a specification panicked")
+fn read_panicked() -> Failure {
+    Failure::not_run(
+        Cause::Broken,
+        "the thread that reads a job specification panicked",
+    )
 }
