--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -1,5 +1,5 @@
-//! Claims the ownership of the cell, after checking that its last owner is gone, and loads the cell's
-//! state from the store.
+//! Claims the ownership of the cell, after checking that its last owner is gone, and loads the
+//! cell's state from the store.
 
 use {
     crate::{
@@ -26,16 +26,16 @@
     },
 };
 
-/// Longest random delay before a claim, in milliseconds. It spreads out the claims of boxes that see
-/// the owner's key expire at the same time, so that one of them comes first.
+/// Longest random delay before a claim, in milliseconds. It spreads out the claims of boxes that
+/// see the owner's key expire at the same time, so that one of them comes first.
 const JITTER: u64 = 120;
 /// Number of probes that a former owner must leave unanswered before the cell is claimed.
 const PROBES: u32 = 2;
-/// Length of the lease while a box with a narrow link reads the cell: enough for 1 MB at 2 Mbit/s beside
-/// other calls. If the box dies during the read, its replacement is delayed by that much.
+/// Length of the lease while a box with a narrow link reads the cell: enough for 1 MB at 2 Mbit/s
+/// beside other calls. If the box dies during the read, its replacement is delayed by that much.
 const LOAD_LEASE: Duration = Duration::from_millis(6_000);
-/// Pause between two probes. An unreachable owner has by then delayed the takeover by its lease of 2 s
-/// and by 0.4 s for each probe.
+/// Pause between two probes. An unreachable owner has by then delayed the takeover by its lease of
+/// 2 s and by 0.4 s for each probe.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// State of the owner's key, as seen by a box that may claim the cell.
@@ -47,13 +47,13 @@
     Own,
 }
 
-/// Claims the cell unless its last owner is alive. `revision` is that of the owner's key; 0 when the
-/// key is absent.
+/// Claims the cell unless its last owner is alive. `revision` is that of the owner's key; 0 when
+/// the key is absent.
 ///
 /// # Errors
 ///
 /// The store gave no usable answer.
-pub fn attempt(node: &Node, revision: u64, known: KeyState) -> Result<(), Failure> {
+pub fn attempt(node: &Node, revision: u64, key: KeyState) -> Result<(), Failure> {
     thread::sleep(Duration::from_millis(fastrand::u64(0..JITTER)));
     if node.settings.share < LOW_SHARE {
         thread::sleep(LOW_SHARE_DELAY);
@@ -66,7 +66,7 @@
     if present.map_or(0, |item| item.revision) != revision {
         return Ok(());
     }
-    if known != KeyState::Own && is_owner_alive(node) {
+    if key != KeyState::Own && is_owner_alive(node) {
         thread::sleep(OWNER_RETRY_PAUSE);
         return Ok(());
     }
@@ -74,7 +74,7 @@
     let lease = store.grant(load_lease(node))?;
     let head = store.get(&keys::head(CELL))?;
     let change = claim_change(node, revision, head.map_or(0, |item| item.revision), lease);
-    let begun = time::now();
+    let started = time::now();
     let fence = match store.apply(&change)? {
         ApplyResult::Done(fence) => fence,
         ApplyResult::Conflict(_) => return Ok(()),
@@ -82,17 +82,17 @@
     };
     log::info!(target: "owner", fence; "Cell ownership claimed.");
     metrics::counter!("magpie_claims_total").increment(1);
-    let renewed = AtomicU64::new(begun);
+    let renewed = AtomicU64::new(started);
     let Loaded {
         cell,
-        learned,
+        interference,
         closures,
-        read,
+        closures_read,
     } = load_with_lease(node, lease, &renewed)?;
     let summary = cell.summary(time::now());
-    log::info!(target: "owner", fence, jobs = summary.jobs, workers = summary.workers, took = time::now() - begun; "Cell state loaded from the store.");
+    log::info!(target: "owner", fence, jobs = summary.jobs, workers = summary.workers, took = time::now() - started; "Cell state loaded from the store.");
     let mut ownership = Ownership::new(fence, lease, cell, renewed.into_inner());
-    ownership.take_closures(closures, read);
+    ownership.apply_closures(closures, closures_read);
     if node.settings.has_narrow_link() {
         // The cell is loaded: a shorter lease lets other boxes detect a failure of this box sooner.
         ownership.lease = store.grant(OWNER_LEASE)?;
@@ -100,16 +100,16 @@
     }
     node.remote
         .tell(move |core, cx| core.begin_ownership(cx, ownership));
-    owner_tasks::start_interference(node, fence, learned);
+    owner_tasks::start_interference(node, fence, interference);
     node.shared
         .owner
         .store(Some(owner_record(&node.settings).into()));
     Ok(())
 }
 
-/// Length of the lease under which the cell is read. On a narrow link the answer to a renewal queues
-/// behind the data that is read: with 500 jobs on 2 Mbit/s the lease expired during the read, and a
-/// new owner took over every 5 s and read everything again.
+/// Length of the lease under which the cell is read. On a narrow link the answer to a renewal
+/// queues behind the data that is read: with 500 jobs on 2 Mbit/s the lease expired during the
+/// read, and a new owner took over every 5 s and read everything again.
 fn load_lease(node: &Node) -> Duration {
     if node.settings.has_narrow_link() {
         LOAD_LEASE
@@ -119,7 +119,7 @@
 }
 
 fn claim_change(node: &Node, owner: u64, head: u64, lease: u64) -> Change {
-    let mark = Head {
+    let claim = Head {
         fence: 0,
         claim: fastrand::u64(1..),
     };
@@ -127,7 +127,7 @@
         expect: vec![(keys::owner(CELL), owner), (keys::head(CELL), head)],
         put: vec![
             put(keys::owner(CELL), &owner_record(&node.settings), lease),
-            put(keys::head(CELL), &mark, 0),
+            put(keys::head(CELL), &claim, 0),
         ],
         remove: Vec::new(),
     }
@@ -153,10 +153,10 @@
         if probe > 0 {
             thread::sleep(PROBE_INTERVAL);
         }
-        let ask = PeerRequest::Probe {
+        let request = PeerRequest::Probe {
             release: probe + 1 == PROBES,
         };
-        match peer::call(node, &owner.address, &ask) {
+        match peer::call(node, &owner.address, &request) {
             Ok(PeerResponse::Owning {
                 owning: true,
                 cut_off: false,
@@ -171,9 +171,9 @@
     false
 }
 
-/// Loads the cell and renews the lease meanwhile. The load time depends on the size of the cell and on
-/// the link of this box, and an expired lease lets other boxes claim the cell. Sets `renewed` to the
-/// time when the lease was last known to be valid.
+/// Loads the cell and renews the lease meanwhile. The load time depends on the size of the cell and
+/// on the link of this box, and an expired lease lets other boxes claim the cell. Sets `renewed` to
+/// the time when the lease was last known to be valid.
 fn load_with_lease(node: &Node, lease: u64, renewed: &AtomicU64) -> Result<Loaded, Failure> {
     let loaded = Signal::new();
     thread::scope(|scope| {
@@ -196,9 +196,9 @@
         if until.is_stopped() {
             return;
         }
-        let asked = time::now();
+        let sent = time::now();
         match node.external.store.renew(lease) {
-            Ok(true) => renewed.store(asked, Ordering::Release),
+            Ok(true) => renewed.store(sent, Ordering::Release),
             Ok(false) => {
                 log::warn!(target: "owner", lease; "The lease expired before the cell was loaded.");
                 return;
@@ -210,10 +210,10 @@
     }
 }
 
-/// Returns a decoded value, or logs and counts it as unreadable. A takeover skips unreadable values,
-/// so that one of them does not block the rest of the cell.
-fn readable<T>(item: &Item, read: Result<T, Failure>) -> Option<T> {
-    match read {
+/// Returns a decoded value, or logs and counts it as unreadable. A takeover skips unreadable
+/// values, so that one of them does not block the rest of the cell.
+fn readable<T>(item: &Item, decoded: Result<T, Failure>) -> Option<T> {
+    match decoded {
         Ok(value) => Some(value),
         Err(error) => {
             metrics::counter!("magpie_unreadable_total").increment(1);
@@ -227,11 +227,11 @@
 struct Loaded {
     cell: Cell,
     /// Revision of the key of the interference model.
-    learned: u64,
+    interference: u64,
     /// The closed data halls.
     closures: Vec<HallClosure>,
     /// When the read of the closed data halls was started.
-    read: u64,
+    closures_read: u64,
 }
 
 /// Loads jobs, records and workers into a cell. Reads the closed data halls last, since the other
@@ -285,11 +285,11 @@
     for id in cancelled {
         cell.cancel(&id, now, wall);
     }
-    let mut learned = 0;
+    let mut interference = 0;
     if let Some(item) = store.get_large(&keys::interference(CELL))? {
-        learned = item.revision;
+        interference = item.revision;
         match wire::decode(&item.value) {
-            Ok(learned) => cell.recall(learned),
+            Ok(interference) => cell.recall(interference),
             Err(error) => {
                 log::warn!(target: "owner", error:% = error; "The stored interference model cannot be decoded; a new one is learned.");
             }
@@ -297,16 +297,16 @@
     }
     cell.list(listing, now);
     if let Some(item) = fleet {
-        let members = wire::decode::<Vec<WorkerRecord>>(&item.value);
-        let members = readable(&item, members).unwrap_or_default();
-        cell.inherit(members.into_iter().map(Entry::from).collect());
+        let workers = wire::decode::<Vec<WorkerRecord>>(&item.value);
+        let workers = readable(&item, workers).unwrap_or_default();
+        cell.inherit(workers.into_iter().map(Entry::from).collect());
     }
-    let read = time::now();
+    let closures_read = time::now();
     let closures = node.external.closures.read()?;
     Ok(Loaded {
         cell,
-        learned,
+        interference,
         closures,
-        read,
+        closures_read,
     })
 }
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -1,5 +1,5 @@
-//! The actor that holds the state of a box, its start and shutdown, and the handle that the tasks of
-//! the box share.
+//! The actor that holds the state of a box, its start and shutdown, and the handle that the tasks
+//! of the box share.
 
 use {
     crate::{
@@ -79,8 +79,8 @@
         lock(&self.config_verified).is_some_and(Mark::has_slept)
     }
 
-    /// True when calls to the store fail and it has not answered for [`STORE_UNREACHABLE`]. Without a
-    /// failed call, a missing answer may only mean that a watch is waiting.
+    /// True when calls to the store fail and it has not answered for [`STORE_UNREACHABLE`]. Without
+    /// a failed call, a missing answer may only mean that a watch is waiting.
     pub fn is_store_unreachable(&self) -> bool {
         if !self.is_store_failing() {
             return false;
--- a/components/node/src/external.rs
+++ b/components/node/src/external.rs
@@ -1,5 +1,5 @@
-//! Interfaces to the external services of a box: workers, machines, the operators' configuration, closed
-//! data halls and the placement advisor.
+//! Interfaces to the external services of a box: workers, machines, the operators' configuration,
+//! closed data halls and the placement advisor.
 
 use {
     crate::store::Store,
@@ -18,8 +18,8 @@
 pub enum PollError {
     /// The worker refused the poll.
     Refused(Reason),
-    /// Another incarnation of the worker has answered, which was started at this time, in milliseconds
-    /// since 1970. The poll had no effect on it.
+    /// Another incarnation of the worker has answered, which was started at this time, in
+    /// milliseconds since 1970. The poll had no effect on it.
     OtherLife(u64),
     /// The worker gave no valid answer in time.
     Silent(Failure),
@@ -37,8 +37,8 @@
     /// The list could not be read.
     fn list(&self) -> Result<Listing, Failure>;
 
-    /// Sends an order under a fence to this incarnation of a worker. A later incarnation with the same
-    /// name does not receive it.
+    /// Sends an order under a fence to this incarnation of a worker. A later incarnation with the
+    /// same name does not receive it.
     fn order<'a>(
         &'a self,
         worker: &'a Entry,
@@ -46,8 +46,9 @@
         order: &'a Order,
     ) -> BoxFuture<'a, Outcome>;
 
-    /// Renews the leases of all tasks on this incarnation of a worker, acknowledges the ends of tasks, and
-    /// reads its report. Only reads the report while it is unknown whether this incarnation still exists.
+    /// Renews the leases of all tasks on this incarnation of a worker, acknowledges the ends of
+    /// tasks, and reads its report. Only reads the report while it is unknown whether this
+    /// incarnation still exists.
     ///
     /// # Errors
     ///
@@ -97,16 +98,16 @@
 
 /// Source of the operators' configuration.
 pub trait ConfigSource: Send + Sync {
-    /// Reads the configuration. `known` is the revision that the caller has, which is not decoded again; 0
-    /// for none.
+    /// Reads the configuration. `known` is the revision that the caller has, which is not decoded
+    /// again; 0 for none.
     ///
     /// # Errors
     ///
     /// The configuration could not be read or is invalid.
     fn read(&self, known: u64) -> Result<ConfigRead, Failure>;
 
-    /// Reads the configuration when a heartbeat of the owner has given the `newest` revision. A stale read
-    /// is sufficient if it returns that revision.
+    /// Reads the configuration when a heartbeat of the owner has given the `newest` revision. A
+    /// stale read is sufficient if it returns that revision.
     ///
     /// # Errors
     ///
@@ -170,7 +171,8 @@
 
 /// Source of the data halls that the operators have closed.
 pub trait HallClosures: Send + Sync {
-    /// Reads the closed data halls. An entry that cannot be decoded closes no hall and is not an error.
+    /// Reads the closed data halls. An entry that cannot be decoded closes no hall and is not an
+    /// error.
     ///
     /// # Errors
     ///
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -1,5 +1,5 @@
-//! Group commit: changed records of the cell that the owner writes to the store in one transaction. The
-//! transaction is conditional on the head key, so that it fails once another owner has written.
+//! Group commit: changed records of the cell that the owner writes to the store in one transaction.
+//! The transaction is conditional on the head key, so that it fails once another owner has written.
 
 use {
     crate::{
@@ -34,12 +34,13 @@
 }
 
 impl Group {
-    /// Builds the next group from the changes of the cell. Where it has room it also removes the records
-    /// of jobs that ended before `before`, in milliseconds since 1970.
+    /// Builds the next group from the changes of the cell. Where it has room it also removes the
+    /// records of jobs that ended before `before`, in milliseconds since 1970.
     pub fn build(settings: &Settings, ownership: &mut Ownership, before: u64) -> Self {
         let cell_change = ownership.cell.take_change(GROUP_ENTRIES);
-        // Under load the cell always has unwritten changes, so the release does not wait for them. The
-        // workers keep reporting what is unwritten, and the next owner reads it from their reports.
+        // Under load the cell always has unwritten changes, so the release does not wait for them.
+        // The workers keep reporting what is unwritten, and the next owner reads it from their
+        // reports.
         let is_release = ownership.handover.is_some();
         let mut change = conditional_change(ownership);
         put_records(&mut change, &cell_change);
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Revision of the head among the `items` of a conflict, if the owner with this fence wrote it last.
+    /// Revision of the head among the `items` of a conflict, if the owner with this fence wrote it
+    /// last.
     pub fn own_head(&self, items: &[Item], fence: u64) -> Option<u64> {
         let key = keys::head(CELL);
         let item = items.iter().find(|item| item.key == key)?;
@@ -118,8 +120,8 @@
     }
 }
 
-/// Encodes a key and its value without field names, for values that are written tens of times a second.
-/// With field names, job records took a fifth of what an owner sent on a link of 2 Mbit/s.
+/// Encodes a key and its value without field names, for values that are written tens of times a
+/// second. With field names, job records took a fifth of what an owner sent on a link of 2 Mbit/s.
 pub fn put_compact<T: Serialize>(key: String, value: &T) -> Put {
     let value = kernel::wire::encode_compact(value).unwrap_or_default();
     Put {
@@ -209,8 +211,9 @@
         cell
     }
 
-    /// The release of the cell must not wait until all changes are written: during a rolling restart
-    /// under load, tasks ended all the time and the owner never ran out of changes to write.
+    /// The release of the cell must not wait until all changes are written: during a rolling
+    /// restart under load, tasks ended all the time and the owner never ran out of changes to
+    /// write.
     #[test]
     fn build_release_with_pending_records() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
@@ -221,8 +224,8 @@
         assert!(group.change.remove.contains(&keys::owner(CELL)));
     }
 
-    /// Records of ended jobs take two entries each, others take one; a group must stay within the limit
-    /// of the store.
+    /// Records of ended jobs take two entries each, others take one; a group must stay within the
+    /// limit of the store.
     #[test]
     fn build_within_entry_limit() {
         let mut cell = Cell::new(TIMING);
@@ -242,7 +245,8 @@
     }
 
     /// The cell may forget an expired job only once the group that removes its record is written.
-    /// Otherwise the record stays in the store forever when the group has no room or is not written.
+    /// Otherwise the record stays in the store forever when the group has no room or is not
+    /// written.
     #[test]
     fn build_removes_expired_until_written() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of the owner, which spare the other boxes reads of the store.
 //!
 //! Every box exchanges messages with the owner. An answer of an owner that has recently renewed its
-//! lease and read the configuration replaces a read of the owner's key and of the configuration. A box
-//! without such an answer reads and watches both keys itself.
+//! lease and read the configuration replaces a read of the owner's key and of the configuration. A
+//! box without such an answer reads and watches both keys itself.
 
 use {
     crate::settings::{CONFIG_READ_INTERVAL, HEARTBEAT_SLACK, MAX_LEASE_AGE},
@@ -50,9 +50,9 @@
 }
 
 impl Monitor {
-    /// Records the heartbeat in the answer to a request sent at `asked`, from an owner that expects the
-    /// next exchange after `pause`. A missing or stale heartbeat clears the last one, and the box reads
-    /// the store itself.
+    /// Records the heartbeat in the answer to a request sent at `asked`, from an owner that expects
+    /// the next exchange after `pause`. A missing or stale heartbeat clears the last one, and the
+    /// box reads the store itself.
     pub fn record(&self, heartbeat: Option<Heartbeat>, asked: u64, pause: Duration) {
         let Some(heartbeat) = heartbeat.filter(Heartbeat::is_fresh) else {
             self.clear();
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Store revision of the newest configuration and the time for which no read is needed; `None` when
-    /// the box has to read the store itself.
+    /// Store revision of the newest configuration and the time for which no read is needed; `None`
+    /// when the box has to read the store itself.
     pub fn valid(&self, now: u64) -> Option<(u64, Duration)> {
         let LastHeartbeat { config, until } = *lock(&self.last);
         let left = until.checked_sub(now).filter(|left| *left > 0)?;
@@ -122,8 +122,8 @@
         assert_eq!(monitor.valid(1_000 + lifetime), None);
     }
 
-    /// When the owner stops answering, both threads wake at once and read the store themselves. They are
-    /// not woken again while it stays unreachable.
+    /// When the owner stops answering, both threads wake at once and read the store themselves.
+    /// They are not woken again while it stays unreachable.
     #[test]
     fn clear_wakes_once() {
         let monitor = Monitor::default();
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -85,8 +85,8 @@
     Submit(Box<Submission>),
     /// Cancel a job, for the same reason.
     Cancel(Id),
-    /// Apply the cancellation of a job, which is already in the store. Only [`Reply::Cancelled`] confirms
-    /// that the owner has applied it.
+    /// Apply the cancellation of a job, which is already in the store. Only [`Reply::Cancelled`]
+    /// confirms that the owner has applied it.
     Cancelled(Id),
     /// Check whether the box owns the cell.
     Probe {
@@ -131,8 +131,8 @@
     Halls(Option<Vec<ClosedHall>>),
 }
 
-/// A relay's half of an exchange with the owner: worker reports and acknowledgements. It is sent again
-/// unchanged until it is answered.
+/// A relay's half of an exchange with the owner: worker reports and acknowledgements. It is sent
+/// again unchanged until it is answered.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayRequest {
     /// The name of the box.
@@ -164,8 +164,8 @@
     Answer(u64, Outcome),
 }
 
-/// The owner's half of an exchange with a relay: the commands to carry out. It is sent again unchanged
-/// until it is acknowledged.
+/// The owner's half of an exchange with a relay: the commands to carry out. It is sent again
+/// unchanged until it is acknowledged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RelayResponse {
     /// The session; 0 when the box is not needed as a relay.
@@ -193,17 +193,18 @@
     Leave(Arc<str>),
     /// Poll a worker; the time of the owner's clock is returned with the report.
     Poll(Arc<str>, u64, Poll),
-    /// Cache the specification of a job, which later orders leave out. `None` when the owner's link has no
-    /// room for it: the relay reads it from the store.
+    /// Cache the specification of a job, which later orders leave out. `None` when the owner's link
+    /// has no room for it: the relay reads it from the store.
     Text(Id, Option<Arc<str>>),
-    /// Send a worker an order: its number, the time of the decision on the owner's clock, and the order.
+    /// Send a worker an order: its number, the time of the decision on the owner's clock, and the
+    /// order.
     Order(Arc<str>, u64, u64, Order),
     /// Start tasks of a job; the time is that of the decision on the owner's clock.
     Starts(Id, u64, Vec<CompactStart>),
 }
 
-/// An order to start a task, without the fields that all starts of its job share. This halves its size
-/// on the link to the relay.
+/// An order to start a task, without the fields that all starts of its job share. This halves its
+/// size on the link to the relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompactStart {
     /// The worker.
@@ -220,8 +221,8 @@
     pub saved: Option<Arc<str>>,
     /// Deadline on the worker's clock; the worker refuses an order that arrives later.
     pub deadline: u64,
-    /// The admission ticket to present to the worker, on queues whose placement is advised by an external
-    /// service.
+    /// The admission ticket to present to the worker, on queues whose placement is advised by an
+    /// external service.
     pub ticket: Option<Arc<str>>,
 }
 
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -1,4 +1,6 @@
-//! The tasks of an owner besides those of its workers: lease, intake, groups, list of workers.
+//! Background threads of the owner: lease renewal, intake, group commit, worker listing,
+//! maintenance waves, closed data halls, placement advice and the interference model. They end with
+//! the ownership.
 
 use {
     crate::{
@@ -24,32 +26,33 @@
     },
 };
 
-/// Starts the tasks of a ownership. They end with it.
+/// Starts the threads that every ownership has.
 pub fn start_all(node: &Node, fence: u64) {
-    start("renew", node, move |node| renew(&node, fence));
-    start("intake", node, move |node| intake(&node, fence));
-    start("write", node, move |node| write(&node, fence));
-    start("list", node, move |node| list(&node, fence));
-    start("upkeep", node, move |node| upkeep(&node, fence));
-    start("halls", node, move |node| halls(&node, fence));
+    start("renew", node, move |node| renew_lease(&node, fence));
+    start("intake", node, move |node| watch_intake(&node, fence));
+    start("write", node, move |node| write_groups(&node, fence));
+    start("list", node, move |node| list_workers(&node, fence));
+    start("upkeep", node, move |node| run_waves(&node, fence));
+    start("halls", node, move |node| follow_halls(&node, fence));
 }
 
-/// Carries the operators' waves of upkeep out.
-fn upkeep(node: &Node, fence: u64) {
+/// Runs the operators' maintenance waves and reports their progress.
+fn run_waves(node: &Node, fence: u64) {
     let machines = &node.external.machines;
-    let mut told: HashMap<u64, Standing> = HashMap::new();
+    let mut reported: HashMap<u64, Standing> = HashMap::new();
     let mut had_waves = false;
-    while !is_over(node, fence) {
+    while !has_ended(node, fence) {
         let waves = match machines.waves() {
             Ok(waves) => waves,
             Err(failure) => {
-                log::info!(target: "owner", error:% = failure; "Which waves of upkeep there are was not read.");
+                log::info!(target: "owner", error:% = failure; "Could not read the maintenance waves.");
                 thread::sleep(WAVE_INTERVAL);
                 continue;
             }
         };
         let has_waves = !waves.is_empty();
-        // Once more after the last of them: workers that were emptied for it get work again.
+        // One more pass after the last wave has ended lets the workers that were drained for it
+        // take tasks again.
         if !has_waves && !had_waves {
             thread::sleep(WAVE_INTERVAL);
             continue;
@@ -58,32 +61,32 @@
             thread::sleep(LIST_INTERVAL);
             continue;
         };
-        let asked = node.remote.ask(move |core, cx| {
-            let orders = core.upkeep(cx, fence, &waves, &listed);
-            (orders, core.standings(fence, &waves))
+        let result = node.remote.ask(move |core, cx| {
+            let orders = core.plan_maintenance(cx, fence, &waves, &listed);
+            (orders, core.wave_progress(fence, &waves))
         });
-        let Ok((orders, standings)) = asked else {
+        let Ok((orders, standings)) = result else {
             return;
         };
         had_waves = has_waves;
         for order in orders {
             let is_done = machines.upkeep(&order, &node.settings.name, fence);
-            log::info!(target: "owner", wave = order.wave, machine = &*order.machine, fence, done = is_done; "A machine is told to go down for its upkeep.");
+            log::info!(target: "owner", wave = order.wave, machine = &*order.machine, fence, done = is_done; "Machine ordered down for maintenance.");
             if !is_done {
                 node.remote
-                    .tell(move |core, _| core.upkeep_refused(fence, &order));
+                    .tell(move |core, _| core.maintenance_refused(fence, &order));
             }
         }
         for standing in standings {
-            if told.get(&standing.wave) == Some(&standing) {
+            if reported.get(&standing.wave) == Some(&standing) {
                 continue;
             }
             match machines.report_progress(&standing) {
                 Ok(()) => {
-                    told.insert(standing.wave, standing);
+                    reported.insert(standing.wave, standing);
                 }
                 Err(failure) => {
-                    log::warn!(target: "owner", wave = standing.wave, error:% = failure; "How far a wave is was not told.");
+                    log::warn!(target: "owner", wave = standing.wave, error:% = failure; "Could not report the progress of a maintenance wave.");
                 }
             }
         }
@@ -91,26 +94,26 @@
     }
 }
 
-/// Follows which data halls the operators have shut.
-fn halls(node: &Node, fence: u64) {
-    while !is_over(node, fence) {
+/// Reads periodically which data halls the operators have closed.
+fn follow_halls(node: &Node, fence: u64) {
+    while !has_ended(node, fence) {
         let begun = time::now();
         match node.external.closures.read() {
             Ok(closures) => {
                 node.remote
-                    .tell(move |core, cx| core.shut(cx, fence, closures, begun));
+                    .tell(move |core, cx| core.handle_closures(cx, fence, closures, begun));
                 thread::sleep(HALLS_INTERVAL);
             }
             Err(failure) => {
-                log::info!(target: "owner", error:% = failure; "Which data halls are shut was not read.");
+                log::info!(target: "owner", error:% = failure; "Could not read the closed data halls.");
                 thread::sleep(HALLS_INTERVAL / 2);
             }
         }
     }
 }
 
-/// Starts the task that asks for advice, one question at a time: the service handles each box's
-/// calls in turn. It ends with the ownership. Returns the way for questions.
+/// Starts the thread that requests placement advice, one question at a time, since the service
+/// handles the calls of each box in sequence. Returns the sender for questions.
 pub fn start_advice(node: &Node, fence: u64) -> Sender<Question> {
     let (sender, questions) = mpsc::channel();
     start("advice", node, move |node| advise(&node, fence, &questions));
@@ -121,29 +124,29 @@
     for question in questions {
         let answer = node.external.advisor.advise(&question);
         if let Err(failure) = &answer {
-            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "There is no advice.");
+            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "The placement advisor did not answer.");
         }
         node.remote
-            .tell(move |core, cx| core.advised(cx, fence, &question, answer.ok()));
+            .tell(move |core, cx| core.handle_advice(cx, fence, &question, answer.ok()));
     }
 }
 
 fn start(name: &str, node: &Node, run: impl FnOnce(Node) + Send + 'static) {
     let node = node.clone();
     if let Err(error) = task::spawn(name, move || run(node)) {
-        log::error!(target: "owner", task = name, error:% = error; "A task cannot be started.");
+        log::error!(target: "owner", task = name, error:% = error; "A background thread of the owner could not be started.");
     }
 }
 
-fn is_over(node: &Node, fence: u64) -> bool {
-    let owning = node
+fn has_ended(node: &Node, fence: u64) -> bool {
+    let is_owner = node
         .remote
         .ask(move |core, _| core.ownership_of(fence).is_some());
-    owning != Ok(true)
+    is_owner != Ok(true)
 }
 
-/// Keeps the lease of the owner's key alive, and takes a new one when it is over.
-fn renew(node: &Node, fence: u64) {
+/// Renews the lease of the owner's key, and replaces it by a new one when it has expired.
+fn renew_lease(node: &Node, fence: u64) {
     loop {
         thread::sleep(RENEW_INTERVAL);
         let lease = node
@@ -152,7 +155,7 @@
         let Ok(Some(lease)) = lease else {
             return;
         };
-        let asked = time::now();
+        let sent = time::now();
         let renewed = if lease == 0 {
             Ok(false)
         } else {
@@ -161,7 +164,7 @@
         if renewed == Ok(true) {
             node.remote.tell(move |core, _| {
                 if let Some(ownership) = core.ownership_of(fence) {
-                    ownership.prove(asked);
+                    ownership.confirm_at(sent);
                 }
             });
         }
@@ -171,26 +174,26 @@
         let Ok(lease) = node.external.store.grant(OWNER_LEASE) else {
             continue;
         };
-        log::info!(target: "owner", fence, lease; "The owner has a new lease.");
+        log::info!(target: "owner", fence, lease; "The owner lease has expired; a new one was granted.");
         node.remote.tell(move |core, cx| {
             if let Some(ownership) = core.ownership_of(fence) {
                 ownership.lease = lease;
-                ownership.doubt();
+                ownership.mark_unconfirmed();
                 core.wake_writer(cx);
             }
         });
     }
 }
 
-/// Brings what callers sent to the cell.
-fn intake(node: &Node, fence: u64) {
+/// Watches the intake and passes submissions and cancellations of callers to the cell.
+fn watch_intake(node: &Node, fence: u64) {
     let mut after = fence;
     loop {
         let watched = node
             .external
             .store
             .watch(keys::INTAKE, after, INTAKE_WATCH_TIME);
-        if is_over(node, fence) {
+        if has_ended(node, fence) {
             return;
         }
         let events = match watched {
@@ -200,7 +203,7 @@
             }
             Ok(WatchResult::Compacted) => match range_all(&*node.external.store, keys::INTAKE) {
                 Ok((items, at)) => {
-                    log::info!(target: "owner", items = items.len(), at; "The history of the intake is gone; it is read anew.");
+                    log::info!(target: "owner", items = items.len(), at; "The watched history of the intake was compacted; the intake was read again.");
                     after = at;
                     items.into_iter().map(Event::Put).collect()
                 }
@@ -218,22 +221,23 @@
             continue;
         }
         node.remote
-            .tell(move |core, cx| core.intake(cx, fence, events));
+            .tell(move |core, cx| core.handle_intake(cx, fence, events));
     }
 }
 
-/// Reads what callers sent once more, now that no former owner can start anything.
+/// Starts a thread that reads the intake once more after a takeover, when no former owner can start
+/// tasks any more.
 pub fn reread_intake(node: &Node, fence: u64) {
     start("read again", node, move |node| {
-        while !is_over(&node, fence) {
+        while !has_ended(&node, fence) {
             match read_unknown(&node, fence) {
                 Ok(events) => {
                     node.remote
-                        .tell(move |core, cx| core.intake_again(cx, fence, events));
+                        .tell(move |core, cx| core.handle_reread(cx, fence, events));
                     return;
                 }
                 Err(failure) => {
-                    log::info!(target: "owner", error:% = failure; "The jobs could not be read once more.");
+                    log::info!(target: "owner", error:% = failure; "Could not read the intake again after the takeover.");
                     thread::sleep(STORE_RETRY_PAUSE);
                 }
             }
@@ -241,22 +245,25 @@
     });
 }
 
-/// Starts the task that writes down what was learned of disturbance, whose key has this revision.
+/// Starts the thread that writes the interference model, whose key has this revision.
 pub fn start_interference(node: &Node, fence: u64, revision: u64) {
-    start("learned", node, move |node| learned(&node, fence, revision));
+    start("learned", node, move |node| {
+        write_interference(&node, fence, revision)
+    });
 }
 
-/// Writes what was learned, apart from all that callers wait for. Whoever owned the cell before may write once more
-/// until this box does; its condition fails after that.
-fn learned(node: &Node, fence: u64, mut revision: u64) {
+/// Writes the interference model, separately from the groups of records that callers wait for. A
+/// former owner may write its model until the first write of this box; after that its condition
+/// fails.
+fn write_interference(node: &Node, fence: u64, mut revision: u64) {
     let key = keys::interference(CELL);
     let mut rest = INTERFERENCE_INTERVAL;
     loop {
         thread::sleep(rest);
-        let asked = node
+        let result = node
             .remote
             .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_learned()));
-        let Ok(Some(learned)) = asked else {
+        let Ok(Some(learned)) = result else {
             return;
         };
         let Some(learned) = learned else {
@@ -275,21 +282,23 @@
             }
             Ok(ApplyResult::NoLease) => {}
             Err(failure) => {
-                log::info!(target: "owner", error:% = failure; "What was learned was not written.");
+                log::info!(target: "owner", error:% = failure; "Could not write the interference model.");
             }
         }
         rest = INTERFERENCE_INTERVAL.max(begun.elapsed() * INTERFERENCE_PAUSE_FACTOR);
     }
 }
 
-/// Cancellations, and the jobs that the cell does not know.
+/// Reads the cancellations, and the jobs that the cell does not know, from the intake.
 fn read_unknown(node: &Node, fence: u64) -> Result<Vec<Event>, Failure> {
     let (items, _) = range_all(&*node.external.store, keys::INTAKE)?;
     let ids: Vec<Id> = items
         .iter()
         .filter_map(|item| keys::id(&item.key, keys::JOB))
         .collect();
-    let unknown = node.remote.ask(move |core, _| core.unknown(fence, ids))?;
+    let unknown = node
+        .remote
+        .ask(move |core, _| core.unknown_jobs(fence, ids))?;
     let mut events = Vec::new();
     for item in items {
         let is_wanted = keys::id(&item.key, keys::JOB).is_none_or(|id| unknown.contains(&id));
@@ -300,8 +309,8 @@
     Ok(events)
 }
 
-/// Takes submissions and cancellations into the cell; submissions first, since a listing has the
-/// cancellations before them.
+/// Applies submissions and cancellations to the cell. Submissions come first, since a listing of
+/// the intake returns cancellations before the submissions they refer to.
 pub fn apply_intake(cell: &mut Cell, events: Vec<Event>) {
     let mut cancelled = Vec::new();
     for event in events {
@@ -317,19 +326,19 @@
                 cell.admit(submission, wall::millis());
             }
             Err(error) => {
-                log::error!(target: "owner", key = item.key.as_str(), error:% = error; "A submission cannot be read.");
+                log::error!(target: "owner", key = item.key.as_str(), error:% = error; "A stored submission cannot be decoded and is skipped.");
             }
         }
     }
     for id in cancelled {
         if !cell.cancel(&id, time::now(), wall::millis()) {
-            log::info!(target: "owner", job = id.as_str(); "A cancellation is of a job that is not known.");
+            log::info!(target: "owner", job = id.as_str(); "A cancellation refers to an unknown job.");
         }
     }
 }
 
-/// Writes groups, one at a time.
-fn write(node: &Node, fence: u64) {
+/// Writes groups of records, one at a time.
+fn write_groups(node: &Node, fence: u64) {
     loop {
         let group = node
             .remote
@@ -342,17 +351,17 @@
         let took = Duration::from_millis(time::now() - begun);
         metrics::histogram!("magpie_group_seconds").record(took);
         if let Err(failure) = &result {
-            log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "A group was not written.");
+            log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "The write of a group of records failed.");
             thread::sleep(STORE_RETRY_PAUSE);
         }
         node.remote
-            .tell(move |core, cx| core.wrote(cx, fence, group, result));
+            .tell(move |core, cx| core.handle_write(cx, fence, group, result));
     }
 }
 
-/// Lists the workers again and again: whole lists, 430 bytes for each worker. A watch would bring each heartbeat of
-/// each worker, which is as much.
-fn list(node: &Node, fence: u64) {
+/// Lists the workers periodically. Each listing is complete, with 430 bytes per worker. A watch
+/// would report every heartbeat of every worker, which is as much data.
+fn list_workers(node: &Node, fence: u64) {
     let mut took = Duration::ZERO;
     loop {
         thread::sleep(
@@ -361,13 +370,13 @@
         let begun = Instant::now();
         let listing = node.external.workers.list();
         took = begun.elapsed();
-        if is_over(node, fence) {
+        if has_ended(node, fence) {
             return;
         }
         let Ok(listing) = listing else {
             continue;
         };
         node.remote
-            .tell(move |core, cx| core.listed(cx, fence, listing));
+            .tell(move |core, cx| core.handle_listing(cx, fence, listing));
     }
 }
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -1,4 +1,5 @@
-//! Groups of records on their way to the store.
+//! Group commit of the owner: when the next group of records is written, and how its result is
+//! applied.
 
 use {
     crate::{
@@ -18,7 +19,8 @@
 };
 
 impl Core {
-    /// Hands the writer its next group, now or when the gap has passed.
+    /// Answers the writer with the next group, once there is something to write and the minimum
+    /// interval has passed.
     pub(crate) fn next_group(
         &mut self,
         cx: &mut Cx<'_, Self>,
@@ -33,7 +35,8 @@
         self.wake_writer(cx);
     }
 
-    /// Gives the writer a group if it waits for one and there is something to write.
+    /// Sends the writer a group if it is waiting and there is something to write, or sets a timer
+    /// for the end of the minimum interval.
     pub(crate) fn wake_writer(&mut self, cx: &mut Cx<'_, Self>) {
         let settings = self.node.settings.clone();
         let Some(ownership) = &mut self.ownership else {
@@ -44,39 +47,39 @@
         if ownership.writer.is_none() || !has_work {
             return;
         }
-        let since = time::now().saturating_sub(ownership.written);
-        // A full group need not wait for more.
+        let elapsed = time::now().saturating_sub(ownership.group_sent);
+        // A full group is written at once.
         let is_full = ownership.cell.backlog() >= GROUP_RECORDS;
         let gap = if is_full {
             0
         } else {
             GROUP_INTERVAL.as_millis() as u64
         };
-        if since >= gap {
+        if elapsed >= gap {
             let retention = settings.retention.as_millis() as u64;
             let before = wall::millis().saturating_sub(retention);
             let group = Group::build(&settings, ownership, before);
-            ownership.written = time::now();
+            ownership.group_sent = time::now();
             if let Some(writer) = ownership.writer.take() {
                 writer.send(Some(group));
             }
             return;
         }
-        if ownership.group_due {
+        if ownership.group_timer {
             return;
         }
-        ownership.group_due = true;
+        ownership.group_timer = true;
         let fence = ownership.fence;
-        after!(Duration::from_millis(gap - since), [cx], |this, cx| {
+        after!(Duration::from_millis(gap - elapsed), [cx], |this, cx| {
             if let Some(ownership) = this.ownership_of(fence) {
-                ownership.group_due = false;
+                ownership.group_timer = false;
                 this.wake_writer(cx);
             }
         });
     }
 
-    /// Takes in what came of writing a group.
-    pub(crate) fn wrote(
+    /// Applies the result of writing a group.
+    pub(crate) fn handle_write(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -89,25 +92,25 @@
         match result {
             Ok(ApplyResult::Done(revision)) => {
                 ownership.head = revision;
-                ownership.confirmed();
+                ownership.write_confirmed();
                 if group.is_release {
-                    self.end_ownership("it is handed over");
+                    self.end_ownership("released for shutdown");
                     return;
                 }
                 ownership.cell.forget(&group.expired);
-                let kept = ownership.cell.written(&group.cell_change);
-                for id in kept {
-                    self.let_poll(fence, &id);
+                let released = ownership.cell.written(&group.cell_change);
+                for id in released {
+                    self.resume_poll(fence, &id);
                 }
             }
             Ok(ApplyResult::Conflict(items)) => {
                 let Some(head) = group.own_head(&items, fence) else {
-                    self.end_ownership("another owner has written");
+                    self.end_ownership("another owner has written to the cell's head");
                     return;
                 };
-                log::info!(target: "owner", head; "A group without an answer turns out to be written.");
+                log::info!(target: "owner", head; "An earlier group whose write had no answer was applied by the store.");
                 ownership.head = head;
-                ownership.confirmed();
+                ownership.write_confirmed();
                 ownership.republish |= group.republishes;
                 ownership.cell.unwritten(group.cell_change);
             }
@@ -117,7 +120,7 @@
                 ownership.cell.unwritten(group.cell_change);
             }
             Err(_) => {
-                ownership.unconfirmed();
+                ownership.write_unanswered();
                 ownership.republish |= group.republishes;
                 ownership.cell.unwritten(group.cell_change);
             }
--- a/components/node/src/ownership/confirmation.rs
+++ b/components/node/src/ownership/confirmation.rs
@@ -1,13 +1,15 @@
-//! An owner that may be none any more: it stood still, or was suspended, for as long as its lease lasts, had to take a new
-//! lease, or is cut off from the store and from most of its workers.
+//! Unconfirmed ownership: another box may have claimed the cell. This is the case after the owner
+//! stalled or was suspended for as long as its lease, after it had to take a new lease, or while it
+//! can reach neither the store nor most of its workers.
 //!
-//! While it is in doubt it places nothing, lets no lease of a worker go on, and answers nobody for the cell. What ends
-//! the doubt: a write under its own head, or, where the store does not answer, workers. Whoever claims the cell fences
-//! them all before it places anything, so an answer without a higher fence from more than half of them, to a poll sent
-//! since, shows that nobody has.
+//! An unconfirmed owner places nothing, extends no leases of workers, and answers no requests for
+//! the cell. A write under its own head confirms the ownership. If the store does not answer, the
+//! workers confirm it: a new owner fences all workers before it places anything, so if more than
+//! half of them answer a later poll without a higher fence, no other box owns the cell.
 //!
-//! A data hall may have been shut meanwhile. An owner whom the store has confirmed places nothing before it has read anew
-//! which are. Where the store answers nobody, no more can have been shut, and it goes by what it knew.
+//! A data hall may have been closed meanwhile. An owner that is confirmed by a write reads the
+//! closed halls again before it places anything. If the store answers nobody, no hall can have been
+//! closed, and the known ones remain valid.
 
 use {
     super::Ownership,
@@ -19,63 +21,68 @@
     std::{collections::HashSet, sync::Arc},
 };
 
-/// A doubt.
+/// State of an unconfirmed ownership.
 #[derive(Debug)]
 pub(super) struct Unconfirmed {
+    /// When the ownership became unconfirmed.
     since: u64,
-    /// A write that was begun since then had no answer.
-    is_unwritten: bool,
+    /// A write that was sent since then had no answer.
+    has_failed_write: bool,
     /// The workers that have answered polls sent since then.
     answered: HashSet<Arc<str>>,
 }
 
 impl Ownership {
-    /// When the cell was surely this owner's.
-    pub(crate) fn proven(&self) -> u64 {
-        self.proven
+    /// When the ownership was last confirmed, on the clock of this box.
+    pub(crate) fn last_confirmed(&self) -> u64 {
+        self.last_confirmed
     }
 
-    /// Doubts when this box stood still for as long as its lease may be over.
-    pub(super) fn doubt_if_late(&mut self) {
-        let late = (OWNER_LEASE - RENEW_INTERVAL).as_millis() as u64;
-        let since = time::now().saturating_sub(self.ticked);
-        if since > late && self.doubt.is_none() {
-            log::warn!(target: "owner", fence = self.fence, late = since; "This box stood still; another may own the cell.");
-            self.doubt();
+    /// Marks the ownership as unconfirmed if the actor has stalled for so long that its lease may
+    /// have expired.
+    pub(super) fn check_stall(&mut self) {
+        let limit = (OWNER_LEASE - RENEW_INTERVAL).as_millis() as u64;
+        let since = time::now().saturating_sub(self.last_tick);
+        if since > limit && self.unconfirmed.is_none() {
+            log::warn!(target: "owner", fence = self.fence, late = since; "This box stalled for longer than its lease may last; another box may own the cell.");
+            self.mark_unconfirmed();
         }
     }
 
-    /// Doubts when neither the store nor most of the workers have shown for a while that this box owns the cell: on the
-    /// other side of a cut another box may have claimed it, and reckon leases over that this one lets go on. While the store
-    /// is away for all, nobody can, and the workers answer.
+    /// Marks the ownership as unconfirmed if neither the store nor most of the workers have
+    /// confirmed it for the length of a lease. In a network partition another box may have claimed
+    /// the cell, and assume that leases have expired which this box still extends. If the store is
+    /// down for all boxes, none can claim the cell, and the workers still answer.
     ///
-    /// It must doubt no later than another box may claim: that one waits as long for leases as this one gives, and no
-    /// longer. Seen with a hall cut off with the owner in it: the other claimed 2.4 s after the cut, and this one let
-    /// leases go on until 3 s after it, while it counted workers that had answered in the last 3 s. Serving workers are
-    /// silent 1.5 s after a cut; those without serving tasks, whose polls are held for 2 s, only 3 s after it.
-    pub(super) fn doubt_if_alone(&mut self) {
+    /// This must happen no later than another box can claim the cell, since a new owner waits only
+    /// as long for old leases as this box grants them. When workers counted as reachable for 3 s
+    /// after their last answer and a data hall with the owner in it was partitioned off, another
+    /// box claimed the cell 2.4 s after the partition while this box extended leases for 3 s.
+    /// Workers with serving tasks count as unreachable 1.5 s after a partition; workers without,
+    /// whose polls are held for 2 s, after 3 s.
+    pub(super) fn check_isolation(&mut self) {
         let now = time::now();
-        let is_proven = now < self.proven + OWNER_LEASE.as_millis() as u64;
-        if is_proven || self.doubt.is_some() {
+        let is_confirmed = now < self.last_confirmed + OWNER_LEASE.as_millis() as u64;
+        if is_confirmed || self.unconfirmed.is_some() {
             return;
         }
         let Reach { heard, silent } = self.cell.reach(now);
         if silent > 0 && silent >= heard {
-            log::warn!(target: "owner", fence = self.fence, heard, silent, workers = self.cell.size(); "This box reaches neither the store nor most of the workers; another may own the cell.");
-            self.doubt();
+            log::warn!(target: "owner", fence = self.fence, heard, silent, workers = self.cell.size(); "Neither the store nor most of the workers are reachable; another box may own the cell.");
+            self.mark_unconfirmed();
         }
     }
 
-    /// The store has shown at this time that this box owns the cell.
-    pub(crate) fn prove(&mut self, at: u64) {
-        self.proven = self.proven.max(at);
+    /// Records that the store has confirmed the ownership at this time.
+    pub(crate) fn confirm_at(&mut self, at: u64) {
+        self.last_confirmed = self.last_confirmed.max(at);
     }
 
-    /// Another box may own the cell.
-    pub(crate) fn doubt(&mut self) {
-        self.doubt = Some(Unconfirmed {
+    /// Marks the ownership as unconfirmed: another box may own the cell.
+    pub(crate) fn mark_unconfirmed(&mut self) {
+        self.unconfirmed = Some(Unconfirmed {
             since: time::now(),
-            is_unwritten: false,
+            has_failed_write: false,
             answered: HashSet::new(),
         });
         self.republish = true;
@@ -83,56 +90,57 @@
     }
 
     /// True while another box may own the cell.
-    pub(super) const fn is_doubtful(&self) -> bool {
-        self.doubt.is_some()
+    pub(super) const fn is_unconfirmed(&self) -> bool {
+        self.unconfirmed.is_some()
     }
 
-    /// A write has come back that shows this box as the owner.
-    pub(super) fn confirmed(&mut self) {
-        self.prove(self.written);
-        if let Some(doubt) = &self.doubt
-            && self.written >= doubt.since
+    /// Records that the last write was applied or found under this owner's head, which confirms the
+    /// ownership as of the time it was sent.
+    pub(super) fn write_confirmed(&mut self) {
+        self.confirm_at(self.group_sent);
+        if let Some(unconfirmed) = &self.unconfirmed
+            && self.group_sent >= unconfirmed.since
         {
-            self.halls.doubt(doubt.since);
-            self.trust_again();
+            self.halls.invalidate(unconfirmed.since);
+            self.restore();
         }
     }
 
-    /// A write was not answered, and shows nothing.
-    pub(super) fn unconfirmed(&mut self) {
-        let written = self.written;
-        if let Some(doubt) = &mut self.doubt {
-            doubt.is_unwritten |= written >= doubt.since;
+    /// Records that the last write had no answer, so that it confirms nothing.
+    pub(super) fn write_unanswered(&mut self) {
+        let group_sent = self.group_sent;
+        if let Some(unconfirmed) = &mut self.unconfirmed {
+            unconfirmed.has_failed_write |= group_sent >= unconfirmed.since;
         }
-        self.ask_workers();
+        self.check_majority();
     }
 
-    /// A worker has answered a poll that was sent at this time, under the fence of this box.
-    pub(super) fn answered_by(&mut self, id: &Arc<str>, sent: u64) {
-        let Some(doubt) = &mut self.doubt else {
+    /// Records that a worker has accepted a poll under the fence of this box that was sent at
+    /// `sent`.
+    pub(super) fn poll_answered(&mut self, id: &Arc<str>, sent: u64) {
+        let Some(unconfirmed) = &mut self.unconfirmed else {
             return;
         };
-        if sent >= doubt.since {
-            doubt.answered.insert(id.clone());
-            self.ask_workers();
+        if sent >= unconfirmed.since {
+            unconfirmed.answered.insert(id.clone());
+            self.check_majority();
         }
     }
 
-    /// Goes by what the workers say, where the store says nothing.
-    fn ask_workers(&mut self) {
+    /// Confirms the ownership if a majority of the workers has answered and a write had no answer.
+    fn check_majority(&mut self) {
         let count = self.cell.size();
-        let is_proven = self
-            .doubt
-            .as_ref()
-            .is_some_and(|doubt| doubt.is_unwritten && doubt.answered.len() * 2 > count);
-        if is_proven {
-            self.trust_again();
+        let is_confirmed = self.unconfirmed.as_ref().is_some_and(|unconfirmed| {
+            unconfirmed.has_failed_write && unconfirmed.answered.len() * 2 > count
+        });
+        if is_confirmed {
+            self.restore();
         }
     }
 
-    fn trust_again(&mut self) {
-        log::info!(target: "owner", fence = self.fence; "The cell is still owned here.");
-        self.doubt = None;
+    fn restore(&mut self) {
+        log::info!(target: "owner", fence = self.fence; "Cell ownership confirmed.");
+        self.unconfirmed = None;
         self.cell.keep_leases(false);
     }
 }
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -1,4 +1,4 @@
-//! The data halls that the operators have shut, as the owner knows them.
+//! The data halls that the operators have closed, as known by the owner.
 
 use {
     super::Ownership,
@@ -7,89 +7,94 @@
     std::{collections::HashSet, sync::Arc},
 };
 
-/// What the owner knows of them. Times are in milliseconds on the clock of this box.
+/// The known closed data halls. Times are in milliseconds on the clock of this box.
 #[derive(Debug, Default)]
 pub(super) struct Halls {
-    shut: Vec<ClosedHall>,
-    /// When the last read was begun that was answered.
-    read: u64,
-    /// A read has to be begun at this time or later before anything is placed.
-    wanted: u64,
+    closed: Vec<ClosedHall>,
+    /// When the last successful read was started.
+    read_started: u64,
+    /// Placement waits for a read that was started at this time or later.
+    needed_since: u64,
 }
 
 impl Halls {
-    /// Nothing is placed by what was known before this time.
-    pub fn doubt(&mut self, since: u64) {
-        self.wanted = since;
+    /// Discards what was read before this time: placement waits for a later read.
+    pub fn invalidate(&mut self, since: u64) {
+        self.needed_since = since;
     }
 
-    /// True when what is known is good enough to place by.
-    pub const fn are_known(&self) -> bool {
-        self.read >= self.wanted
+    /// True when the known closed halls are recent enough for placement.
+    pub const fn are_current(&self) -> bool {
+        self.read_started >= self.needed_since
     }
 }
 
 impl Ownership {
-    /// Takes in what a read has found that was begun at this time.
-    pub(crate) fn take_closures(&mut self, closures: Vec<HallClosure>, begun: u64) {
-        self.halls.read = begun;
-        let names: HashSet<Arc<str>> = closures.iter().map(|own| own.hall.clone()).collect();
-        let former = std::mem::take(&mut self.halls.shut);
-        for shut in &former {
-            if !names.contains(&shut.hall) {
-                log::info!(target: "owner", hall = &*shut.hall, since = shut.since; "The operators have opened a data hall.");
-                measure(&shut.hall, false);
+    /// Applies the result of a read that was started at this time, and logs opened and closed
+    /// halls.
+    pub(crate) fn apply_closures(&mut self, closures: Vec<HallClosure>, started: u64) {
+        self.halls.read_started = started;
+        let names: HashSet<Arc<str>> = closures
+            .iter()
+            .map(|closure| closure.hall.clone())
+            .collect();
+        let previous = std::mem::take(&mut self.halls.closed);
+        for closed in &previous {
+            if !names.contains(&closed.hall) {
+                log::info!(target: "owner", hall = &*closed.hall, since = closed.since; "Data hall reopened by the operators.");
+                set_metric(&closed.hall, false);
             }
         }
         for HallClosure { hall, by } in closures {
-            if let Some(known) = former.iter().find(|shut| shut.hall == hall) {
+            if let Some(known) = previous.iter().find(|closed| closed.hall == hall) {
                 let since = known.since;
-                self.halls.shut.push(ClosedHall { hall, by, since });
+                self.halls.closed.push(ClosedHall { hall, by, since });
                 continue;
             }
             let is_empty = !self.cell.entries().any(|entry| entry.hall == hall);
-            log::info!(target: "owner", hall = &*hall, by = by.as_deref(); "The operators have shut a data hall.");
+            log::info!(target: "owner", hall = &*hall, by = by.as_deref(); "Data hall closed by the operators; no tasks are started in it.");
             if is_empty {
-                log::warn!(target: "owner", hall = &*hall; "No worker is known in a data hall that is shut.");
+                log::warn!(target: "owner", hall = &*hall; "No known worker is in a closed data hall.");
             }
-            measure(&hall, true);
+            set_metric(&hall, true);
             let since = wall::millis();
-            self.halls.shut.push(ClosedHall { hall, by, since });
+            self.halls.closed.push(ClosedHall { hall, by, since });
         }
         self.cell.shut(names);
     }
 
-    /// Shows no hall as shut any more by this box, whose ownership is over.
-    pub(super) fn forget_halls(&self) {
-        for shut in &self.halls.shut {
-            measure(&shut.hall, false);
+    /// Resets the metrics of closed halls when the ownership of this box ends.
+    pub(super) fn reset_hall_metrics(&self) {
+        for closed in &self.halls.closed {
+            set_metric(&closed.hall, false);
         }
     }
 }
 
 impl Core {
-    /// Takes in which data halls are shut, by a read that was begun at this time.
-    pub(crate) fn shut(
+    /// Applies a read of the closed data halls that was started at this time.
+    pub(crate) fn handle_closures(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
         closures: Vec<HallClosure>,
-        begun: u64,
+        started: u64,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        ownership.take_closures(closures, begun);
+        ownership.apply_closures(closures, started);
         self.schedule_pass(cx);
     }
 
-    /// The data halls that are shut; `None` where this box does not own the cell for sure.
+    /// The closed data halls; `None` when this box does not own the cell or its ownership is
+    /// unconfirmed.
     pub(crate) fn closed_halls(&mut self) -> Option<Vec<ClosedHall>> {
-        Some(self.confirmed_ownership()?.halls.shut.clone())
+        Some(self.confirmed_ownership()?.halls.closed.clone())
     }
 }
 
-fn measure(hall: &Arc<str>, is_shut: bool) {
-    let value = if is_shut { 1.0 } else { 0.0 };
+fn set_metric(hall: &Arc<str>, is_closed: bool) {
+    let value = if is_closed { 1.0 } else { 0.0 };
     metrics::gauge!("magpie_hall_shut", "hall" => hall.to_string()).set(value);
 }
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -1,4 +1,5 @@
-//! What comes to the cell from callers, listings, advice and waves.
+//! Inputs of the cell: submissions and cancellations of callers, worker listings, placement advice
+//! and maintenance waves.
 
 use {
     crate::{core::Core, owner_tasks, store::Event, time},
@@ -9,29 +10,35 @@
 };
 
 impl Core {
-    /// Takes in a listing of the workers. One of a pool that no configuration names is no worker to begin with.
-    pub(crate) fn listed(&mut self, cx: &mut Cx<'_, Self>, fence: u64, mut listing: Listing) {
+    /// Applies a listing of the workers, and connects to new ones. Ignores unknown workers of a
+    /// pool that the configuration does not name.
+    pub(crate) fn handle_listing(
+        &mut self,
+        cx: &mut Cx<'_, Self>,
+        fence: u64,
+        mut listing: Listing,
+    ) {
         let config = self.node.shared.config.load();
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         if let Some(config) = &*config {
-            let is_other = |entry: &mut Entry| {
+            let is_ignored = |entry: &mut Entry| {
                 !config.has_pool(&entry.pool) && !ownership.cell.knows(&entry.id)
             };
-            // A worker that is known by its name is not gone by that.
-            let others = listing.entries.extract_if(.., is_other);
-            let others: Vec<Arc<str>> = others.map(|entry| entry.name).collect();
-            listing.unreadable.extend(others);
+            // Listed as unreadable, so that a known worker with the same name is not taken as gone.
+            let ignored = listing.entries.extract_if(.., is_ignored);
+            let ignored: Vec<Arc<str>> = ignored.map(|entry| entry.name).collect();
+            listing.unreadable.extend(ignored);
         }
         for entry in ownership.cell.list(listing, time::now()) {
-            self.tend(fence, entry);
+            self.connect(fence, entry);
         }
         self.schedule_pass(cx);
     }
 
-    /// Takes in what has come from callers.
-    pub(crate) fn intake(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
+    /// Applies changes of the intake.
+    pub(crate) fn handle_intake(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
@@ -39,25 +46,25 @@
         self.schedule_pass(cx);
     }
 
-    /// Those of the jobs that the cell does not know.
-    pub(crate) fn unknown(&mut self, fence: u64, ids: Vec<Id>) -> HashSet<Id> {
+    /// Returns those of the jobs that the cell does not know.
+    pub(crate) fn unknown_jobs(&mut self, fence: u64, ids: Vec<Id>) -> HashSet<Id> {
         self.ownership_of(fence)
             .map_or(HashSet::new(), |ownership| ownership.cell.unknown(ids))
     }
 
-    /// Takes in what was read once more after a takeover.
-    pub(crate) fn intake_again(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
+    /// Applies the second read of the intake after a takeover.
+    pub(crate) fn handle_reread(&mut self, cx: &mut Cx<'_, Self>, fence: u64, events: Vec<Event>) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         owner_tasks::apply_intake(&mut ownership.cell, events);
         for id in ownership.cell.intake_read() {
-            self.let_poll(fence, &id);
+            self.resume_poll(fence, &id);
         }
         self.schedule_pass(cx);
     }
 
-    /// Takes in a job that another box, or this one, has just accepted.
+    /// Adds a job that this or another box has just accepted.
     pub(crate) fn handle_accepted(&mut self, cx: &mut Cx<'_, Self>, submission: Submission) {
         let Some(ownership) = &mut self.ownership else {
             return;
@@ -67,25 +74,25 @@
         }
     }
 
-    /// Takes in a cancellation that is written down. False when this box does not own the cell for
-    /// sure, or does not know the job yet.
+    /// Applies a cancellation that is in the store. False when the ownership of this box is
+    /// unconfirmed or it does not know the job yet.
     pub(crate) fn handle_cancel(&mut self, cx: &mut Cx<'_, Self>, id: &Id) -> bool {
         let Some(ownership) = self.current_ownership() else {
             return false;
         };
-        let is_sure = !ownership.is_doubtful();
-        let is_known = ownership.cell.cancel(id, time::now(), wall::millis()) && is_sure;
+        let is_confirmed = !ownership.is_unconfirmed();
+        let is_known = ownership.cell.cancel(id, time::now(), wall::millis()) && is_confirmed;
         self.schedule_pass(cx);
         is_known
     }
 
-    /// The state of a job; `None` where it is not known.
+    /// The state of a job; `None` when it is unknown or the ownership is unconfirmed.
     pub(crate) fn state(&mut self, id: &Id) -> Option<State> {
         self.confirmed_ownership()?.cell.state(id)
     }
 
-    /// Takes in advice, or that there is none.
-    pub(crate) fn advised(
+    /// Applies the advisor's answer to a question; `None` when it did not answer.
+    pub(crate) fn handle_advice(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -99,8 +106,8 @@
         self.schedule_pass(cx);
     }
 
-    /// Takes in waves and machines; returns the upkeep to order.
-    pub(crate) fn upkeep(
+    /// Applies the maintenance waves and the list of machines; returns the machines to take down.
+    pub(crate) fn plan_maintenance(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -115,14 +122,14 @@
         orders
     }
 
-    /// How far the waves are.
-    pub(crate) fn standings(&mut self, fence: u64, waves: &[Wave]) -> Vec<Standing> {
+    /// Progress of the maintenance waves.
+    pub(crate) fn wave_progress(&mut self, fence: u64, waves: &[Wave]) -> Vec<Standing> {
         self.ownership_of(fence)
             .map_or(Vec::new(), |ownership| ownership.cell.standings(waves))
     }
 
-    /// Takes in that an upkeep was surely not begun.
-    pub(crate) fn upkeep_refused(&mut self, fence: u64, order: &Upkeep) {
+    /// Applies that a maintenance order surely had no effect.
+    pub(crate) fn maintenance_refused(&mut self, fence: u64, order: &Upkeep) {
         if let Some(ownership) = self.ownership_of(fence) {
             ownership.cell.upkeep_refused(order);
         }
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -1,5 +1,6 @@
-//! While this box owns the cell: its beginning, its ticks and its end. What workers say, what comes
-//! to the cell, passes of placement and written groups are in files of their own.
+//! The ownership of the cell by this box: its state, its start, its periodic work and its end. The
+//! submodules handle worker connections, inputs, placement passes, group commit, closed halls and
+//! unconfirmed ownership.
 
 mod commit;
 mod confirmation;
@@ -32,65 +33,66 @@
     },
 };
 
-/// How often the owner tells what the cell looks like.
-const SUM_UP: Duration = Duration::from_millis(1_000);
+/// Interval of the summary of the cell in the log and the metrics.
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Who talks to a worker.
+/// The connection to a worker.
 enum Link {
-    /// Tasks of this box.
-    Here(Entrance),
-    /// A relay, by its name.
+    /// The tasks of this box; holds the sender for orders.
+    Local(Entrance),
+    /// A relay, by the name of its box.
     Relay(Arc<str>),
 }
 
-/// A cell that this box owns.
+/// The cell that this box owns, and the state of the owner.
 pub struct Ownership {
-    /// The fence at the workers: the revision of the write that claimed the cell.
+    /// The fence presented to workers: the revision of the write that claimed the cell.
     pub fence: u64,
     /// The cell.
     pub cell: Cell,
-    /// The revision of the head's last write.
+    /// Revision of the last write of the head.
     pub head: u64,
-    /// The lease that the owner's key lives under.
+    /// The lease of the owner's key; 0 when it has expired.
     pub lease: u64,
-    /// The owner's key is to be written again.
+    /// The next group has to write the owner's key again.
     pub republish: bool,
-    /// The cell is to be given up once all is written.
+    /// Set when the next group has to release the cell; is sent true once that is done.
     pub handover: Option<Answerer<bool>>,
-    /// Who talks to each worker.
+    /// Connections, by worker.
     links: HashMap<Arc<str>, Link>,
-    /// The boxes that talk to workers for this one.
+    /// The relays, which connect to workers on behalf of this box.
     relays: Relays,
-    /// The way for questions to the advising service, once there was one.
-    advice: Option<Sender<Question>>,
-    /// Polls of this box's own tasks that wait for their answer.
-    pollers: HashMap<Arc<str>, Answerer<Option<Poll>>>,
-    /// Workers whose next poll waits until their ends are written.
-    waiting: HashSet<Arc<str>>,
-    /// The writer, while it waits for its next group.
+    /// Sender for questions to the placement advisor; set with the first question.
+    questions: Option<Sender<Question>>,
+    /// Local worker tasks that wait for their next poll.
+    pending_polls: HashMap<Arc<str>, Answerer<Option<Poll>>>,
+    /// Workers whose next poll waits until the ends of their tasks are stored.
+    unwritten: HashSet<Arc<str>>,
+    /// The writer thread, while it waits for the next group.
     writer: Option<Answerer<Option<Group>>>,
-    /// When the last tick was.
-    ticked: u64,
-    /// When the store last showed this box as the owner: by a lease that was alive, or a write.
-    proven: u64,
-    /// Another box may own the cell.
-    doubt: Option<Unconfirmed>,
-    /// The data halls that are shut.
+    /// Time of the last tick.
+    last_tick: u64,
+    /// When the store last confirmed the ownership, by a lease renewal or a write.
+    last_confirmed: u64,
+    /// Set while another box may own the cell.
+    unconfirmed: Option<Unconfirmed>,
+    /// The closed data halls.
     halls: Halls,
-    /// When the last group went to the writer.
-    written: u64,
-    /// When the last pass of placement was over.
-    passed: u64,
-    /// How long the last pass took, in milliseconds.
-    pass_took: u64,
-    /// A timer will run the next pass.
-    pass_due: bool,
-    /// A timer will wake the writer.
-    group_due: bool,
+    /// When the last group was sent to the writer.
+    group_sent: u64,
+    /// When the last placement pass ended.
+    pass_ended: u64,
+    /// Duration of the last placement pass, in milliseconds.
+    pass_duration: u64,
+    /// A timer for the next pass is set.
+    pass_timer: bool,
+    /// A timer that wakes the writer is set.
+    group_timer: bool,
 }
 
 impl Ownership {
-    /// A ownership that begins with this cell, whose lease was alive at this time on the clock of this box.
+    /// Creates the ownership of a loaded cell. `claimed` is when the lease was last known to be
+    /// valid, on the clock of this box.
     pub fn new(fence: u64, lease: u64, cell: Cell, claimed: u64) -> Self {
         Ownership {
             fence,
@@ -101,19 +103,19 @@
             handover: None,
             links: HashMap::new(),
             relays: Relays::default(),
-            waiting: HashSet::new(),
-            advice: None,
-            pollers: HashMap::new(),
+            unwritten: HashSet::new(),
+            questions: None,
+            pending_polls: HashMap::new(),
             writer: None,
-            ticked: claimed,
-            proven: claimed,
-            doubt: None,
+            last_tick: claimed,
+            last_confirmed: claimed,
+            unconfirmed: None,
             halls: Halls::default(),
-            written: 0,
-            passed: 0,
-            pass_took: 0,
-            pass_due: false,
-            group_due: false,
+            group_sent: 0,
+            pass_ended: 0,
+            pass_duration: 0,
+            pass_timer: false,
+            group_timer: false,
         }
     }
 }
@@ -121,48 +123,49 @@
 /// When a worker may be polled again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
-    /// Now.
+    /// At once.
     Poll,
-    /// When its ends are written.
+    /// Once the ends of its tasks are stored.
     Later,
-    /// Its life or the ownership is over.
+    /// Never: its incarnation or the ownership has ended.
     Never,
 }
 
 impl Ownership {
-    /// Nobody talks to a worker any more.
-    fn unlink(&mut self, id: &Arc<str>) {
+    /// Closes the connection to a worker.
+    fn disconnect(&mut self, id: &Arc<str>) {
         if let Some(Link::Relay(name)) = self.links.remove(id) {
             self.relays.leave(&name, id);
         }
     }
 
-    /// How much it needs further relays, where a box talks to so many workers alone.
-    fn need(&self, alone: usize) -> Need {
-        if self.cell.size() <= alone {
+    /// How urgently the cell needs more relays, if a box connects to at most `direct` workers
+    /// itself.
+    fn relay_need(&self, direct: usize) -> Need {
+        if self.cell.size() <= direct {
             return Need::None;
         }
         let mut links = self.links.values();
-        if links.any(|link| matches!(link, Link::Here(_))) {
+        if links.any(|link| matches!(link, Link::Local(_))) {
             Need::Short
         } else {
             Need::Large
         }
     }
 
-    /// Nobody talks to the workers any more that the cell has forgotten. This is done before the
-    /// next listing, which may bring one of them back.
-    fn unlink_gone(&mut self) {
+    /// Closes the connections to workers that the cell has removed. This has to happen before the
+    /// next listing, which may add one of them again.
+    fn disconnect_removed(&mut self) {
         for id in self.cell.take_gone() {
             metrics::counter!("magpie_workers_lost_total").increment(1);
-            self.unlink(&id);
+            self.disconnect(&id);
         }
     }
 
-    /// Lets a worker be polled by whoever talks to it.
-    fn allow_poll(&mut self, id: &Arc<str>) {
+    /// Sends a worker's next poll to the local task or the relay that is connected to it.
+    fn send_poll(&mut self, id: &Arc<str>) {
         let now = time::now();
-        if let Some(answerer) = self.pollers.remove(id) {
+        if let Some(answerer) = self.pending_polls.remove(id) {
             answerer.send(self.cell.poll(id, now));
             return;
         }
@@ -176,79 +179,81 @@
 }
 
 impl Core {
-    /// The ownership of this fence, if it still is the one.
+    /// The ownership with this fence, if it has not ended.
     pub(crate) fn ownership_of(&mut self, fence: u64) -> Option<&mut Ownership> {
         self.current_ownership()
             .filter(|ownership| ownership.fence == fence)
     }
 
-    /// The ownership, which may be in doubt.
+    /// The ownership, which may be unconfirmed.
     pub(crate) fn current_ownership(&mut self) -> Option<&mut Ownership> {
         let ownership = self.ownership.as_mut()?;
-        ownership.doubt_if_late();
+        ownership.check_stall();
         Some(ownership)
     }
 
-    /// The ownership, unless it is in doubt.
+    /// The ownership, unless it is unconfirmed.
     pub(crate) fn confirmed_ownership(&mut self) -> Option<&mut Ownership> {
         self.current_ownership()
-            .filter(|ownership| !ownership.is_doubtful())
+            .filter(|ownership| !ownership.is_unconfirmed())
     }
 
-    /// Begins a ownership.
+    /// Starts an ownership: its threads, the connections to workers and the periodic work.
     pub(crate) fn begin_ownership(&mut self, cx: &mut Cx<'_, Self>, mut ownership: Ownership) {
         let fence = ownership.fence;
         let entries: Vec<Entry> = ownership.cell.entries().cloned().collect();
         ownership.cell.recover(time::now());
-        // Reading the cell may have taken longer than its lease was kept alive.
-        ownership.doubt_if_late();
-        ownership.ticked = time::now();
+        // The lease may have expired while the cell was loaded.
+        ownership.check_stall();
+        ownership.last_tick = time::now();
         self.ownership = Some(ownership);
         self.node.shared.set_owning(fence);
         owner_tasks::start_all(&self.node, fence);
         for entry in entries {
-            self.tend(fence, entry);
+            self.connect(fence, entry);
         }
         self.tick(cx, fence);
-        self.sum_up(cx, fence);
+        self.log_summary(cx, fence);
     }
 
-    /// Tells now and then what the cell looks like.
-    fn sum_up(&mut self, cx: &mut Cx<'_, Self>, fence: u64) {
+    /// Logs a summary of the cell and updates its metrics periodically.
+    fn log_summary(&mut self, cx: &mut Cx<'_, Self>, fence: u64) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        let sum = ownership.cell.summary(time::now());
-        log::info!(target: "cell", fence, jobs = sum.jobs, placed = sum.placed, workers = sum.workers, open = sum.open, unserving = sum.unserving, mixed = sum.mixed, paced = sum.paced, serving = sum.serving, firm = sum.firm, free = sum.free, largest = sum.largest, unused = sum.unused, waiting = sum.waiting, filling = sum.filling, trials = sum.trials, trial_age = sum.trial_age; "The cell now.");
-        metrics::gauge!("magpie_cell_jobs").set(sum.jobs as f64);
-        metrics::gauge!("magpie_cell_tasks_placed").set(sum.placed as f64);
-        metrics::gauge!("magpie_cell_workers_open").set(sum.open as f64);
-        metrics::gauge!("magpie_cell_cores_free").set(sum.free as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_waiting").set(sum.waiting as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_filling_waiting").set(sum.filling as f64 / 1e3);
-        metrics::gauge!("magpie_cell_trials").set(sum.trials as f64);
-        let overdue = ownership.cell.tell_waits(wall::millis(), time::now());
-        metrics::gauge!("magpie_cell_lasting_overdue").set(overdue as f64);
+        let summary = ownership.cell.summary(time::now());
+        log::info!(target: "cell", fence, jobs = summary.jobs, placed = summary.placed, workers = summary.workers, open = summary.open, unserving = summary.unserving, mixed = summary.mixed, paced = summary.paced, serving = summary.serving, firm = summary.firm, free = summary.free, largest = summary.largest, unused = summary.unused, waiting = summary.waiting, filling = summary.filling, trials = summary.trials, trial_age = summary.trial_age; "Cell summary.");
+        metrics::gauge!("magpie_cell_jobs").set(summary.jobs as f64);
+        metrics::gauge!("magpie_cell_tasks_placed").set(summary.placed as f64);
+        metrics::gauge!("magpie_cell_workers_open").set(summary.open as f64);
+        metrics::gauge!("magpie_cell_cores_free").set(summary.free as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_waiting").set(summary.waiting as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_filling_waiting").set(summary.filling as f64 / 1e3);
+        metrics::gauge!("magpie_cell_trials").set(summary.trials as f64);
+        let long_waits = ownership.cell.tell_waits(wall::millis(), time::now());
+        metrics::gauge!("magpie_cell_lasting_overdue").set(long_waits as f64);
         metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.lost_places() as f64);
-        after!(SUM_UP, [cx], |this, cx| this.sum_up(cx, fence));
+        after!(SUMMARY_INTERVAL, [cx], |this, cx| this
+            .log_summary(cx, fence));
     }
 
-    /// Ends the ownership: another owner has taken over, or this box gives it up.
+    /// Ends the ownership, because another box has claimed the cell or this box releases it.
     pub(crate) fn end_ownership(&mut self, cause: &str) {
         let Some(mut ownership) = self.ownership.take() else {
             return;
         };
         self.node.shared.set_owning(0);
         ownership.cell.tell_done(time::now());
-        ownership.forget_halls();
-        log::warn!(target: "owner", fence = ownership.fence, cause; "The cell is no longer owned here.");
+        ownership.reset_hall_metrics();
+        log::warn!(target: "owner", fence = ownership.fence, cause; "Cell ownership ended.");
         metrics::counter!("magpie_tenures_lost_total").increment(1);
         if let Some(answerer) = ownership.handover {
             answerer.send(true);
         }
     }
 
-    /// Gives the cell up once all is written; answers true then, or false without a cell.
+    /// Releases the cell with the next group; answers true once that is done, or false if this box
+    /// does not own the cell.
     pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<bool>) {
         let Some(ownership) = &mut self.ownership else {
             answerer.send(false);
@@ -262,25 +267,25 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        ownership.ticked = time::now();
-        ownership.doubt_if_alone();
+        ownership.last_tick = time::now();
+        ownership.check_isolation();
         ownership.cell.tell_done(time::now());
         ownership.cell.open_due(wall::millis());
         ownership.cell.rerank(wall::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
         ownership.cell.lapse(time::now());
-        ownership.unlink_gone();
+        ownership.disconnect_removed();
         let is_intake_due = ownership.cell.is_intake_due();
         let orphans = ownership.relays.lose_silent(time::now());
-        let neglected = ownership.relays.take_neglected(time::now());
+        let overdue = ownership.relays.take_neglected(time::now());
         if is_intake_due {
             owner_tasks::reread_intake(&self.node, fence);
         }
-        self.retend(fence, orphans);
-        for entry in neglected {
-            log::warn!(target: "owner", worker = &*entry.id; "No relay has room for a worker; the owner talks to it.");
-            self.tend_here(fence, entry);
+        self.reassign(fence, orphans);
+        for entry in overdue {
+            log::warn!(target: "owner", worker = &*entry.id; "No relay has capacity for a worker; the owner connects to it directly.");
+            self.connect_local(fence, entry);
         }
         self.schedule_pass(cx);
         after!(TICK_INTERVAL, [cx], |this, cx| this.tick(cx, fence));
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -1,4 +1,4 @@
-//! Passes of placement, and what they decide on its way.
+//! Placement passes: when they run, and how their orders and questions are sent.
 
 use {
     super::Link,
@@ -7,87 +7,94 @@
     std::time::Duration,
 };
 
-/// A pass is followed by a pause of this many times its length.
-const PASS_REST: u64 = 4;
+/// Minimum time between two passes as a multiple of the duration of the last one.
+const PASS_PAUSE_FACTOR: u64 = 4;
 
 impl Core {
-    /// Places, sends orders and wakes the writer, now or shortly.
+    /// Runs a placement pass, at once or when the minimum interval has passed.
     pub(crate) fn schedule_pass(&mut self, cx: &mut Cx<'_, Self>) {
         let Some(ownership) = &mut self.ownership else {
             return;
         };
-        let since = time::now().saturating_sub(ownership.passed);
-        // A long pass is followed by a longer pause, so that passes leave time for reports.
-        let gap = (PASS_INTERVAL.as_millis() as u64).max(PASS_REST * ownership.pass_took);
-        if since >= gap {
-            self.pass(cx);
+        let elapsed = time::now().saturating_sub(ownership.pass_ended);
+        // A long pass is followed by a longer pause, so that the actor has time for worker reports.
+        let gap =
+            (PASS_INTERVAL.as_millis() as u64).max(PASS_PAUSE_FACTOR * ownership.pass_duration);
+        if elapsed >= gap {
+            self.run_pass(cx);
             return;
         }
-        if ownership.pass_due {
+        if ownership.pass_timer {
             return;
         }
-        ownership.pass_due = true;
+        ownership.pass_timer = true;
         let fence = ownership.fence;
-        after!(Duration::from_millis(gap - since), [cx], |this, cx| {
+        after!(Duration::from_millis(gap - elapsed), [cx], |this, cx| {
             if this.ownership_of(fence).is_some() {
-                this.pass(cx);
+                this.run_pass(cx);
             }
         });
     }
 
-    /// Places, unless the cell is to be given up, and sends what was decided.
-    pub(super) fn pass(&mut self, cx: &mut Cx<'_, Self>) {
+    /// Places tasks, sends the resulting orders and questions, and wakes the writer. Places nothing
+    /// while the cell is being released, the ownership is unconfirmed or the closed data halls are
+    /// unknown.
+    pub(super) fn run_pass(&mut self, cx: &mut Cx<'_, Self>) {
         let link = self.node.settings.link;
         let is_store_failing = self.node.shared.is_store_failing();
         let config = self.node.shared.config.load();
         let Some(ownership) = self.current_ownership() else {
             return;
         };
-        ownership.pass_due = false;
-        let begun = time::now();
-        if ownership.handover.is_none() && !ownership.is_doubtful() && ownership.halls.are_known() {
+        ownership.pass_timer = false;
+        let started = time::now();
+        if ownership.handover.is_none()
+            && !ownership.is_unconfirmed()
+            && ownership.halls.are_current()
+        {
             if let Some(config) = &*config {
                 ownership.cell.set_unguarded(config.unguarded());
             }
-            let most = ownership.relays.starts(link);
+            let max_starts = ownership.relays.starts(link);
             ownership.cell.hold_back(ownership.relays.busy());
-            ownership.cell.place_some(begun, most);
+            ownership.cell.place_some(started, max_starts);
         }
-        ownership.passed = time::now();
-        ownership.pass_took = ownership.passed - begun;
+        ownership.pass_ended = time::now();
+        ownership.pass_duration = ownership.pass_ended - started;
         ownership
             .relays
             .allow_texts(link, is_store_failing, time::now());
         for (id, order) in ownership.cell.take_orders() {
             match ownership.links.get(&id) {
-                // A task that has ended belongs to a worker that is gone.
-                Some(Link::Here(link)) => {
+                // If the task has ended, its worker is gone and the order is dropped.
+                Some(Link::Local(link)) => {
                     link.send(Queued::new(order, 0, 0, time::now()));
                 }
                 Some(Link::Relay(name)) => {
                     ownership.relays.order(name, &id, time::now(), order);
                 }
-                // Nobody talks to it now; what was ordered is found missing in its next report.
+                // The worker has no connection. Its next report shows that the order did not
+                // arrive.
                 None => {}
             }
         }
-        self.ask_advice();
+        self.send_questions();
         self.wake_writer(cx);
     }
 
-    /// Hands the cell's questions to the task that asks for advice.
-    pub(super) fn ask_advice(&mut self) {
+    /// Sends the cell's questions to the thread that requests placement advice.
+    pub(super) fn send_questions(&mut self) {
         let node = self.node.clone();
         let Some(ownership) = &mut self.ownership else {
             return;
         };
         let fence = ownership.fence;
         for question in ownership.cell.take_questions() {
-            let way = ownership
-                .advice
+            let sender = ownership
+                .questions
                 .get_or_insert_with(|| owner_tasks::start_advice(&node, fence));
-            // The task lives as long as the ownership.
-            let _ = way.send(question);
+            // The thread ends only with the ownership, so the send does not fail.
+            let _ = sender.send(question);
         }
     }
 }
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -1,4 +1,5 @@
-//! Who talks to each worker, and what is made of what it says.
+//! Connections to the workers, by local tasks or through relays, and the handling of worker reports
+//! and order outcomes.
 
 use {
     super::{Link, Next},
@@ -21,114 +22,118 @@
     },
 };
 
-/// How long ends that cannot be written down hold the next poll of their worker back.
-const UNWRITTEN_PAUSE: Duration = Duration::from_millis(1_000);
+/// Maximum delay of a worker's next poll while the ends of its tasks are not stored.
+const MAX_POLL_DELAY: Duration = Duration::from_millis(1_000);
 
 impl Core {
-    /// Finds somebody to talk to a worker: this box in a small cell, a relay in a large one.
-    pub(super) fn tend(&mut self, fence: u64, entry: Entry) {
-        self.tend_since(fence, entry, time::now());
+    /// Connects to a worker: by tasks of this box in a small cell, through a relay in a large one.
+    pub(super) fn connect(&mut self, fence: u64, entry: Entry) {
+        self.connect_since(fence, entry, time::now());
     }
 
-    /// The same for a worker that has waited for somebody since a time.
-    fn tend_since(&mut self, fence: u64, entry: Entry, since: u64) {
-        let most = self.node.settings.direct_workers();
+    /// Connects to a worker that has had no connection since `since`.
+    fn connect_since(&mut self, fence: u64, entry: Entry, since: u64) {
+        let max_direct = self.node.settings.direct_workers();
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.cell.size() <= most {
-            self.tend_here(fence, entry);
+        if ownership.cell.size() <= max_direct {
+            self.connect_local(fence, entry);
             return;
         }
         let id = entry.id.clone();
         if let Some(name) = ownership.relays.assign(entry, since) {
             ownership.links.insert(id.clone(), Link::Relay(name));
-            ownership.allow_poll(&id);
+            ownership.send_poll(&id);
         }
     }
 
-    /// Starts the tasks of a worker on this box.
-    pub(super) fn tend_here(&mut self, fence: u64, entry: Entry) {
+    /// Connects to a worker by tasks of this box.
+    pub(super) fn connect_local(&mut self, fence: u64, entry: Entry) {
         let node = self.node.clone();
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
         let id = entry.id.clone();
         if let Some(sender) = crate::worker::start_tasks(&node, fence, entry) {
-            ownership.links.insert(id, Link::Here(sender));
+            ownership.links.insert(id, Link::Local(sender));
         }
     }
 
-    /// Takes what a relay brings, and gives it what to do next. An owner in doubt does so too: starts that were decided
-    /// before it stood still are too old for the relay to send, and polls let no lease go on.
+    /// Processes the request of a relay and returns its next commands, also while the ownership is
+    /// unconfirmed: start orders from before a stall are then too old for the relay to send, and
+    /// polls extend no leases.
     pub(crate) fn handle_exchange(
         &mut self,
         cx: &mut Cx<'_, Self>,
-        offer: RelayRequest,
+        request: RelayRequest,
     ) -> RelayResponse {
-        let duty = self.duty(cx, offer);
+        let response = self.exchange(cx, request);
         RelayResponse {
             heartbeat: self.heartbeat(),
-            ..duty
+            ..response
         }
     }
 
-    /// What this owner knows of the store.
+    /// The heartbeat of this owner; `None` if this box does not own the cell, or before it
+    /// has verified its configuration.
     fn heartbeat(&mut self) -> Option<Heartbeat> {
-        let proven = self.current_ownership()?.proven();
+        let last_confirmed = self.current_ownership()?.last_confirmed();
         let shared = &self.node.shared;
         Some(Heartbeat {
             config: shared.config_revision.load(Ordering::Acquire),
             config_age: shared.config_age()?.as_millis() as u64,
-            lease_age: time::now().saturating_sub(proven),
+            lease_age: time::now().saturating_sub(last_confirmed),
         })
     }
 
-    fn duty(&mut self, cx: &mut Cx<'_, Self>, offer: RelayRequest) -> RelayResponse {
+    fn exchange(&mut self, cx: &mut Cx<'_, Self>, request: RelayRequest) -> RelayResponse {
         let now = time::now();
-        let (alone, link) = (self.node.settings.direct_workers(), self.node.settings.link);
+        let (direct, link) = (self.node.settings.direct_workers(), self.node.settings.link);
         let Some(ownership) = self.current_ownership() else {
             return RelayResponse::default();
         };
         let fence = ownership.fence;
-        let need = ownership.need(alone);
-        if let Some(former) = ownership.relays.join(&offer, need, now) {
-            self.retend(fence, former);
+        let relay_need = ownership.relay_need(direct);
+        if let Some(orphaned) = ownership.relays.join(&request, relay_need, now) {
+            self.reassign(fence, orphaned);
         }
         if self
             .ownership
             .as_mut()
-            .is_some_and(|ownership| ownership.relays.take(&offer, now))
+            .is_some_and(|ownership| ownership.relays.take(&request, now))
         {
-            for heard in offer.heard {
-                self.hear(cx, fence, &offer.name, heard);
+            for event in request.heard {
+                self.handle_event(cx, fence, &request.name, event);
             }
         }
         self.schedule_pass(cx);
         self.ownership
             .as_mut()
             .map_or(RelayResponse::default(), |ownership| {
-                ownership.relays.duty(&offer.name, fence, link, time::now())
+                ownership
+                    .relays
+                    .duty(&request.name, fence, link, time::now())
             })
     }
 
-    /// Takes in one thing that a relay heard from a worker.
-    fn hear(&mut self, cx: &mut Cx<'_, Self>, fence: u64, relay: &str, heard: WorkerEvent) {
-        match heard {
+    /// Applies an event of a worker that a relay has reported.
+    fn handle_event(&mut self, cx: &mut Cx<'_, Self>, fence: u64, relay: &str, event: WorkerEvent) {
+        match event {
             WorkerEvent::Left(id) => {
                 if let Some(ownership) = self.ownership_of(fence) {
                     ownership.relays.left(relay, &id);
                 }
             }
-            WorkerEvent::Report(id, sent, told) => {
+            WorkerEvent::Report(id, sent, delta) => {
                 let Some(ownership) = self.ownership_of(fence) else {
                     return;
                 };
-                let result = ownership.relays.read(relay, &id, told);
-                if self.reported(cx, fence, &id, sent, result) == Next::Poll
+                let result = ownership.relays.read(relay, &id, delta);
+                if self.handle_report(cx, fence, &id, sent, result) == Next::Poll
                     && let Some(ownership) = self.ownership_of(fence)
                 {
-                    ownership.allow_poll(&id);
+                    ownership.send_poll(&id);
                 }
             }
             WorkerEvent::Answer(number, outcome) => {
@@ -136,14 +141,14 @@
                     return;
                 };
                 if let Some((id, order)) = ownership.relays.answered(relay, number) {
-                    self.answered(cx, fence, &id, &order, outcome);
+                    self.handle_outcome(cx, fence, &id, &order, outcome);
                 }
             }
         }
     }
 
-    /// Gives workers away anew whose relay is gone, and those that nobody had room for.
-    pub(super) fn retend(&mut self, fence: u64, workers: Vec<Arc<str>>) {
+    /// Connects again to workers whose relay is gone, and to those that no relay had capacity for.
+    pub(super) fn reassign(&mut self, fence: u64, workers: Vec<Arc<str>>) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
@@ -160,33 +165,33 @@
                 .ownership_of(fence)
                 .is_some_and(|ownership| ownership.cell.knows(&entry.id));
             if is_known {
-                self.tend_since(fence, entry, since);
+                self.connect_since(fence, entry, since);
             }
         }
     }
 
-    /// In a large cell, lets a relay with room talk to a worker from now on that this box had to talk
-    /// to itself. False when it goes on.
-    fn pass_on(&mut self, fence: u64, id: &Arc<str>) -> bool {
-        let most = self.node.settings.direct_workers();
+    /// In a large cell, moves a worker with a local connection to a relay with free capacity. False
+    /// when the connection stays.
+    fn move_to_relay(&mut self, fence: u64, id: &Arc<str>) -> bool {
+        let max_direct = self.node.settings.direct_workers();
         let Some(ownership) = self.ownership_of(fence) else {
             return false;
         };
-        if ownership.cell.size() <= most || !ownership.relays.has_room() {
+        if ownership.cell.size() <= max_direct || !ownership.relays.has_room() {
             return false;
         }
         let Some(entry) = ownership.cell.entry(id).cloned() else {
             return false;
         };
-        // The task for orders ends once it has sent those that it has.
+        // The local task ends once it has sent the orders in its queue.
         ownership.links.remove(id);
-        self.tend(fence, entry);
+        self.connect(fence, entry);
         true
     }
 
-    /// Takes in a report that a task of this box brought, and answers what to ask the worker next
-    /// once it may be asked.
-    pub(crate) fn polled(
+    /// Handles the result of a poll by a local task, and answers with the next poll once it may be
+    /// sent; with `None` when the connection ends.
+    pub(crate) fn handle_poll(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -195,8 +200,8 @@
         result: Result<Report, PollError>,
         answerer: Answerer<Option<Poll>>,
     ) {
-        let next = self.reported(cx, fence, id, sent, result);
-        if next == Next::Poll && self.pass_on(fence, id) {
+        let next = self.handle_report(cx, fence, id, sent, result);
+        if next == Next::Poll && self.move_to_relay(fence, id) {
             answerer.send(None);
             return;
         }
@@ -208,13 +213,13 @@
             Next::Poll => answerer.send(ownership.cell.poll(id, time::now())),
             Next::Never => answerer.send(None),
             Next::Later => {
-                ownership.pollers.insert(id.clone(), answerer);
+                ownership.pending_polls.insert(id.clone(), answerer);
             }
         }
     }
 
-    /// Takes in a worker's report.
-    pub(super) fn reported(
+    /// Applies the result of a poll to the cell. Returns when the worker may be polled again.
+    pub(super) fn handle_report(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -226,63 +231,65 @@
             return Next::Never;
         };
         let now = time::now();
-        let mut later = None;
+        let mut successor = None;
         match result {
             Ok(report) => {
-                ownership.answered_by(id, sent);
+                ownership.poll_answered(id, sent);
                 ownership.cell.report(id, report, sent, now, wall::millis());
             }
             Err(PollError::Refused(Reason::Fence)) => {
                 if !ownership.cell.is_past(id) {
-                    self.end_ownership("a worker has seen a higher fence");
+                    self.end_ownership("a worker has been fenced by another owner");
                     return Next::Never;
                 }
                 ownership.cell.unheard(id, now);
             }
             Err(PollError::OtherLife(born)) => {
-                later = ownership.cell.follow(id, born, sent, now);
+                successor = ownership.cell.follow(id, born, sent, now);
             }
             Err(PollError::Refused(Reason::OtherLife)) => {
-                ownership.cell.end_life(id, "another life answers", now);
+                ownership
+                    .cell
+                    .end_life(id, "another incarnation has answered", now);
             }
             Err(_) => ownership.cell.unheard(id, now),
         }
-        ownership.unlink_gone();
+        ownership.disconnect_removed();
         let next = if !ownership.cell.is_polled(id) {
-            ownership.unlink(id);
+            ownership.disconnect(id);
             Next::Never
         } else if ownership.cell.is_unwritten(id) {
-            ownership.waiting.insert(id.clone());
+            ownership.unwritten.insert(id.clone());
             let id = id.clone();
-            after!(UNWRITTEN_PAUSE, [cx], |this, _| this.let_poll(fence, &id));
+            after!(MAX_POLL_DELAY, [cx], |this, _| this.resume_poll(fence, &id));
             Next::Later
         } else {
             Next::Poll
         };
-        if let Some(entry) = later {
-            self.tend(fence, entry);
+        if let Some(entry) = successor {
+            self.connect(fence, entry);
         }
         self.schedule_pass(cx);
         next
     }
 
-    /// The first poll of a worker.
+    /// The first poll of a worker; `None` when the ownership has ended.
     pub(crate) fn first_poll(&mut self, fence: u64, id: &str) -> Option<Poll> {
         self.ownership_of(fence)?.cell.poll(id, time::now())
     }
 
-    /// Lets a worker be polled whose ends are written, or have waited long enough.
-    pub(super) fn let_poll(&mut self, fence: u64, id: &Arc<str>) {
+    /// Polls a worker again whose task ends are stored, or have been delayed for the maximum time.
+    pub(super) fn resume_poll(&mut self, fence: u64, id: &Arc<str>) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.waiting.remove(id) {
-            ownership.allow_poll(id);
+        if ownership.unwritten.remove(id) {
+            ownership.send_poll(id);
         }
     }
 
-    /// Takes in what came of an order.
-    pub(crate) fn answered(
+    /// Applies the outcome of an order.
+    pub(crate) fn handle_outcome(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -294,10 +301,10 @@
             return;
         };
         if ownership.cell.answered(id, order, outcome, time::now()) {
-            self.end_ownership("a worker has seen a higher fence");
+            self.end_ownership("a worker has been fenced by another owner");
             return;
         }
-        ownership.unlink_gone();
+        ownership.disconnect_removed();
         self.schedule_pass(cx);
     }
 }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -25,16 +25,16 @@
 pub fn call(node: &Node, address: &str, request: &PeerRequest) -> Result<PeerResponse, Failure> {
     let url = format!("http://{address}{PATH}");
     let time = match request {
-        // These calls are not retried: the refusal of a retry would not show whether the first attempt
-        // took effect.
+        // These calls are not retried: the refusal of a retry would not show whether the first
+        // attempt took effect.
         PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Time::from(PEER_TIMEOUT),
         _ => PEER_RETRY,
     };
     node.client.post(&url, request, time)
 }
 
-/// Sends a request to the owner of the cell. `None` when this box is the owner, or no owner is known or
-/// answers.
+/// Sends a request to the owner of the cell. `None` when this box is the owner, or no owner is
+/// known or answers.
 pub fn call_owner(node: &Node, request: &PeerRequest) -> Option<PeerResponse> {
     let owner = node.shared.owner.load_full()?;
     if owner.name == node.settings.name {
@@ -49,8 +49,8 @@
     }
 }
 
-/// Forwards a caller's request that this box cannot serve to the owner. Returns `reply` if the request
-/// surely had no effect there, and [`Reply::Unsure`] if it may have had one.
+/// Forwards a caller's request that this box cannot serve to the owner. Returns `reply` if the
+/// request surely had no effect there, and [`Reply::Unsure`] if it may have had one.
 pub(crate) fn forward(node: &Node, request: &PeerRequest, reply: Reply) -> Reply {
     let Some(owner) = node.shared.owner.load_full() else {
         return reply;
@@ -109,8 +109,8 @@
     }
 }
 
-/// Number of waiting jobs of a queue; `None` when this box does not own the cell or its ownership is
-/// unconfirmed.
+/// Number of waiting jobs of a queue; `None` when this box does not own the cell or its ownership
+/// is unconfirmed.
 pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
     node.remote.ask(move |core, _| {
         let ownership = core.confirmed_ownership()?;
@@ -118,8 +118,8 @@
     })
 }
 
-/// The closed data halls, as known by the owner of the cell; `None` when no owner answers. A request that
-/// another box has forwarded (`passed`) is not forwarded again.
+/// The closed data halls, as known by the owner of the cell; `None` when no owner answers. A
+/// request that another box has forwarded (`passed`) is not forwarded again.
 ///
 /// # Errors
 ///
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings that a box is started with, and the time-outs, intervals and limits that all boxes share.
+//! Settings that a box is started with, and the time-outs, intervals and limits that all boxes
+//! share.
 
 use {
     cell::Timing,
@@ -17,8 +18,8 @@
     pub share: u32,
     /// Bandwidth of its link in each direction, in bytes per millisecond.
     pub link: u64,
-    /// Maximum number of workers that it connects to directly as the owner. In a larger cell, relays
-    /// connect to the workers.
+    /// Maximum number of workers that it connects to directly as the owner. In a larger cell,
+    /// relays connect to the workers.
     pub own_workers: usize,
     /// Address and port where other boxes reach it.
     pub address: Arc<str>,
@@ -31,8 +32,8 @@
 }
 
 impl Settings {
-    /// Maximum number of workers that a box can connect to, given its processor share in thousandths of a
-    /// core and its link in bytes per millisecond.
+    /// Maximum number of workers that a box can connect to, given its processor share in
+    /// thousandths of a core and its link in bytes per millisecond.
     pub const fn max_workers(share: u32, link: u64) -> usize {
         let by_share = WORKERS_PER_CORE * share as u64 / 1_000;
         let by_link = link * 2 / 3 / WORKER_LINK_RATE;
@@ -64,64 +65,68 @@
 const WORKERS_PER_CORE: u64 = 180;
 /// Links below this bandwidth, in bytes per millisecond, are narrow: 10 Mbit/s.
 const NARROW_LINK: u64 = 1_250;
-/// Peak bandwidth of the connection to one worker, in bytes per millisecond. Worker connections may take
-/// two thirds of a relay's link, and half of an owner's.
+/// Peak bandwidth of the connection to one worker, in bytes per millisecond. Worker connections may
+/// take two thirds of a relay's link, and half of an owner's.
 const WORKER_LINK_RATE: u64 = 8;
-/// Length of the owner's lease. The store grants no lease below 1 s. A box that is stopped briefly (by
-/// its processor quota or a pause) must not lose its cell.
+/// Length of the owner's lease. The store grants no lease below 1 s. A box that is stopped briefly
+/// (by its processor quota or a pause) must not lose its cell.
 pub const OWNER_LEASE: Duration = Duration::from_millis(2_000);
 /// Interval of lease renewals: three of them may fail before the lease expires.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum time between two groups of records. The end of a task has to be stored within 100 ms, and each
-/// group costs a call to the store.
+/// Minimum time between two groups of records. The end of a task has to be stored within 100 ms,
+/// and each group costs a call to the store.
 pub const GROUP_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum number of transaction entries for the records of a group. The store accepts 32 entries, of
-/// which the condition, the head, the owner and the fleet take four.
+/// Maximum number of transaction entries for the records of a group. The store accepts 32 entries,
+/// of which the condition, the head, the owner and the fleet take four.
 pub const GROUP_ENTRIES: usize = 28;
 /// Number of records that fills a group if all are of ended jobs, which take two entries each.
 pub const GROUP_RECORDS: usize = GROUP_ENTRIES / 2;
 /// Minimum time between two placement passes, so that many reports share one pass.
 pub const PASS_INTERVAL: Duration = Duration::from_millis(4);
-/// Interval at which the owner checks worker leases and releases the steps whose start time has come.
+/// Interval at which the owner checks worker leases and opens the due time
+/// slots of jobs with a timetable.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time between two listings of the workers by the owner. A worker that announces that it leaves
-/// must get no more tasks after 2 s.
+/// Minimum time between two listings of the workers by the owner. A worker that announces that it
+/// leaves must get no more tasks after 2 s.
 pub const LIST_INTERVAL: Duration = Duration::from_millis(700);
-/// Time between two listings as a multiple of the duration of the last one, so that listings take an
-/// eleventh of the time and of the link.
+/// Time between two listings as a multiple of the duration of the last one, so that listings take
+/// an eleventh of the time and of the link.
 pub const LIST_PAUSE_FACTOR: u32 = 10;
-/// Maximum time between two listings, in tenths of the time for which a leaving worker accepts new tasks.
-/// The interval, the listing and the delivery of a start must together fit into that time.
+/// Maximum time between two listings, in tenths of the time for which a leaving worker accepts new
+/// tasks. The interval, the listing and the delivery of a start must together fit into that time.
 const LIST_DRAIN_TENTHS: u32 = 4;
-/// Interval at which the owner checks whether the interference model has to be written, which is every 4 s.
+/// Interval at which the owner checks whether the interference model has to be written, which is
+/// every 4 s.
 pub const INTERFERENCE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time between two of these writes as a multiple of the duration of the last one, so that they take a
-/// twentieth of a narrow link.
+/// Time between two of these writes as a multiple of the duration of the last one, so that they
+/// take a twentieth of a narrow link.
 pub const INTERFERENCE_PAUSE_FACTOR: u32 = 20;
-/// Interval between two reads of the closed data halls; half of it after a failed read. A watch would not
-/// replace these reads, since its connection may fail silently.
+/// Interval between two reads of the closed data halls; half of it after a failed read. A watch
+/// would not replace these reads, since its connection may fail silently.
 pub const HALLS_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which the owner checks for maintenance waves while there is none. Waves take tens of seconds.
+/// Interval at which the owner checks for maintenance waves while there is none. Waves take tens of
+/// seconds.
 pub const WAVE_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Duration of one watch of the configuration. A watch whose connection has failed silently is detected
-/// after this time.
+/// Duration of one watch of the configuration. A watch whose connection has failed silently is
+/// detected after this time.
 pub const CONFIG_WATCH_TIME: Duration = Duration::from_millis(1_400);
-/// Minimum time between two reads of the configuration. The reads back up the watch, whose connection may
-/// fail silently.
+/// Minimum time between two reads of the configuration. The reads back up the watch, whose
+/// connection may fail silently.
 pub const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(1_400);
-/// Time between two of these reads as a multiple of the duration of the last one, so that they take an
-/// eleventh of the time and of the link.
+/// Time between two of these reads as a multiple of the duration of the last one, so that they take
+/// an eleventh of the time and of the link.
 pub const CONFIG_PAUSE_FACTOR: u64 = 10;
 /// Maximum time between two of these reads.
 pub const MAX_CONFIG_INTERVAL: Duration = Duration::from_millis(5_000);
-/// Size in bytes from which successive configuration versions are not watched one by one. On the slowest
-/// links, 2 Mbit/s, the transfer of such a value takes a third of a second.
+/// Size in bytes from which successive configuration versions are not watched one by one. On the
+/// slowest links, 2 Mbit/s, the transfer of such a value takes a third of a second.
 pub const LARGE_CONFIG: usize = 64 * 1024;
-/// Duration of one watch of the owner's key, after which the key is read. A watch whose connection has
-/// failed silently is detected after this time, and the death of the owner goes unnoticed until then.
+/// Duration of one watch of the owner's key, after which the key is read. A watch whose connection
+/// has failed silently is detected after this time, and the death of the owner goes unnoticed until
+/// then.
 pub const OWNER_WATCH_TIME: Duration = Duration::from_millis(2_500);
-/// Duration of one watch of the intake. It bounds the delay of callers' requests when the connection of
-/// the watch has failed silently.
+/// Duration of one watch of the intake. It bounds the delay of callers' requests when the
+/// connection of the watch has failed silently.
 pub const INTAKE_WATCH_TIME: Duration = Duration::from_millis(600);
 /// Pause while the owner's key is missing although the owner is alive and about to write it again.
 pub const OWNER_RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -132,8 +137,8 @@
 /// How long a task waits for the store to answer a call of another task, in milliseconds.
 pub const RECOVERY_WAIT_MS: u64 = 2_000;
 /// How long a start order may wait in a queue, in milliseconds. Its task may end on another worker
-/// meanwhile, and must not start more than a second after that end is stored. A retry is sent 0.25 s
-/// later.
+/// meanwhile, and must not start more than a second after that end is stored. A retry is sent 0.25
+/// s later.
 pub const MAX_START_WAIT_MS: u64 = 600;
 /// Pause after a failed poll of a worker.
 pub const POLL_RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -143,29 +148,30 @@
 pub const PEER_RETRY: Time = Time::twice(PEER_TIMEOUT, Duration::from_millis(200));
 /// Interval between two attempts to notify the owner of a cancellation.
 pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the owner is notified of a cancellation that it does not confirm, in milliseconds. A dead
-/// owner is replaced within 4 s, and the new one reads the cancellation from the store.
+/// How long the owner is notified of a cancellation that it does not confirm, in milliseconds. A
+/// dead owner is replaced within 4 s, and the new one reads the cancellation from the store.
 pub const NOTIFY_TIMEOUT_MS: u64 = 10_000;
 /// The store is unreachable once its calls fail and it has not answered for this long.
 pub const STORE_UNREACHABLE: Duration = Duration::from_millis(1_500);
-/// Once a probe of a failing store has taken this long, in milliseconds, callers are refused without
-/// waiting for its end.
+/// Once a probe of a failing store has taken this long, in milliseconds, callers are refused
+/// without waiting for its end.
 pub const SLOW_PROBE_MS: u64 = 100;
-/// Minimum time between two exchanges of a relay with the owner. It delays the start of a task and the
-/// report of its end.
+/// Minimum time between two exchanges of a relay with the owner. It delays the start of a task and
+/// the report of its end.
 pub const RELAY_MIN_INTERVAL: Duration = Duration::from_millis(25);
 /// Maximum time between two exchanges of a relay, in milliseconds.
 pub const RELAY_MAX_INTERVAL_MS: u64 = 100;
 /// Minimum time between two exchanges of a box that is not needed as a relay.
 pub const IDLE_MIN_INTERVAL: Duration = Duration::from_millis(400);
-/// Exchanges of such boxes that an owner handles per second. With more boxes, each exchanges less often.
+/// Exchanges of such boxes that an owner handles per second. With more boxes, each exchanges less
+/// often.
 pub const IDLE_REQUEST_RATE: u64 = 1_500;
 /// Maximum time between two exchanges of such a box, in milliseconds.
 pub const IDLE_MAX_INTERVAL_MS: u64 = 2_000;
 /// How late a heartbeat of the owner may arrive before the last one expires.
 pub const HEARTBEAT_SLACK: Duration = Duration::from_millis(600);
-/// Maximum age of the last lease renewal at which other boxes rely on a heartbeat. Beyond it two renewals
-/// have failed.
+/// Maximum age of the last lease renewal at which other boxes rely on a heartbeat. Beyond it two
+/// renewals have failed.
 pub const MAX_LEASE_AGE: Duration = Duration::from_millis(1_100);
 /// Interval between two probes of the store by a box that makes no other calls to it.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -174,12 +180,13 @@
 pub const RELAY_OWNER_READ_MS: u64 = 100;
 /// The same time for boxes that are not relays.
 pub const IDLE_OWNER_READ_MS: u64 = 1_000;
-/// Maximum amount of data in flight on a link, in milliseconds of its bandwidth. More would delay leases,
-/// stops and the answers of the store on the same link; less would leave the link idle between two
-/// exchanges.
+/// Maximum amount of data in flight on a link, in milliseconds of its bandwidth. More would delay
+/// leases, stops and the answers of the store on the same link; less would leave the link idle
+/// between two exchanges.
 pub const MAX_IN_FLIGHT_MS: u64 = 250;
-/// Time-out of one exchange of a relay. It may be retried, since the owner processes each request once.
-/// Requests and responses are sent again unchanged, and are large after a failure or in a burst.
+/// Time-out of one exchange of a relay. It may be retried, since the owner processes each request
+/// once. Requests and responses are sent again unchanged, and are large after a failure or in a
+/// burst.
 pub const RELAY_TIMEOUT: Time =
     Time::twice(Duration::from_millis(800), Duration::from_millis(400)).flowing();
 /// Boxes below this processor share, in thousandths of a core, leave the cell to stronger boxes.
--- a/components/node/src/store.rs
+++ b/components/node/src/store.rs
@@ -11,8 +11,8 @@
     pub value: Vec<u8>,
     /// Revision of the last change of this key.
     pub revision: u64,
-    /// Revision of the store at the time of the read. A watch continues from here, since the history
-    /// since the last change of the key may have been compacted.
+    /// Revision of the store at the time of the read. A watch continues from here, since the
+    /// history since the last change of the key may have been compacted.
     pub store_revision: u64,
 }
 
@@ -85,8 +85,8 @@
 ///
 /// The verdict of an error states whether the call may have taken effect.
 pub trait Store: Send + Sync {
-    /// Reads one key whose value is small. The total time is limited as for other calls, since callers
-    /// wait for the result.
+    /// Reads one key whose value is small. The total time is limited as for other calls, since
+    /// callers wait for the result.
     ///
     /// # Errors
     ///
@@ -125,8 +125,8 @@
     ///
     /// # Errors
     ///
-    /// `not-run`: the transaction was not applied and will not be. `may-have-run`: it was applied, or
-    /// may still be while its conditions hold.
+    /// `not-run`: the transaction was not applied and will not be. `may-have-run`: it was applied,
+    /// or may still be while its conditions hold.
     fn apply(&self, change: &Change) -> Result<ApplyResult, Failure>;
 
     /// Checks with the cheapest call whether the store answers.
@@ -151,8 +151,8 @@
     fn renew(&self, lease: u64) -> Result<bool, Failure>;
 }
 
-/// Reads all keys with this prefix, page by page. Returns them with the store revision of the first page.
-/// Changes after that revision may be missing, and a watch from it reports them.
+/// Reads all keys with this prefix, page by page. Returns them with the store revision of the first
+/// page. Changes after that revision may be missing, and a watch from it reports them.
 ///
 /// # Errors
 ///
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -1,4 +1,5 @@
-//! The two async tasks that connect the owner to one worker: one polls it, the other sends it orders.
+//! The two async tasks that connect the owner to one worker: one polls it, the other sends it
+//! orders.
 
 use {
     crate::{
@@ -12,8 +13,8 @@
     kernel::{Failure, net, verdict::Cause},
 };
 
-/// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the sender for
-/// its orders, or `None` if the tasks could not be started.
+/// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the
+/// sender for its orders, or `None` if the tasks could not be started.
 pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
     let (entrance, orders) = queued::line();
     let polled = poll(node.clone(), fence, entry.clone());
@@ -44,7 +45,7 @@
         }
         let id = entry.id.clone();
         let answer = node.remote.answered(move |core, cx, answerer| {
-            core.polled(cx, fence, &id, sent, result, answerer);
+            core.handle_poll(cx, fence, &id, sent, result, answerer);
         });
         next = answer.await.unwrap_or_default();
     }
@@ -64,15 +65,15 @@
         let id = entry.id.clone();
         let is_delivered = node
             .remote
-            .tell(move |core, cx| core.answered(cx, fence, &id, &order, outcome));
+            .tell(move |core, cx| core.handle_outcome(cx, fence, &id, &order, outcome));
         if !is_delivered {
             return;
         }
     }
 }
 
-/// Sends an order to a worker and returns the outcome. Refuses it locally if it has been queued for too
-/// long or was revoked. Adds the specification of its job to a start that has none.
+/// Sends an order to a worker and returns the outcome. Refuses it locally if it has been queued for
+/// too long or was revoked. Adds the specification of its job to a start that has none.
 pub(crate) async fn send_order(
     node: &Node,
     fence: u64,
