--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -150,10 +150,10 @@
 
     /// Waits until the store answers a call of another task, at most [`RECOVERY_WAIT_MS`].
     pub(crate) fn await_recovery(&self) {
-        let begun = time::now();
+        let started = time::now();
         loop {
             thread::sleep(STORE_RETRY_PAUSE);
-            let is_over = time::now() > begun + RECOVERY_WAIT_MS;
+            let is_over = time::now() > started + RECOVERY_WAIT_MS;
             if is_over || !self.is_store_failing() || self.is_stopping() {
                 return;
             }
@@ -268,15 +268,15 @@
 /// # Errors
 ///
 /// A thread could not be started.
-pub fn start(settings: Settings, outside: External, client: Client) -> io::Result<Running> {
+pub fn start(settings: Settings, external: External, client: Client) -> io::Result<Running> {
     let shared = Arc::new(Shared::default());
     let tracked = TrackedStore {
-        inner: outside.store,
+        inner: external.store,
         shared: shared.clone(),
     };
-    let outside = External {
+    let external = External {
         store: Arc::new(tracked),
-        ..outside
+        ..external
     };
     let (acceptor, submissions) = accept::door();
     let (untold, cancellations) = cancel::door();
@@ -285,7 +285,7 @@
     let host = Host::start("core", move |_, remote| {
         let node = Node {
             settings,
-            external: outside,
+            external,
             shared,
             client,
             remote,
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -107,8 +107,8 @@
         }
     }
     if let Some(fleet) = &cell_change.fleet {
-        let members: Vec<WorkerRecord> = fleet.iter().cloned().map(WorkerRecord::from).collect();
-        change.put.push(put_compact(keys::fleet(CELL), &members));
+        let workers: Vec<WorkerRecord> = fleet.iter().cloned().map(WorkerRecord::from).collect();
+        change.put.push(put_compact(keys::fleet(CELL), &workers));
     }
 }
 
@@ -217,8 +217,8 @@
     #[test]
     fn build_release_with_pending_records() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
-        let (leaving, _released) = Answerer::pair();
-        ownership.handover = Some(leaving);
+        let (handover, _released) = Answerer::pair();
+        ownership.handover = Some(handover);
         let group = Group::build(&settings(), &mut ownership, 0);
         assert!(group.is_release && !group.cell_change.records.is_empty());
         assert!(group.change.remove.contains(&keys::owner(CELL)));
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -50,15 +50,15 @@
 }
 
 impl Monitor {
-    /// Records the heartbeat in the answer to a request sent at `asked`, from an owner that expects
+    /// Records the heartbeat in the answer to a request sent at `sent`, from an owner that expects
     /// the next exchange after `pause`. A missing or stale heartbeat clears the last one, and the
     /// box reads the store itself.
-    pub fn record(&self, heartbeat: Option<Heartbeat>, asked: u64, pause: Duration) {
+    pub fn record(&self, heartbeat: Option<Heartbeat>, sent: u64, pause: Duration) {
         let Some(heartbeat) = heartbeat.filter(Heartbeat::is_fresh) else {
             self.clear();
             return;
         };
-        let until = asked + (pause + HEARTBEAT_SLACK).as_millis() as u64;
+        let until = sent + (pause + HEARTBEAT_SLACK).as_millis() as u64;
         let config = heartbeat.config;
         let previous = std::mem::replace(&mut *lock(&self.last), LastHeartbeat { config, until });
         if previous.config != config {
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -97,11 +97,11 @@
 /// Reads periodically which data halls the operators have closed.
 fn follow_halls(node: &Node, fence: u64) {
     while !has_ended(node, fence) {
-        let begun = time::now();
+        let started = time::now();
         match node.external.closures.read() {
             Ok(closures) => {
                 node.remote
-                    .tell(move |core, cx| core.handle_closures(cx, fence, closures, begun));
+                    .tell(move |core, cx| core.handle_closures(cx, fence, closures, started));
                 thread::sleep(HALLS_INTERVAL);
             }
             Err(failure) => {
@@ -274,7 +274,7 @@
             put: vec![put_compact(key.clone(), &learned)],
             ..Change::default()
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         match node.external.store.apply(&change) {
             Ok(ApplyResult::Done(now)) => revision = now,
             Ok(ApplyResult::Conflict(items)) => {
@@ -285,7 +285,7 @@
                 log::info!(target: "owner", error:% = failure; "Could not write the interference model.");
             }
         }
-        rest = INTERFERENCE_INTERVAL.max(begun.elapsed() * INTERFERENCE_PAUSE_FACTOR);
+        rest = INTERFERENCE_INTERVAL.max(started.elapsed() * INTERFERENCE_PAUSE_FACTOR);
     }
 }
 
@@ -346,9 +346,9 @@
         let Ok(Some(group)) = group else {
             return;
         };
-        let begun = time::now();
+        let started = time::now();
         let result = node.external.store.apply(&group.change);
-        let took = Duration::from_millis(time::now() - begun);
+        let took = Duration::from_millis(time::now() - started);
         metrics::histogram!("magpie_group_seconds").record(took);
         if let Err(failure) = &result {
             log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "The write of a group of records failed.");
@@ -367,9 +367,9 @@
         thread::sleep(
             (took * LIST_PAUSE_FACTOR).clamp(LIST_INTERVAL, node.settings.max_list_interval()),
         );
-        let begun = Instant::now();
+        let started = Instant::now();
         let listing = node.external.workers.list();
-        took = begun.elapsed();
+        took = started.elapsed();
         if has_ended(node, fence) {
             return;
         }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -49,8 +49,9 @@
     }
 }
 
-/// Forwards a caller's request that this box cannot serve to the owner. Returns `reply` if the
-/// request surely had no effect there, and [`Reply::Unsure`] if it may have had one.
+/// Forwards a caller's request that this box cannot serve to the owner, and returns its reply.
+/// Returns `reply` if the request surely had no effect there, and [`Reply::Unsure`] if it is unknown
+/// whether it had one.
 pub(crate) fn forward(node: &Node, request: &PeerRequest, reply: Reply) -> Reply {
     let Some(owner) = node.shared.owner.load_full() else {
         return reply;
@@ -59,7 +60,7 @@
         return reply;
     }
     match call(node, &owner.address, request) {
-        Ok(PeerResponse::Reply(passed)) => passed,
+        Ok(PeerResponse::Reply(forwarded)) => forwarded,
         Ok(_) => Reply::Unsure,
         Err(failure) if failure.is_not_run() => reply,
         Err(_) => Reply::Unsure,
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -83,8 +83,8 @@
 pub const GROUP_RECORDS: usize = GROUP_ENTRIES / 2;
 /// Minimum time between two placement passes, so that many reports share one pass.
 pub const PASS_INTERVAL: Duration = Duration::from_millis(4);
-/// Interval at which the owner checks worker leases and opens the due time
-/// slots of jobs with a timetable.
+/// Interval at which the owner checks worker leases and opens the due time slots of jobs with a
+/// timetable.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum time between two listings of the workers by the owner. A worker that announces that it
 /// leaves must get no more tasks after 2 s.
@@ -137,8 +137,8 @@
 /// How long a task waits for the store to answer a call of another task, in milliseconds.
 pub const RECOVERY_WAIT_MS: u64 = 2_000;
 /// How long a start order may wait in a queue, in milliseconds. Its task may end on another worker
-/// meanwhile, and must not start more than a second after that end is stored. A retry is sent 0.25
-/// s later.
+/// meanwhile, and must not start more than a second after that end is stored. A retry of the order
+/// is sent 0.25 s later.
 pub const MAX_START_WAIT_MS: u64 = 600;
 /// Pause after a failed poll of a worker.
 pub const POLL_RETRY_PAUSE: Duration = Duration::from_millis(300);
--- a/components/node/src/store.rs
+++ b/components/node/src/store.rs
@@ -32,7 +32,7 @@
 pub enum Event {
     /// A key was written.
     Put(Item),
-    /// A key was deleted, or its lease expired.
+    /// A key was removed.
     Deleted(String),
 }
 
