--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         accept, cancel,
-        comeback::SOONEST,
         core::Node,
-        kept, keys,
+        decode, keys,
         message::{PeerRequest, PeerResponse},
         peer,
+        retry_after::MIN_RETRY_AFTER,
     },
     job::{Id, Queue, Spec, State, Submission},
     kernel::{Failure, wall},
@@ -90,7 +90,7 @@
         }
         self.kept_state(id).unwrap_or_else(|failure| {
             log::info!(target: "callers", job = id.as_str(), error:% = failure; "The state of a job cannot be read.");
-            Reply::Busy(SOONEST)
+            Reply::Busy(MIN_RETRY_AFTER)
         })
     }
 
@@ -99,7 +99,7 @@
         let store = &self.external.store;
         let record = store.get(&keys::state(id))?;
         if let Some(item) = &record {
-            let record = kept::record(item)?;
+            let record = decode::record(item)?;
             if record.state.is_final() {
                 return Ok(Reply::State(record.state));
             }
@@ -117,7 +117,7 @@
         let Some(item) = store.get(&keys::state(id))? else {
             return Ok(Reply::Gone);
         };
-        Ok(Reply::State(kept::record(&item)?.state))
+        Ok(Reply::State(decode::record(&item)?.state))
     }
 
     fn waiting(&self, queue: &Arc<Queue>) -> Reply {
@@ -126,7 +126,7 @@
         }
         match peer::call_owner(self, &PeerRequest::Waiting(queue.name.clone())) {
             Some(PeerResponse::Waiting(Some(waiting))) => Reply::Waiting(waiting),
-            _ => Reply::Busy(SOONEST),
+            _ => Reply::Busy(MIN_RETRY_AFTER),
         }
     }
 }
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -4,9 +4,10 @@
 use {
     crate::{
         core::Node,
+        decode,
         external::HallClosure,
         group::{CELL, owner_record, put},
-        kept, keys,
+        keys,
         message::{Head, PeerRequest, PeerResponse, WorkerRecord},
         owner_tasks,
         ownership::Ownership,
@@ -256,12 +257,12 @@
         let Some(id) = keys::id(&item.key, keys::STATE) else {
             continue;
         };
-        let Some(record) = readable(item, kept::record(item)) else {
+        let Some(record) = readable(item, decode::record(item)) else {
             unreadable.insert(id);
             continue;
         };
         if record.state.is_final() {
-            cell.close(id, &record);
+            cell.add_ended(id, &record);
             continue;
         }
         records.insert(id, record);
@@ -272,7 +273,7 @@
             cancelled.push(id);
             continue;
         }
-        let Some(submission) = readable(item, kept::submission(item)) else {
+        let Some(submission) = readable(item, decode::submission(item)) else {
             continue;
         };
         // It is unknown which steps of the job have run, and none may run twice.
@@ -289,17 +290,17 @@
     if let Some(item) = store.get_large(&keys::interference(CELL))? {
         interference = item.revision;
         match wire::decode(&item.value) {
-            Ok(interference) => cell.recall(interference),
+            Ok(interference) => cell.restore_interference(interference),
             Err(error) => {
                 log::warn!(target: "owner", error:% = error; "The stored interference model cannot be decoded; a new one is learned.");
             }
         }
     }
-    cell.list(listing, now);
+    cell.handle_listing(listing, now);
     if let Some(item) = fleet {
         let workers = wire::decode::<Vec<WorkerRecord>>(&item.value);
         let workers = readable(&item, workers).unwrap_or_default();
-        cell.inherit(workers.into_iter().map(Entry::from).collect());
+        cell.restore_workers(workers.into_iter().map(Entry::from).collect());
     }
     let closures_read = time::now();
     let closures = node.external.closures.read()?;
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -3,20 +3,19 @@
 
 use {
     crate::{
-        accept, cancel,
-        comeback::Comeback,
-        config,
+        accept, cancel, config,
         external::External,
-        fetch::Fetched,
-        follow,
         heartbeat::Monitor,
         message::Owner,
+        owner_watch,
         ownership::Ownership,
         peer, relay,
+        retry_after::RetryAfter,
         settings::{
             MAX_PROBE_PAUSE, RECOVERY_WAIT_MS, SLOW_PROBE_MS, STORE_RETRY_PAUSE, STORE_UNREACHABLE,
             Settings,
         },
+        spec_text::SpecCache,
         store::{ApplyResult, Change, Item, Page, Store, WatchResult},
         time,
     },
@@ -57,7 +56,7 @@
     /// Store revision of the configuration that was read last.
     pub(crate) config_revision: AtomicU64,
     /// How callers that are refused are told to come back.
-    pub comeback: Comeback,
+    pub retry_after: RetryAfter,
     /// The last heartbeat of the owner.
     pub(crate) monitor: Monitor,
 }
@@ -249,11 +248,11 @@
     /// Client for calls to other boxes.
     pub client: Client,
     pub(crate) remote: Remote<Core>,
-    pub(crate) acceptor: accept::Door,
+    pub(crate) acceptor: accept::Sender,
     /// Queue of cancellations that the owner has not confirmed.
-    pub(crate) untold: cancel::Door,
+    pub(crate) unconfirmed: cancel::Sender,
     /// Cache of job specifications that were read from the store.
-    pub(crate) fetched: Arc<Fetched>,
+    pub(crate) specs: Arc<SpecCache>,
 }
 
 /// A running box; the actor stops when it is dropped.
@@ -278,8 +277,8 @@
         store: Arc::new(tracked),
         ..external
     };
-    let (acceptor, submissions) = accept::door();
-    let (untold, cancellations) = cancel::door();
+    let (acceptor, submissions) = accept::channel();
+    let (unconfirmed, cancellations) = cancel::channel();
     let settings = Arc::new(settings);
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
     let host = Host::start("core", move |_, remote| {
@@ -290,8 +289,8 @@
             client,
             remote,
             acceptor,
-            untold,
-            fetched: Arc::default(),
+            unconfirmed,
+            specs: Arc::default(),
         };
         // The receiver exists until this value arrives, so the send cannot fail.
         let _ = sender.send(node.clone());
@@ -308,7 +307,7 @@
     let task_node = node.clone();
     task::spawn("config", move || config::follow(&task_node))?;
     let task_node = node.clone();
-    task::spawn("owner", move || follow::ownership(&task_node))?;
+    task::spawn("owner", move || owner_watch::run(&task_node))?;
     let task_node = node.clone();
     task::spawn("relay", move || relay::run(&task_node))?;
     Ok(Running { node, _host: host })
--- a/components/node/src/external.rs
+++ b/components/node/src/external.rs
@@ -4,8 +4,8 @@
 use {
     crate::store::Store,
     cell::{
-        Advice, Entry, Listing, Machine, Order, Outcome, Poll, Question, Reason, Report, Standing,
-        Upkeep, Wave,
+        Advice, AdviceQuery, Entry, Listing, Machine, MaintenanceOrder, Order, Outcome, Poll,
+        Refusal, Report, Wave, WaveStatus,
     },
     job::Config,
     kernel::Failure,
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PollError {
     /// The worker refused the poll.
-    Refused(Reason),
+    Refused(Refusal),
     /// Another incarnation of the worker has answered, which was started at this time, in
     /// milliseconds since 1970. The poll had no effect on it.
     OtherLife(u64),
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// The service gave no valid answer in time.
-    fn advise(&self, question: &Question) -> Result<Advice, Failure>;
+    fn advise(&self, question: &AdviceQuery) -> Result<Advice, Failure>;
 }
 
 /// The machines that host workers, and the operators' maintenance waves.
@@ -150,14 +150,14 @@
 
     /// Takes a machine down for maintenance, under the fence of this owner. False when the request
     /// surely had no effect.
-    fn upkeep(&self, order: &Upkeep, owner: &str, fence: u64) -> bool;
+    fn upkeep(&self, order: &MaintenanceOrder, owner: &str, fence: u64) -> bool;
 
     /// Reports the progress of a maintenance wave to the operators.
     ///
     /// # Errors
     ///
     /// The report may not have been written.
-    fn report_progress(&self, standing: &Standing) -> Result<(), Failure>;
+    fn report_progress(&self, standing: &WaveStatus) -> Result<(), Failure>;
 }
 
 /// A data hall that the operators have closed: no tasks are started in it.
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -24,7 +24,7 @@
     /// The store transaction.
     pub change: Change,
     /// The changes of the cell that the group writes.
-    pub cell_change: cell::Change,
+    pub cell_change: cell::WriteBatch,
     /// The group writes the owner's key again.
     pub republishes: bool,
     /// The group removes the owner's key and so releases the cell.
@@ -37,7 +37,7 @@
     /// Builds the next group from the changes of the cell. Where it has room it also removes the
     /// records of jobs that ended before `before`, in milliseconds since 1970.
     pub fn build(settings: &Settings, ownership: &mut Ownership, before: u64) -> Self {
-        let cell_change = ownership.cell.take_change(GROUP_ENTRIES);
+        let cell_change = ownership.cell.take_write_batch(GROUP_ENTRIES);
         // Under load the cell always has unwritten changes, so the release does not wait for them.
         // The workers keep reporting what is unwritten, and the next owner reads it from their
         // reports.
@@ -57,7 +57,7 @@
         }
         let mut expired = Vec::new();
         if cell_change.records.len() <= GROUP_RECORDS / 2 {
-            expired = ownership.cell.outdated(before, MAX_EXPIRED);
+            expired = ownership.cell.ended_before(before, MAX_EXPIRED);
         }
         for id in &expired {
             change.remove.push(keys::state(id));
@@ -96,12 +96,12 @@
 }
 
 /// Adds the changed job records and the list of workers to a transaction.
-fn put_records(change: &mut Change, cell_change: &cell::Change) {
+fn put_records(change: &mut Change, cell_change: &cell::WriteBatch) {
     for (id, record) in &cell_change.records {
         change.put.push(put_compact(keys::state(id), record));
         if record.state.is_final() {
             change.remove.push(keys::job(id));
-            if cell_change.apart.contains(id) {
+            if cell_change.separate_specs.contains(id) {
                 change.remove.push(keys::text(id));
             }
         }
@@ -251,7 +251,7 @@
     fn build_removes_expired_until_written() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
         let first = Group::build(&settings(), &mut ownership, 0);
-        ownership.cell.written(&first.cell_change);
+        ownership.cell.batch_written(&first.cell_change);
         assert!(first.expired.is_empty());
         let second = Group::build(&settings(), &mut ownership, 10);
         assert_eq!(second.expired.len(), 2);
@@ -263,7 +263,7 @@
         );
         let again = Group::build(&settings(), &mut ownership, 10);
         assert_eq!(again.expired.len(), 2);
-        ownership.cell.forget(&again.expired);
+        ownership.cell.remove_ended(&again.expired);
         assert!(
             Group::build(&settings(), &mut ownership, 10)
                 .expired
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -1,8 +1,11 @@
 //! Serialized values in the store, and messages between boxes: peer calls and relay exchanges.
 
 use {
-    crate::{callers::Reply, external::PollError, heartbeat::Heartbeat, news::News},
-    cell::{Entry, Key, Order, Outcome, Poll, Start},
+    crate::callers::Reply,
+    crate::external::PollError,
+    crate::heartbeat::Heartbeat,
+    crate::report_delta::ReportDelta,
+    cell::{Entry, Order, Outcome, Poll, Start, TaskKey},
     job::{Address, Id, State, Submission, spec::Size},
     serde::{Deserialize, Serialize},
     std::sync::Arc,
@@ -45,7 +48,7 @@
         WorkerRecord {
             id: entry.id,
             name: entry.name,
-            born: entry.born,
+            born: entry.started,
             generation: entry.generation,
             pool: entry.pool,
             address: entry.address,
@@ -61,7 +64,7 @@
         Entry {
             id: member.id,
             name: member.name,
-            born: member.born,
+            started: member.born,
             generation: member.generation,
             pool: member.pool,
             address: member.address,
@@ -157,7 +160,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WorkerEvent {
     /// Result of a poll of this worker, which the owner allowed at this time of its clock.
-    Report(Arc<str>, u64, Result<News, PollError>),
+    Report(Arc<str>, u64, Result<ReportDelta, PollError>),
     /// The relay has dropped this worker, so that its next report is a complete one.
     Left(Arc<str>),
     /// Outcome of the order with this number.
@@ -245,7 +248,7 @@
     pub fn start(self, job: Id, text: Arc<str>) -> Start {
         let place = self.place;
         Start {
-            key: Key { job, place },
+            key: TaskKey { job, place },
             address: self.address,
             run: self.run,
             text,
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -5,8 +5,9 @@
 use {
     crate::{
         core::Node,
+        decode,
         group::{CELL, put_compact},
-        kept, keys,
+        keys,
         settings::{
             HALLS_INTERVAL, INTAKE_WATCH_TIME, INTERFERENCE_INTERVAL, INTERFERENCE_PAUSE_FACTOR,
             LIST_INTERVAL, LIST_PAUSE_FACTOR, OWNER_LEASE, RENEW_INTERVAL, STORE_RETRY_PAUSE,
@@ -15,7 +16,7 @@
         store::{ApplyResult, Change, Event, WatchResult, range_all},
         time,
     },
-    cell::{Cell, Question, Standing},
+    cell::{AdviceQuery, Cell, WaveStatus},
     job::Id,
     kernel::{Failure, task, wall},
     std::{
@@ -39,7 +40,7 @@
 /// Runs the operators' maintenance waves and reports their progress.
 fn run_waves(node: &Node, fence: u64) {
     let machines = &node.external.machines;
-    let mut reported: HashMap<u64, Standing> = HashMap::new();
+    let mut reported: HashMap<u64, WaveStatus> = HashMap::new();
     let mut had_waves = false;
     while !has_ended(node, fence) {
         let waves = match machines.waves() {
@@ -114,13 +115,13 @@
 
 /// Starts the thread that requests placement advice, one question at a time, since the service
 /// handles the calls of each box in sequence. Returns the sender for questions.
-pub fn start_advice(node: &Node, fence: u64) -> Sender<Question> {
+pub fn start_advice(node: &Node, fence: u64) -> Sender<AdviceQuery> {
     let (sender, questions) = mpsc::channel();
     start("advice", node, move |node| advise(&node, fence, &questions));
     sender
 }
 
-fn advise(node: &Node, fence: u64, questions: &Receiver<Question>) {
+fn advise(node: &Node, fence: u64, questions: &Receiver<AdviceQuery>) {
     for question in questions {
         let answer = node.external.advisor.advise(&question);
         if let Err(failure) = &answer {
@@ -262,7 +263,7 @@
         thread::sleep(rest);
         let result = node
             .remote
-            .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_learned()));
+            .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_interference()));
         let Ok(Some(learned)) = result else {
             return;
         };
@@ -321,7 +322,7 @@
             cancelled.push(id);
             continue;
         }
-        match kept::submission(&item) {
+        match decode::submission(&item) {
             Ok(submission) => {
                 cell.admit(submission, wall::millis());
             }
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -97,8 +97,8 @@
                     self.end_ownership("released for shutdown");
                     return;
                 }
-                ownership.cell.forget(&group.expired);
-                let released = ownership.cell.written(&group.cell_change);
+                ownership.cell.remove_ended(&group.expired);
+                let released = ownership.cell.batch_written(&group.cell_change);
                 for id in released {
                     self.resume_poll(fence, &id);
                 }
@@ -112,17 +112,17 @@
                 ownership.head = head;
                 ownership.write_confirmed();
                 ownership.republish |= group.republishes;
-                ownership.cell.unwritten(group.cell_change);
+                ownership.cell.batch_failed(group.cell_change);
             }
             Ok(ApplyResult::NoLease) => {
                 ownership.lease = 0;
                 ownership.republish = true;
-                ownership.cell.unwritten(group.cell_change);
+                ownership.cell.batch_failed(group.cell_change);
             }
             Err(_) => {
                 ownership.write_unanswered();
                 ownership.republish |= group.republishes;
-                ownership.cell.unwritten(group.cell_change);
+                ownership.cell.batch_failed(group.cell_change);
             }
         }
         self.wake_writer(cx);
--- a/components/node/src/ownership/confirmation.rs
+++ b/components/node/src/ownership/confirmation.rs
@@ -17,7 +17,7 @@
         settings::{OWNER_LEASE, RENEW_INTERVAL},
         time,
     },
-    cell::Reach,
+    cell::Reachability,
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -66,9 +66,12 @@
         if is_confirmed || self.unconfirmed.is_some() {
             return;
         }
-        let Reach { heard, silent } = self.cell.reach(now);
+        let Reachability {
+            reachable: heard,
+            unreachable: silent,
+        } = self.cell.reachability(now);
         if silent > 0 && silent >= heard {
-            log::warn!(target: "owner", fence = self.fence, heard, silent, workers = self.cell.size(); "Neither the store nor most of the workers are reachable; another box may own the cell.");
+            log::warn!(target: "owner", fence = self.fence, heard, silent, workers = self.cell.worker_count(); "Neither the store nor most of the workers are reachable; another box may own the cell.");
             self.mark_unconfirmed();
         }
     }
@@ -86,7 +89,7 @@
             answered: HashSet::new(),
         });
         self.republish = true;
-        self.cell.keep_leases(true);
+        self.cell.freeze_leases(true);
     }
 
     /// True while another box may own the cell.
@@ -129,7 +132,7 @@
 
     /// Confirms the ownership if a majority of the workers has answered and a write had no answer.
     fn check_majority(&mut self) {
-        let count = self.cell.size();
+        let count = self.cell.worker_count();
         let is_confirmed = self.unconfirmed.as_ref().is_some_and(|unconfirmed| {
             unconfirmed.has_failed_write && unconfirmed.answered.len() * 2 > count
         });
@@ -141,6 +144,6 @@
     fn restore(&mut self) {
         log::info!(target: "owner", fence = self.fence; "Cell ownership confirmed.");
         self.unconfirmed = None;
-        self.cell.keep_leases(false);
+        self.cell.freeze_leases(false);
     }
 }
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -60,7 +60,7 @@
             let since = wall::millis();
             self.halls.closed.push(ClosedHall { hall, by, since });
         }
-        self.cell.shut(names);
+        self.cell.set_closed_halls(names);
     }
 
     /// Resets the metrics of closed halls when the ownership of this box ends.
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -2,8 +2,10 @@
 //! and maintenance waves.
 
 use {
-    crate::{core::Core, owner_tasks, store::Event, time},
-    cell::{Advice, Entry, Listing, Machine, Question, Standing, Upkeep, Wave},
+    crate::core::Core,
+    crate::store::Event,
+    crate::{owner_tasks, time},
+    cell::{Advice, AdviceQuery, Entry, Listing, Machine, MaintenanceOrder, Wave, WaveStatus},
     job::{Id, State, Submission},
     kernel::{stakker::Cx, wall},
     std::{collections::HashSet, sync::Arc},
@@ -24,14 +26,14 @@
         };
         if let Some(config) = &*config {
             let is_ignored = |entry: &mut Entry| {
-                !config.has_pool(&entry.pool) && !ownership.cell.knows(&entry.id)
+                !config.has_pool(&entry.pool) && !ownership.cell.has_worker(&entry.id)
             };
             // Listed as unreadable, so that a known worker with the same name is not taken as gone.
             let ignored = listing.entries.extract_if(.., is_ignored);
             let ignored: Vec<Arc<str>> = ignored.map(|entry| entry.name).collect();
             listing.unreadable.extend(ignored);
         }
-        for entry in ownership.cell.list(listing, time::now()) {
+        for entry in ownership.cell.handle_listing(listing, time::now()) {
             self.connect(fence, entry);
         }
         self.schedule_pass(cx);
@@ -49,7 +51,7 @@
     /// Returns those of the jobs that the cell does not know.
     pub(crate) fn unknown_jobs(&mut self, fence: u64, ids: Vec<Id>) -> HashSet<Id> {
         self.ownership_of(fence)
-            .map_or(HashSet::new(), |ownership| ownership.cell.unknown(ids))
+            .map_or(HashSet::new(), |ownership| ownership.cell.unknown_jobs(ids))
     }
 
     /// Applies the second read of the intake after a takeover.
@@ -58,7 +60,7 @@
             return;
         };
         owner_tasks::apply_intake(&mut ownership.cell, events);
-        for id in ownership.cell.intake_read() {
+        for id in ownership.cell.jobs_reread() {
             self.resume_poll(fence, &id);
         }
         self.schedule_pass(cx);
@@ -96,13 +98,13 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        question: &Question,
+        question: &AdviceQuery,
         advice: Option<Advice>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        ownership.cell.advised(question, advice, time::now());
+        ownership.cell.handle_advice(question, advice, time::now());
         self.schedule_pass(cx);
     }
 
@@ -113,25 +115,27 @@
         fence: u64,
         waves: &[Wave],
         machines: &[Machine],
-    ) -> Vec<Upkeep> {
+    ) -> Vec<MaintenanceOrder> {
         let Some(ownership) = self.ownership_of(fence) else {
             return Vec::new();
         };
-        let orders = ownership.cell.upkeep(waves, machines, time::now());
+        let orders = ownership
+            .cell
+            .plan_maintenance(waves, machines, time::now());
         self.schedule_pass(cx);
         orders
     }
 
     /// Progress of the maintenance waves.
-    pub(crate) fn wave_progress(&mut self, fence: u64, waves: &[Wave]) -> Vec<Standing> {
+    pub(crate) fn wave_progress(&mut self, fence: u64, waves: &[Wave]) -> Vec<WaveStatus> {
         self.ownership_of(fence)
-            .map_or(Vec::new(), |ownership| ownership.cell.standings(waves))
+            .map_or(Vec::new(), |ownership| ownership.cell.wave_statuses(waves))
     }
 
     /// Applies that a maintenance order surely had no effect.
-    pub(crate) fn maintenance_refused(&mut self, fence: u64, order: &Upkeep) {
+    pub(crate) fn maintenance_refused(&mut self, fence: u64, order: &MaintenanceOrder) {
         if let Some(ownership) = self.ownership_of(fence) {
-            ownership.cell.upkeep_refused(order);
+            ownership.cell.maintenance_refused(order);
         }
     }
 }
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -14,13 +14,13 @@
     crate::{
         core::Core,
         group::Group,
+        order_queue::OrderSender,
         owner_tasks,
-        queued::Entrance,
         relays::{Need, Relays},
         settings::TICK_INTERVAL,
         time,
     },
-    cell::{Cell, Entry, Poll, Question},
+    cell::{AdviceQuery, Cell, Entry, Poll},
     kernel::{
         host::Answerer,
         stakker::{Cx, after},
@@ -39,7 +39,7 @@
 /// The connection to a worker.
 enum Link {
     /// The tasks of this box; holds the sender for orders.
-    Local(Entrance),
+    Local(OrderSender),
     /// A relay, by the name of its box.
     Relay(Arc<str>),
 }
@@ -63,7 +63,7 @@
     /// The relays, which connect to workers on behalf of this box.
     relays: Relays,
     /// Sender for questions to the placement advisor; set with the first question.
-    questions: Option<Sender<Question>>,
+    questions: Option<Sender<AdviceQuery>>,
     /// Local worker tasks that wait for their next poll.
     pending_polls: HashMap<Arc<str>, Answerer<Option<Poll>>>,
     /// Workers whose next poll waits until the ends of their tasks are stored.
@@ -135,14 +135,14 @@
     /// Closes the connection to a worker.
     fn disconnect(&mut self, id: &Arc<str>) {
         if let Some(Link::Relay(name)) = self.links.remove(id) {
-            self.relays.leave(&name, id);
+            self.relays.unassign(&name, id);
         }
     }
 
     /// How urgently the cell needs more relays, if a box connects to at most `direct` workers
     /// itself.
     fn relay_need(&self, direct: usize) -> Need {
-        if self.cell.size() <= direct {
+        if self.cell.worker_count() <= direct {
             return Need::None;
         }
         let mut links = self.links.values();
@@ -156,7 +156,7 @@
     /// Closes the connections to workers that the cell has removed. This has to happen before the
     /// next listing, which may add one of them again.
     fn disconnect_removed(&mut self) {
-        for id in self.cell.take_gone() {
+        for id in self.cell.take_removed() {
             metrics::counter!("magpie_workers_lost_total").increment(1);
             self.disconnect(&id);
         }
@@ -166,13 +166,13 @@
     fn send_poll(&mut self, id: &Arc<str>) {
         let now = time::now();
         if let Some(answerer) = self.pending_polls.remove(id) {
-            answerer.send(self.cell.poll(id, now));
+            answerer.send(self.cell.next_poll(id, now));
             return;
         }
         let Some(Link::Relay(name)) = self.links.get(id) else {
             return;
         };
-        if let Some(poll) = self.cell.poll(id, now) {
+        if let Some(poll) = self.cell.next_poll(id, now) {
             self.relays.poll(name, id, now, poll);
         }
     }
@@ -230,9 +230,9 @@
         metrics::gauge!("magpie_cell_cores_waiting").set(summary.waiting as f64 / 1e3);
         metrics::gauge!("magpie_cell_cores_filling_waiting").set(summary.filling as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(summary.trials as f64);
-        let long_waits = ownership.cell.tell_waits(wall::millis(), time::now());
+        let long_waits = ownership.cell.log_overdue(wall::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(long_waits as f64);
-        metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.lost_places() as f64);
+        metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.misplaced_tasks() as f64);
         after!(SUMMARY_INTERVAL, [cx], |this, cx| this
             .log_summary(cx, fence));
     }
@@ -243,7 +243,7 @@
             return;
         };
         self.node.shared.set_owning(0);
-        ownership.cell.tell_done(time::now());
+        ownership.cell.log_done(time::now());
         ownership.reset_hall_metrics();
         log::warn!(target: "owner", fence = ownership.fence, cause; "Cell ownership ended.");
         metrics::counter!("magpie_tenures_lost_total").increment(1);
@@ -269,16 +269,16 @@
         };
         ownership.last_tick = time::now();
         ownership.check_isolation();
-        ownership.cell.tell_done(time::now());
-        ownership.cell.open_due(wall::millis());
+        ownership.cell.log_done(time::now());
+        ownership.cell.ready_due_steps(wall::millis());
         ownership.cell.rerank(wall::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
-        ownership.cell.lapse(time::now());
+        ownership.cell.expire_leases(time::now());
         ownership.disconnect_removed();
-        let is_intake_due = ownership.cell.is_intake_due();
-        let orphans = ownership.relays.lose_silent(time::now());
-        let overdue = ownership.relays.take_neglected(time::now());
+        let is_intake_due = ownership.cell.is_reread_due();
+        let orphans = ownership.relays.expire_silent(time::now());
+        let overdue = ownership.relays.take_overdue(time::now());
         if is_intake_due {
             owner_tasks::reread_intake(&self.node, fence);
         }
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -2,7 +2,10 @@
 
 use {
     super::Link,
-    crate::{core::Core, owner_tasks, queued::Queued, settings::PASS_INTERVAL, time},
+    crate::core::Core,
+    crate::order_queue::QueuedOrder,
+    crate::settings::PASS_INTERVAL,
+    crate::{owner_tasks, time},
     kernel::stakker::{Cx, after},
     std::time::Duration,
 };
@@ -53,22 +56,24 @@
             && ownership.halls.are_current()
         {
             if let Some(config) = &*config {
-                ownership.cell.set_unguarded(config.unguarded());
+                ownership.cell.set_overcommitting(config.unguarded());
             }
-            let max_starts = ownership.relays.starts(link);
-            ownership.cell.hold_back(ownership.relays.busy());
+            let max_starts = ownership.relays.start_budget(link);
+            ownership
+                .cell
+                .set_backpressured(ownership.relays.busy_workers());
             ownership.cell.place_some(started, max_starts);
         }
         ownership.pass_ended = time::now();
         ownership.pass_duration = ownership.pass_ended - started;
         ownership
             .relays
-            .allow_texts(link, is_store_failing, time::now());
+            .refill_text_budget(link, is_store_failing, time::now());
         for (id, order) in ownership.cell.take_orders() {
             match ownership.links.get(&id) {
                 // If the task has ended, its worker is gone and the order is dropped.
                 Some(Link::Local(link)) => {
-                    link.send(Queued::new(order, 0, 0, time::now()));
+                    link.send(QueuedOrder::new(order, 0, 0, time::now()));
                 }
                 Some(Link::Relay(name)) => {
                     ownership.relays.order(name, &id, time::now(), order);
@@ -89,7 +94,7 @@
             return;
         };
         let fence = ownership.fence;
-        for question in ownership.cell.take_questions() {
+        for question in ownership.cell.take_advice_queries() {
             let sender = ownership
                 .questions
                 .get_or_insert_with(|| owner_tasks::start_advice(&node, fence));
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -10,7 +10,7 @@
         message::{RelayRequest, RelayResponse, WorkerEvent},
         time,
     },
-    cell::{Entry, Order, Outcome, Poll, Reason, Report},
+    cell::{Entry, Order, Outcome, Poll, Refusal, Report},
     kernel::{
         host::Answerer,
         stakker::{Cx, after},
@@ -37,7 +37,7 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.cell.size() <= max_direct {
+        if ownership.cell.worker_count() <= max_direct {
             self.connect_local(fence, entry);
             return;
         }
@@ -101,7 +101,7 @@
         if self
             .ownership
             .as_mut()
-            .is_some_and(|ownership| ownership.relays.take(&request, now))
+            .is_some_and(|ownership| ownership.relays.accept_offer(&request, now))
         {
             for event in request.heard {
                 self.handle_event(cx, fence, &request.name, event);
@@ -122,14 +122,14 @@
         match event {
             WorkerEvent::Left(id) => {
                 if let Some(ownership) = self.ownership_of(fence) {
-                    ownership.relays.left(relay, &id);
+                    ownership.relays.reset_baseline(relay, &id);
                 }
             }
             WorkerEvent::Report(id, sent, delta) => {
                 let Some(ownership) = self.ownership_of(fence) else {
                     return;
                 };
-                let result = ownership.relays.read(relay, &id, delta);
+                let result = ownership.relays.decode_report(relay, &id, delta);
                 if self.handle_report(cx, fence, &id, sent, result) == Next::Poll
                     && let Some(ownership) = self.ownership_of(fence)
                 {
@@ -140,7 +140,7 @@
                 let Some(ownership) = self.ownership_of(fence) else {
                     return;
                 };
-                if let Some((id, order)) = ownership.relays.answered(relay, number) {
+                if let Some((id, order)) = ownership.relays.complete_order(relay, number) {
                     self.handle_outcome(cx, fence, &id, &order, outcome);
                 }
             }
@@ -153,7 +153,7 @@
             return;
         };
         let now = time::now();
-        let mut entries = ownership.relays.take_unattended();
+        let mut entries = ownership.relays.take_unassigned();
         for id in workers {
             ownership.links.remove(&id);
             if let Some(entry) = ownership.cell.entry(&id) {
@@ -163,7 +163,7 @@
         for (entry, since) in entries {
             let is_known = self
                 .ownership_of(fence)
-                .is_some_and(|ownership| ownership.cell.knows(&entry.id));
+                .is_some_and(|ownership| ownership.cell.has_worker(&entry.id));
             if is_known {
                 self.connect_since(fence, entry, since);
             }
@@ -177,7 +177,7 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return false;
         };
-        if ownership.cell.size() <= max_direct || !ownership.relays.has_room() {
+        if ownership.cell.worker_count() <= max_direct || !ownership.relays.has_capacity() {
             return false;
         }
         let Some(entry) = ownership.cell.entry(id).cloned() else {
@@ -210,7 +210,7 @@
             return;
         };
         match next {
-            Next::Poll => answerer.send(ownership.cell.poll(id, time::now())),
+            Next::Poll => answerer.send(ownership.cell.next_poll(id, time::now())),
             Next::Never => answerer.send(None),
             Next::Later => {
                 ownership.pending_polls.insert(id.clone(), answerer);
@@ -237,28 +237,28 @@
                 ownership.poll_answered(id, sent);
                 ownership.cell.report(id, report, sent, now, wall::millis());
             }
-            Err(PollError::Refused(Reason::Fence)) => {
-                if !ownership.cell.is_past(id) {
+            Err(PollError::Refused(Refusal::Fence)) => {
+                if !ownership.cell.is_superseded(id) {
                     self.end_ownership("a worker has been fenced by another owner");
                     return Next::Never;
                 }
-                ownership.cell.unheard(id, now);
+                ownership.cell.poll_failed(id, now);
             }
             Err(PollError::OtherLife(born)) => {
-                successor = ownership.cell.follow(id, born, sent, now);
+                successor = ownership.cell.handle_successor(id, born, sent, now);
             }
-            Err(PollError::Refused(Reason::OtherLife)) => {
+            Err(PollError::Refused(Refusal::OtherLife)) => {
                 ownership
                     .cell
-                    .end_life(id, "another incarnation has answered", now);
+                    .end_incarnation(id, "another incarnation has answered", now);
             }
-            Err(_) => ownership.cell.unheard(id, now),
+            Err(_) => ownership.cell.poll_failed(id, now),
         }
         ownership.disconnect_removed();
         let next = if !ownership.cell.is_polled(id) {
             ownership.disconnect(id);
             Next::Never
-        } else if ownership.cell.is_unwritten(id) {
+        } else if ownership.cell.has_unwritten_ends(id) {
             ownership.unwritten.insert(id.clone());
             let id = id.clone();
             after!(MAX_POLL_DELAY, [cx], |this, _| this.resume_poll(fence, &id));
@@ -275,7 +275,7 @@
 
     /// The first poll of a worker; `None` when the ownership has ended.
     pub(crate) fn first_poll(&mut self, fence: u64, id: &str) -> Option<Poll> {
-        self.ownership_of(fence)?.cell.poll(id, time::now())
+        self.ownership_of(fence)?.cell.next_poll(id, time::now())
     }
 
     /// Polls a worker again whose task ends are stored, or have been delayed for the maximum time.
@@ -300,7 +300,10 @@
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        if ownership.cell.answered(id, order, outcome, time::now()) {
+        if ownership
+            .cell
+            .handle_outcome(id, order, outcome, time::now())
+        {
             self.end_ownership("a worker has been fenced by another owner");
             return;
         }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -6,7 +6,7 @@
         callers::Reply,
         cancel,
         core::Node,
-        kept,
+        decode,
         message::{ClosedHall, PeerRequest, PeerResponse, RelayRequest},
         settings::{PEER_RETRY, PEER_TIMEOUT},
     },
@@ -100,11 +100,11 @@
         }
         PeerRequest::Waiting(queue) => Ok(PeerResponse::Waiting(queue_length(node, queue)?)),
         PeerRequest::Submit(submission) => {
-            let submission = kept::sound(*submission)?;
+            let submission = decode::validate(*submission)?;
             Ok(PeerResponse::Reply(accept::submit(node, submission, false)))
         }
         PeerRequest::Cancel(id) => Ok(PeerResponse::Reply(cancel::cancel(node, &id, false))),
-        PeerRequest::Cancelled(id) => Ok(PeerResponse::Reply(cancel::told(node, &id))),
+        PeerRequest::Cancelled(id) => Ok(PeerResponse::Reply(cancel::receive(node, &id))),
         PeerRequest::Probe { release } => probe(node, release),
         PeerRequest::Halls { passed } => Ok(PeerResponse::Halls(closed_halls(node, passed)?)),
     }
@@ -115,7 +115,7 @@
 pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
     node.remote.ask(move |core, _| {
         let ownership = core.confirmed_ownership()?;
-        Some(ownership.cell.waiting(&queue))
+        Some(ownership.cell.queued_jobs(&queue))
     })
 }
 
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -8,18 +8,18 @@
     crate::{
         core::Node,
         external::PollError,
-        follow,
+        job_cache::JobCache,
         message::{Command, CompactStart, Owner, RelayRequest, RelayResponse, WorkerEvent},
-        news::News,
-        queued::{self, Entrance, Exit, Queued},
+        order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
+        owner_watch,
+        report_delta::ReportDelta,
         settings::{
             IDLE_MIN_INTERVAL, IDLE_OWNER_READ_MS, POLL_RETRY_PAUSE, RELAY_MIN_INTERVAL,
             RELAY_OWNER_READ_MS, RELAY_TIMEOUT,
         },
-        texts::Texts,
         time, worker,
     },
-    cell::{Entry, Order, Outcome, Poll, Reason, Report, Run},
+    cell::{Entry, Order, Outcome, Poll, Refusal, Report, Run},
     job::Id,
     kernel::{Failure, net, sync::lock, wire},
     std::{
@@ -37,7 +37,7 @@
 /// The ways to the two tasks of a worker.
 struct Ways {
     polls: UnboundedSender<(u64, Poll)>,
-    orders: Entrance,
+    orders: OrderSender,
 }
 
 /// What a relay does in one session.
@@ -52,7 +52,7 @@
     pause: Duration,
     ways: HashMap<Arc<str>, Ways>,
     /// The specifications that the owner has sent; empty ones are read from the store.
-    texts: Texts<Arc<str>>,
+    texts: JobCache<Arc<str>>,
     heard: Arc<Mutex<Ear>>,
 }
 
@@ -70,7 +70,7 @@
         let Some(list) = self.lists.get_mut(id) else {
             return;
         };
-        let news = result.map(|report| News::of(report, list));
+        let news = result.map(|report| ReportDelta::diff(report, list));
         self.heard.push(WorkerEvent::Report(id.clone(), at, news));
     }
 
@@ -147,7 +147,7 @@
             IDLE_OWNER_READ_MS
         };
         self.next = now + gap + fastrand::u64(0..gap);
-        follow::look(node);
+        owner_watch::refresh(node);
     }
 }
 
@@ -213,7 +213,7 @@
             offered: 0,
             pause: RELAY_MIN_INTERVAL,
             ways: HashMap::new(),
-            texts: Texts::default(),
+            texts: JobCache::default(),
             heard: Arc::default(),
         }
     }
@@ -235,7 +235,7 @@
                     self.ways.remove(&id);
                     lock(&self.heard).leave(id);
                 }
-                Command::Text(job, text) => self.texts.keep(job, text.unwrap_or_default()),
+                Command::Text(job, text) => self.texts.insert(job, text.unwrap_or_default()),
                 // A task that has ended belongs to a worker that was left.
                 Command::Poll(id, at, poll) => {
                     if let Some(ways) = self.ways.get(&id) {
@@ -256,7 +256,7 @@
             if let Command::Order(id, _, _, order) = command
                 && let Some(ways) = self.ways.get(id)
             {
-                ways.orders.bar(order);
+                ways.orders.revoke_start(order);
             }
         }
     }
@@ -264,7 +264,7 @@
     /// Hands an order of this age, in milliseconds, to its worker's task. Without one it is surely not sent: the owner
     /// counts it as on its way until it is answered.
     fn order(&self, id: &Arc<str>, number: u64, order: Order, age: u64) {
-        let queued = Queued::new(order, number, age, time::now());
+        let queued = QueuedOrder::new(order, number, age, time::now());
         let ways = self.ways.get(id);
         if ways.is_none_or(|ways| !ways.orders.send(queued)) {
             self.refuse([number]);
@@ -273,7 +273,7 @@
 
     /// Answers for orders that are not sent.
     fn refuse(&self, numbers: impl IntoIterator<Item = u64>) {
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         let answers = numbers
             .into_iter()
             .map(|number| WorkerEvent::Answer(number, refused));
@@ -297,7 +297,7 @@
     fn tend(&mut self, node: &Node, entry: Entry) {
         lock(&self.heard).lists.insert(entry.id.clone(), Vec::new());
         let (polls, next) = mpsc::unbounded_channel();
-        let (orders, sent) = queued::line();
+        let (orders, sent) = order_queue::channel();
         let id = entry.id.clone();
         let fence = self.fence;
         let polling = poll(node.clone(), fence, entry.clone(), next, self.heard.clone());
@@ -327,7 +327,13 @@
     }
 }
 
-async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit, heard: Arc<Mutex<Ear>>) {
+async fn send(
+    node: Node,
+    fence: u64,
+    entry: Entry,
+    mut orders: OrderReceiver,
+    heard: Arc<Mutex<Ear>>,
+) {
     while let Some(queued) = orders.next().await {
         let number = queued.number;
         let outcome = worker::send_order(&node, fence, &entry, queued, &orders).await;
@@ -339,14 +345,14 @@
 
 #[cfg(test)]
 mod tests {
-    use {super::*, cell::Key, job::Address};
+    use {super::*, cell::TaskKey, job::Address};
 
     /// An order that nobody takes would count as on its way for good, and its relay as busy.
     #[test]
     fn order_without_a_task_is_refused() {
         let session = Session::new(&RelayResponse::default());
         let order = Order::Stop {
-            key: Key {
+            key: TaskKey {
                 job: Id::new("00000000000000a1").unwrap(),
                 place: 0,
             },
@@ -360,7 +366,7 @@
         session.order(&"w1".into(), 7, order, 0);
         session.start(&Id::new("00000000000000a1").unwrap(), Vec::new(), 0);
         let heard = std::mem::take(&mut lock(&session.heard).heard);
-        let refused = Outcome::Refused(Reason::NotSent);
+        let refused = Outcome::Refused(Refusal::NotSent);
         assert!(matches!(&heard[..], [WorkerEvent::Answer(7, outcome)] if *outcome == refused));
     }
 }
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -5,18 +5,18 @@
     crate::{
         core::Node,
         external::PollError,
-        queued::{self, Entrance, Exit, Queued},
+        order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
         settings::POLL_RETRY_PAUSE,
         time,
     },
-    cell::{Entry, Order, Outcome, Reason},
+    cell::{Entry, Order, Outcome, Refusal},
     kernel::{Failure, net, verdict::Cause},
 };
 
 /// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the
 /// sender for its orders, or `None` if the tasks could not be started.
-pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
-    let (entrance, orders) = queued::line();
+pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<OrderSender> {
+    let (entrance, orders) = order_queue::channel();
     let polled = poll(node.clone(), fence, entry.clone());
     let sent = send(node.clone(), fence, entry, orders);
     match net::spawn(polled).and_then(|()| net::spawn(sent)) {
@@ -51,7 +51,7 @@
     }
 }
 
-async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit) {
+async fn send(node: Node, fence: u64, entry: Entry, mut orders: OrderReceiver) {
     while let Some(queued) = orders.next().await {
         // The ownership may have ended while the order was queued.
         if !node.shared.is_owning(fence) {
@@ -78,8 +78,8 @@
     node: &Node,
     fence: u64,
     entry: &Entry,
-    mut queued: Queued,
-    line: &Exit,
+    mut queued: QueuedOrder,
+    line: &OrderReceiver,
 ) -> Outcome {
     if let Order::Withdraw { .. } = queued.order {
         // It only revokes a queued start, which was done when it was queued.
@@ -89,7 +89,7 @@
         && start.text.is_empty()
     {
         let (own, job) = (node.clone(), start.key.job.clone());
-        let read = move || own.fetched.text(&*own.external.store, &job);
+        let read = move || own.specs.text(&*own.external.store, &job);
         match net::blocking(read)
             .await
             .unwrap_or_else(|| Err(read_panicked()))
@@ -97,13 +97,13 @@
             Ok(text) => start.text = text,
             Err(failure) => {
                 log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A job specification could not be read; the start order is not sent.");
-                return Outcome::Refused(Reason::NotSent);
+                return Outcome::Refused(Refusal::NotSent);
             }
         }
     }
-    if queued.is_stale(time::now()) || line.is_barred(&queued.order) {
+    if queued.is_stale(time::now()) || line.is_revoked(&queued.order) {
         metrics::counter!("magpie_orders_stale_total").increment(1);
-        return Outcome::Refused(Reason::NotSent);
+        return Outcome::Refused(Refusal::NotSent);
     }
     metrics::counter!("magpie_orders_total").increment(1);
     node.external
