--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -55,7 +55,7 @@
     config_verified: Mutex<Option<Mark>>,
     /// Store revision of the configuration that was read last.
     pub(crate) config_revision: AtomicU64,
-    /// How callers that are refused are told to come back.
+    /// The `Retry-After` hint for refused callers.
     pub retry_after: RetryAfter,
     /// The last heartbeat of the owner.
     pub(crate) monitor: Monitor,
--- a/components/node/src/external.rs
+++ b/components/node/src/external.rs
@@ -150,14 +150,14 @@
 
     /// Takes a machine down for maintenance, under the fence of this owner. False when the request
     /// surely had no effect.
-    fn upkeep(&self, order: &MaintenanceOrder, owner: &str, fence: u64) -> bool;
+    fn start_maintenance(&self, order: &MaintenanceOrder, owner: &str, fence: u64) -> bool;
 
     /// Reports the progress of a maintenance wave to the operators.
     ///
     /// # Errors
     ///
     /// The report may not have been written.
-    fn report_progress(&self, standing: &WaveStatus) -> Result<(), Failure>;
+    fn report_progress(&self, status: &WaveStatus) -> Result<(), Failure>;
 }
 
 /// A data hall that the operators have closed: no tasks are started in it.
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -66,28 +66,28 @@
             let orders = core.plan_maintenance(cx, fence, &waves, &listed);
             (orders, core.wave_progress(fence, &waves))
         });
-        let Ok((orders, standings)) = result else {
+        let Ok((orders, statuses)) = result else {
             return;
         };
         had_waves = has_waves;
         for order in orders {
-            let is_done = machines.upkeep(&order, &node.settings.name, fence);
+            let is_done = machines.start_maintenance(&order, &node.settings.name, fence);
             log::info!(target: "owner", wave = order.wave, machine = &*order.machine, fence, done = is_done; "Machine ordered down for maintenance.");
             if !is_done {
                 node.remote
                     .tell(move |core, _| core.maintenance_refused(fence, &order));
             }
         }
-        for standing in standings {
-            if reported.get(&standing.wave) == Some(&standing) {
+        for status in statuses {
+            if reported.get(&status.wave) == Some(&status) {
                 continue;
             }
-            match machines.report_progress(&standing) {
+            match machines.report_progress(&status) {
                 Ok(()) => {
-                    reported.insert(standing.wave, standing);
+                    reported.insert(status.wave, status);
                 }
                 Err(failure) => {
-                    log::warn!(target: "owner", wave = standing.wave, error:% = failure; "Could not report the progress of a maintenance wave.");
+                    log::warn!(target: "owner", wave = status.wave, error:% = failure; "Could not report the progress of a maintenance wave.");
                 }
             }
         }
@@ -264,15 +264,15 @@
         let result = node
             .remote
             .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_interference()));
-        let Ok(Some(learned)) = result else {
+        let Ok(Some(model)) = result else {
             return;
         };
-        let Some(learned) = learned else {
+        let Some(model) = model else {
             continue;
         };
         let change = Change {
             expect: vec![(key.clone(), revision)],
-            put: vec![put_compact(key.clone(), &learned)],
+            put: vec![put_compact(key.clone(), &model)],
             ..Change::default()
         };
         let started = Instant::now();
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -16,11 +16,11 @@
 /// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the
 /// sender for its orders, or `None` if the tasks could not be started.
 pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<OrderSender> {
-    let (entrance, orders) = order_queue::channel();
-    let polled = poll(node.clone(), fence, entry.clone());
-    let sent = send(node.clone(), fence, entry, orders);
-    match net::spawn(polled).and_then(|()| net::spawn(sent)) {
-        Ok(()) => Some(entrance),
+    let (sender, orders) = order_queue::channel();
+    let poll_task = poll(node.clone(), fence, entry.clone());
+    let send_task = send(node.clone(), fence, entry, orders);
+    match net::spawn(poll_task).and_then(|()| net::spawn(send_task)) {
+        Ok(()) => Some(sender),
         Err(error) => {
             log::error!(target: "owner", error:% = error; "The tasks that connect to a worker could not be started.");
             None
@@ -79,7 +79,7 @@
     fence: u64,
     entry: &Entry,
     mut queued: QueuedOrder,
-    line: &OrderReceiver,
+    receiver: &OrderReceiver,
 ) -> Outcome {
     if let Order::Withdraw { .. } = queued.order {
         // It only revokes a queued start, which was done when it was queued.
@@ -101,7 +101,7 @@
             }
         }
     }
-    if queued.is_stale(time::now()) || line.is_revoked(&queued.order) {
+    if queued.is_stale(time::now()) || receiver.is_revoked(&queued.order) {
         metrics::counter!("magpie_orders_stale_total").increment(1);
         return Outcome::Refused(Refusal::NotSent);
     }
