--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -101,7 +101,7 @@
         if self
             .ownership
             .as_mut()
-            .is_some_and(|ownership| ownership.relays.accept_offer(&request, now))
+            .is_some_and(|ownership| ownership.relays.accept_request(&request, now))
         {
             for event in request.heard {
                 self.handle_event(cx, fence, &request.name, event);
@@ -113,7 +113,7 @@
             .map_or(RelayResponse::default(), |ownership| {
                 ownership
                     .relays
-                    .duty(&request.name, fence, link, time::now())
+                    .respond(&request.name, fence, link, time::now())
             })
     }
 
