--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Encodes a key and its value, which lives under `lease` (0 for none).
+/// Encodes a key and its value, attached to `lease` (0 for none).
 pub fn put<T: Serialize>(key: String, value: &T, lease: u64) -> Put {
     // Encoding fails only for maps whose keys are not strings, which no value here has.
     let value = kernel::wire::encode(value).unwrap_or_default();
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -33,7 +33,7 @@
     format!("{STATE}{id}")
 }
 
-/// Key of the owner of a cell, which lives under the owner's lease.
+/// Key of the owner of a cell, attached to the owner's lease.
 pub fn owner(cell: u32) -> String {
     format!("{OWNER}{cell}")
 }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A box: one control-plane node of the scheduler. It accepts jobs, and schedules the cell of
 //! workers while it owns the cell.
 //!
-//! The state lives in one actor, [`core::Core`]. Background threads do the blocking work. Every box
+//! One actor, [`core::Core`], holds the state. Background threads do the blocking work. Every box
 //! has threads that follow the configuration, watch and claim the ownership of the cell, accept
 //! jobs, exchange messages with the owner, and repeat cancellations to it until it confirms them.
 //! The owner also has threads that renew its lease, read the intake, write groups of records, list
