--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -222,13 +222,14 @@
             return;
         };
         let summary = ownership.cell.summary(time::now());
-        log::info!(target: "cell", fence, jobs = summary.jobs, placed = summary.placed, workers = summary.workers, open = summary.open, unserving = summary.unserving, mixed = summary.mixed, paced = summary.paced, serving = summary.serving, firm = summary.firm, free = summary.free, largest = summary.largest, unused = summary.unused, waiting = summary.waiting, filling = summary.filling, trials = summary.trials, trial_age = summary.trial_age; "Cell summary.");
+        log::info!(target: "cell", fence, jobs = summary.jobs, placed = summary.placed, workers = summary.workers, open = summary.schedulable, unserving = summary.without_serving, mixed = summary.mixed, paced = summary.throttled, serving = summary.serving_cpu, firm = summary.other_cpu, free = summary.free_cpu, largest = summary.largest_free, unused = summary.idle_cpu, waiting = summary.waiting_cpu, filling = summary.waiting_best_effort, trials = summary.trials, trial_age = summary.trial_age; "Cell summary.");
         metrics::gauge!("magpie_cell_jobs").set(summary.jobs as f64);
         metrics::gauge!("magpie_cell_tasks_placed").set(summary.placed as f64);
-        metrics::gauge!("magpie_cell_workers_open").set(summary.open as f64);
-        metrics::gauge!("magpie_cell_cores_free").set(summary.free as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_waiting").set(summary.waiting as f64 / 1e3);
-        metrics::gauge!("magpie_cell_cores_filling_waiting").set(summary.filling as f64 / 1e3);
+        metrics::gauge!("magpie_cell_workers_open").set(summary.schedulable as f64);
+        metrics::gauge!("magpie_cell_cores_free").set(summary.free_cpu as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_waiting").set(summary.waiting_cpu as f64 / 1e3);
+        metrics::gauge!("magpie_cell_cores_filling_waiting")
+            .set(summary.waiting_best_effort as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(summary.trials as f64);
         let long_waits = ownership.cell.log_overdue(wall::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(long_waits as f64);
@@ -270,7 +271,7 @@
         ownership.last_tick = time::now();
         ownership.check_isolation();
         ownership.cell.log_done(time::now());
-        ownership.cell.ready_due_steps(wall::millis());
+        ownership.cell.activate_due_steps(wall::millis());
         ownership.cell.rerank(wall::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -62,7 +62,7 @@
             ownership
                 .cell
                 .set_backpressured(ownership.relays.busy_workers());
-            ownership.cell.place_some(started, max_starts);
+            ownership.cell.place_up_to(started, max_starts);
         }
         ownership.pass_ended = time::now();
         ownership.pass_duration = ownership.pass_ended - started;
