--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -125,7 +125,7 @@
     for question in questions {
         let answer = node.external.advisor.advise(&question);
         if let Err(failure) = &answer {
-            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "The placement advisor did not answer.");
+            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "The placement advisor gave no valid answer.");
         }
         node.remote
             .tell(move |core, cx| core.handle_advice(cx, fence, &question, answer.ok()));
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -93,7 +93,7 @@
         self.confirmed_ownership()?.cell.state(id)
     }
 
-    /// Applies the advisor's answer to a question; `None` when it did not answer.
+    /// Applies the advisor's answer to a question; `None` when it gave no valid one.
     pub(crate) fn handle_advice(
         &mut self,
         cx: &mut Cx<'_, Self>,
