--- a/programs/box/src/cli.rs
+++ b/programs/box/src/cli.rs
@@ -1,4 +1,4 @@
-//! Flags, environment variables and the settings file of a box.
+//! Settings of a box: flags, environment variables and the settings file.
 
 use {
     argh::FromArgs,
@@ -17,8 +17,9 @@
     },
 };
 
-/// One box: takes jobs, and owns the cell of workers when it is its turn. Each flag has a variable;
-/// the flag goes first, then the variable, then the settings file.
+/// One box: accepts jobs, and schedules the workers of the cell while it is the owner. Each flag
+/// has an environment variable; a flag takes precedence over its variable, and both over the
+/// settings file.
 #[derive(FromArgs)]
 pub struct Arguments {
     /// file with a line NAME=VALUE for each variable (MAGPIE_SETTINGS)
@@ -33,16 +34,17 @@
     /// share of a core that this box has, such as 0.25 (MAGPIE_SHARE, default 1)
     #[argh(option)]
     share: Option<String>,
-    /// what the box's link carries each way, in Mbit/s (MAGPIE_LINK, default 1000)
+    /// bandwidth of the box's link in each direction, in Mbit/s (MAGPIE_LINK, default 1000)
     #[argh(option)]
     link: Option<String>,
-    /// most workers that it talks to alone as the owner; with more, others do (MAGPIE_OWN_WORKERS, default 70)
+    /// most workers that the owner calls itself; with more, other boxes relay (MAGPIE_OWN_WORKERS,
+    /// default 70)
     #[argh(option)]
     own_workers: Option<String>,
     /// address of the callers' port (MAGPIE_CALLERS)
     #[argh(option)]
     callers: Option<String>,
-    /// address of the port that tells whether the box is ready (MAGPIE_READY)
+    /// address of the port for readiness probes (MAGPIE_READY)
     #[argh(option)]
     ready: Option<String>,
     /// address of this box for other boxes, without a port (MAGPIE_INSIDE)
@@ -51,16 +53,16 @@
     /// first of the free ports; the first serves other boxes and metrics (MAGPIE_PORTS)
     #[argh(option)]
     ports: Option<String>,
-    /// address of the port with figures as text (MAGPIE_METRICS, default none)
+    /// address of an additional port for metrics (MAGPIE_METRICS, default none)
     #[argh(option)]
     metrics: Option<String>,
     /// address of the store (MAGPIE_STORE)
     #[argh(option)]
     store: Option<String>,
-    /// address of the service that advises on workers (MAGPIE_ADVISOR, default none)
+    /// address of the advisor service (MAGPIE_ADVISOR, default none)
     #[argh(option)]
     advisor: Option<String>,
-    /// address of the service for machines (MAGPIE_MACHINES, default none)
+    /// address of the machine service (MAGPIE_MACHINES, default none)
     #[argh(option)]
     machines: Option<String>,
     /// longest lease of a worker, in milliseconds (MAGPIE_LEASE_MS, default 6000)
@@ -69,16 +71,18 @@
     /// how long a worker may take to stop a task, in milliseconds (MAGPIE_STOP_MS, default 900)
     #[argh(option)]
     stop_ms: Option<String>,
-    /// from an order to slow a task down until it shows, in milliseconds (MAGPIE_PACE_MS, default 100)
+    /// delay until an order to slow a task down takes effect, in milliseconds (MAGPIE_PACE_MS,
+    /// default 100)
     #[argh(option)]
     pace_ms: Option<String>,
-    /// how long a worker may be given tasks after it has said that it leaves, in milliseconds (MAGPIE_DRAIN_MS, default 2000)
+    /// how long a draining worker may still be given tasks, in milliseconds (MAGPIE_DRAIN_MS,
+    /// default 2000)
     #[argh(option)]
     drain_ms: Option<String>,
-    /// seconds that the state of an ended job is kept (MAGPIE_RETENTION, default 150)
+    /// how long the state of an ended job is kept, in seconds (MAGPIE_RETENTION, default 150)
     #[argh(option)]
     retention: Option<String>,
-    /// time for an orderly stop, in milliseconds (MAGPIE_GRACE_MS, default 6000)
+    /// time limit of a graceful shutdown, in milliseconds (MAGPIE_GRACE_MS, default 6000)
     #[argh(option)]
     grace_ms: Option<String>,
     /// off, error, warn, info, debug or trace (MAGPIE_LOG_LEVEL, default info)
@@ -89,53 +93,54 @@
     pub check: bool,
 }
 
-/// Bytes a millisecond that 1 Mbit/s carries.
-const BYTES_OF_MBIT: f64 = 125.0;
+/// Bytes per millisecond of a link of 1 Mbit/s.
+const BYTES_PER_MBIT: f64 = 125.0;
 
 /// All settings of the process.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Of the box.
+    /// Settings of the node.
     pub node: Settings,
-    /// The callers' port.
+    /// Address of the port for callers.
     pub callers: SocketAddr,
-    /// The port that tells whether the box is ready.
+    /// Address of the port for readiness probes.
     pub ready: SocketAddr,
-    /// The port for other boxes; it has the metrics too.
+    /// Address of the port for other boxes, which also serves metrics.
     pub inside: SocketAddr,
-    /// A port for metrics alone, at an address that does not change from day to day.
+    /// Fixed address of an additional port for metrics; the other ports may change between
+    /// restarts.
     pub metrics: Option<SocketAddr>,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// The service that advises on workers.
+    /// Address of the advisor service.
     pub advisor: Option<SocketAddr>,
-    /// The service for machines.
+    /// Address of the machine service.
     pub machines: Option<SocketAddr>,
-    /// The time for an orderly stop.
+    /// Time limit of a graceful shutdown.
     pub grace: Duration,
-    /// The level of the logs.
+    /// Log level.
     pub level: LevelFilter,
 }
 
-/// Reads the lines of a settings file; lines that are no setting are passed over.
-fn lines(text: &str) -> HashMap<String, String> {
-    let mut found = HashMap::new();
+/// Parses the lines `NAME=VALUE` of a settings file. Other lines and empty values are ignored.
+fn parse_lines(text: &str) -> HashMap<String, String> {
+    let mut settings = HashMap::new();
     for line in text.lines() {
         let Some((name, value)) = line.split_once('=') else {
             continue;
         };
         if !value.is_empty() {
-            found.insert(name.trim().to_owned(), value.trim().to_owned());
+            settings.insert(name.trim().to_owned(), value.trim().to_owned());
         }
     }
-    found
+    settings
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
 ///
-/// Every setting that is wrong.
+/// All invalid settings.
 pub fn read(arguments: Arguments) -> Result<Setup, Vec<Fault>> {
     let path = arguments
         .settings
@@ -144,7 +149,7 @@
     let file = match &path {
         None => HashMap::new(),
         Some(path) => match fs::read_to_string(path) {
-            Ok(text) => lines(&text),
+            Ok(text) => parse_lines(&text),
             Err(error) => {
                 let mut reader = Reader::new();
                 reader.fault("settings", path, &format!("a readable file ({error})"));
@@ -184,7 +189,7 @@
             name: name?.into(),
             hall: hall?.into(),
             share: (share? * 1_000.0) as u32,
-            link: (link? * BYTES_OF_MBIT) as u64,
+            link: (link? * BYTES_PER_MBIT) as u64,
             own_workers: own? as usize,
             address: inside.to_string().into(),
             timing: Timing {
@@ -210,7 +215,7 @@
     })
 }
 
-/// A setting that is a number above 0.
+/// Reads a setting that must be a finite number greater than 0.
 fn positive(
     reader: &mut Reader<'_>,
     name: &str,
@@ -219,19 +224,20 @@
 ) -> Option<f64> {
     let rule = "a number above 0";
     let value: Option<f64> = reader.value(name, flag, Some(default), rule);
-    if let Some(wrong) = value.filter(|value| !(value.is_finite() && *value > 0.0)) {
-        reader.fault(name, &wrong.to_string(), rule);
+    if let Some(invalid) = value.filter(|value| !(value.is_finite() && *value > 0.0)) {
+        reader.fault(name, &invalid.to_string(), rule);
     }
     value
 }
 
-/// The address of the port for other boxes.
+/// Combines the address and the first port of the settings into the address of the port for other
+/// boxes.
 fn inside(
     reader: &mut Reader<'_>,
     address: Option<String>,
     ports: Option<String>,
 ) -> Option<SocketAddr> {
-    let rule = "an address by numbers";
+    let rule = "a numeric IP address";
     let host: Option<IpAddr> = reader.value("inside", address, Some("127.0.0.1"), rule);
     let ports = reader.value::<String>("ports", ports, Some("7004"), "a port");
     let port = ports.as_deref().and_then(first_port);
@@ -241,7 +247,7 @@
     Some(SocketAddr::new(host?, port?))
 }
 
-/// The first of one or more ports with commas between them.
+/// Parses the first port of a comma-separated list.
 fn first_port(text: &str) -> Option<u16> {
     text.split(',').next()?.parse().ok()
 }
@@ -250,15 +256,15 @@
 mod tests {
     use {super::*, test_case::test_case};
 
-    fn read_lines(text: &'static str) -> Result<Setup, Vec<Fault>> {
-        let file = lines(text);
+    fn build_from_text(text: &'static str) -> Result<Setup, Vec<Fault>> {
+        let file = parse_lines(text);
         let reader = Reader::with_lookup(move |name| file.get(name).cloned());
         build(reader, Arguments::from_args(&["box"], &[]).unwrap())
     }
 
     #[test]
-    fn build_from_file() {
-        let setup = read_lines(
+    fn build_reads_file_settings() {
+        let setup = build_from_text(
             "MAGPIE_NAME=b1\nMAGPIE_HALL=h1\nMAGPIE_INSIDE=10.0.0.1\nMAGPIE_PORTS=7720,7735\nother=1\n",
         )
         .unwrap();
@@ -266,9 +272,9 @@
         assert_eq!(setup.node.timing.lease, 6_000);
     }
 
-    #[test_case("MAGPIE_NAME=b1", 1; "no hall")]
+    #[test_case("MAGPIE_NAME=b1", 1; "missing hall")]
     #[test_case("MAGPIE_NAME=b1\nMAGPIE_HALL=h1\nMAGPIE_PORTS=x\nMAGPIE_STORE=here", 2; "two faults")]
-    fn build_faults(text: &'static str, faults: usize) {
-        assert_eq!(read_lines(text).unwrap_err().len(), faults);
+    fn build_reports_all_faults(text: &'static str, faults: usize) {
+        assert_eq!(build_from_text(text).unwrap_err().len(), faults);
     }
 }
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -1,4 +1,4 @@
-//! The ports of a box: callers, readiness, other boxes and metrics.
+//! HTTP servers of a box: for callers, readiness probes, other boxes and metrics.
 
 use {
     crate::cli::Setup,
@@ -19,24 +19,25 @@
     },
 };
 
-/// The bounds of the callers' port; a box has 3,900 descriptors for sockets.
-const CALLERS: Bounds = Bounds {
+/// Limits of the port for callers. A box has 3,900 file descriptors for sockets.
+const CALLER_BOUNDS: Bounds = Bounds {
     connections: 800,
     idle: Duration::from_secs(60),
 };
-/// Requests of callers that are answered at once; each waits for the store or the owner on a thread.
+/// Maximum number of concurrent requests of callers. Each one occupies a thread while it waits for
+/// the store or the owner.
 const CALLER_TASKS: usize = 800;
-/// Requests of other boxes that are answered at once; some wait for the store.
+/// Maximum number of concurrent requests of other boxes. Some of them wait for the store.
 const PEER_TASKS: usize = 6;
-/// The path of the readiness probe.
+/// Path of the readiness probe.
 const READY: &str = "/readiness";
-/// The path of the data halls that are shut, as text for operators.
+/// Path of the list of closed data halls, as text for operators.
 const HALLS: &str = "/halls";
 
-/// The ports that are open.
+/// The servers of a box. Dropping them closes their ports.
 pub struct Ports {
-    /// Requests of callers that are being answered.
-    pub busy: Arc<AtomicUsize>,
+    /// Number of callers' requests in progress.
+    pub in_progress: Arc<AtomicUsize>,
     _servers: Vec<Server>,
 }
 
@@ -46,28 +47,28 @@
 ///
 /// An address cannot be bound.
 pub fn open(setup: &Setup, node: &Node) -> io::Result<Ports> {
-    let busy = Arc::new(AtomicUsize::new(0));
+    let in_progress = Arc::new(AtomicUsize::new(0));
     let mut servers = vec![
-        serve(setup.inside, node, relayed, (PEER_TASKS, inside))?,
-        serve(setup.ready, node, ready, (1, figures))?,
-        open_callers(setup.callers, node, busy.clone())?,
+        serve(setup.inside, node, handle_relay, (PEER_TASKS, handle_peer))?,
+        serve(setup.ready, node, handle_ready, (1, handle_ops))?,
+        open_callers(setup.callers, node, in_progress.clone())?,
     ];
     if let Some(address) = setup.metrics {
         servers.push(serve(
             address,
             node,
             |_, request| Some(request),
-            (1, figures),
+            (1, handle_ops),
         )?);
     }
     Ok(Ports {
-        busy,
+        in_progress,
         _servers: servers,
     })
 }
 
-/// Opens a port for others than callers. Requests that `quick` gives back are answered by the second handler, so many
-/// at once.
+/// Opens a port that is not for callers. Requests that `quick` returns are passed to `handler`, at
+/// most `tasks` of them concurrently.
 fn serve(
     address: SocketAddr,
     node: &Node,
@@ -83,8 +84,12 @@
     Server::open_within(address, INSIDE, None, service)
 }
 
-fn open_callers(address: SocketAddr, node: &Node, busy: Arc<AtomicUsize>) -> io::Result<Server> {
-    let (node, count) = (node.clone(), busy.clone());
+fn open_callers(
+    address: SocketAddr,
+    node: &Node,
+    in_progress: Arc<AtomicUsize>,
+) -> io::Result<Server> {
+    let (node, count) = (node.clone(), in_progress.clone());
     let service = Service {
         quick: Arc::new(move |request| {
             count.fetch_add(1, Ordering::AcqRel);
@@ -93,14 +98,14 @@
         handler: Arc::new(move |request| {
             let reply = callers::handle(&node, &request);
             request.respond(reply);
-            busy.fetch_sub(1, Ordering::AcqRel);
+            in_progress.fetch_sub(1, Ordering::AcqRel);
         }),
         tasks: CALLER_TASKS,
     };
-    Server::open_within(address, CALLERS, None, service)
+    Server::open_within(address, CALLER_BOUNDS, None, service)
 }
 
-fn ready(node: &Node, request: Request) -> Option<Request> {
+fn handle_ready(node: &Node, request: Request) -> Option<Request> {
     let reply = match request.path.as_str() {
         READY if node.is_ready() => Reply::text(200, "ready\n"),
         READY => Reply::text(503, "not ready\n"),
@@ -110,19 +115,19 @@
     None
 }
 
-fn relayed(node: &Node, request: Request) -> Option<Request> {
+fn handle_relay(node: &Node, request: Request) -> Option<Request> {
     node.answer_relay(request)
 }
 
-fn inside(node: &Node, request: Request) {
+fn handle_peer(node: &Node, request: Request) {
     if let Some(request) = node.answer_box(request) {
-        figures(node, request);
+        handle_ops(node, request);
     }
 }
 
-fn figures(node: &Node, request: Request) {
+fn handle_ops(node: &Node, request: Request) {
     if request.path == HALLS {
-        request.respond(halls(node));
+        request.respond(closed_halls(node));
         return;
     }
     let is_ready = || node.is_ready();
@@ -131,15 +136,16 @@
     }
 }
 
-/// The data halls that are shut, one a line: its name, since when in milliseconds since 1970, and by whom.
-fn halls(node: &Node) -> Reply {
-    let shut = match peer::halls(node, false) {
-        Ok(Some(shut)) => shut,
+/// Lists the closed data halls, one per line: name, time of closure in milliseconds since 1970, and
+/// author, or `-` if unknown.
+fn closed_halls(node: &Node) -> Reply {
+    let closed = match peer::halls(node, false) {
+        Ok(Some(closed)) => closed,
         Ok(None) => return Reply::text(503, "no owner answers\n"),
         Err(failure) => return Reply::failure(&failure),
     };
     let mut text = String::new();
-    for Shut { hall, by, since } in shut {
+    for Shut { hall, by, since } in closed {
         let by = by.as_deref().unwrap_or("-");
         text.push_str(&format!("{hall} {since} {by}\n"));
     }
--- a/programs/box/src/signals.rs
+++ b/programs/box/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: the orderly stop, and the word that the settings file has changed.
+//! Signal handling: graceful shutdown on SIGTERM and SIGINT, and a log line on SIGHUP.
 
 use {
     crate::ports::Ports,
@@ -15,41 +15,41 @@
     },
 };
 
-/// How long the cell's hand-over may take.
+/// Time limit of the hand-over of the cell to another box.
 const HAND_OVER: Duration = Duration::from_millis(1_500);
-/// How long callers are still answered after the word to stop: new ones are sent elsewhere once
-/// two readiness probes, a second apart, have failed.
+/// Minimum time that callers are still served after the signal: new ones are routed to other boxes
+/// once two readiness probes, one second apart, have failed.
 const LINGER: Duration = Duration::from_millis(2_600);
-/// Left of the time for the stop, for the process to end in.
-const MARGIN: Duration = Duration::from_millis(800);
-/// The pause between two looks at whether requests are being answered.
-const LOOK: Duration = Duration::from_millis(10);
+/// Part of the time for a graceful shutdown that is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(800);
+/// Interval between two checks for requests in progress.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until the process is asked to stop, and returns the signal's number.
+/// Waits for SIGTERM or SIGINT and returns the number of the signal.
 ///
 /// # Errors
 ///
-/// The system refuses the signal handlers.
+/// The signal handlers could not be installed or were closed.
 pub fn wait() -> io::Result<i32> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     for signal in signals.forever() {
         if signal != SIGHUP {
             return Ok(signal);
         }
-        // Addresses and bounds of a running box do not change; a file that does is read at the
-        // next start.
-        log::info!(target: "box", "The settings file has changed; it holds from the next start on.");
+        // A running box keeps its addresses and limits; changed settings need a restart.
+        log::info!(target: "box", "SIGHUP received: a changed settings file takes effect at the next start.");
     }
     Err(io::Error::other("the signal handlers were closed"))
 }
 
-/// Stops the box: callers are sent elsewhere, the cell is handed over, requests are finished.
+/// Shuts the box down within `grace`: fails the readiness probe, hands the cell over, and completes
+/// the requests in progress.
 pub fn stop(node: &Node, ports: &Ports, grace: Duration) {
-    let begun = Instant::now();
+    let start = Instant::now();
     node.retire(HAND_OVER);
-    let linger = LINGER.min(grace.saturating_sub(MARGIN));
-    thread::sleep(linger.saturating_sub(begun.elapsed()));
-    while ports.busy.load(Ordering::Acquire) > 0 && begun.elapsed() + MARGIN < grace {
-        thread::sleep(LOOK);
+    let linger = LINGER.min(grace.saturating_sub(EXIT_MARGIN));
+    thread::sleep(linger.saturating_sub(start.elapsed()));
+    while ports.in_progress.load(Ordering::Acquire) > 0 && start.elapsed() + EXIT_MARGIN < grace {
+        thread::sleep(CHECK_INTERVAL);
     }
 }
