--- a/programs/box/src/cli.rs
+++ b/programs/box/src/cli.rs
@@ -107,8 +107,7 @@
     pub ready: SocketAddr,
     /// Address of the port for other boxes, which also serves metrics.
     pub inside: SocketAddr,
-    /// Fixed address of an additional port for metrics; the other ports may change between
-    /// restarts.
+    /// Address of an additional port for metrics alone, which stays the same from day to day.
     pub metrics: Option<SocketAddr>,
     /// Address of the store.
     pub store: SocketAddr,
--- a/programs/box/src/main.rs
+++ b/programs/box/src/main.rs
@@ -9,8 +9,8 @@
     std::time::Duration,
 };
 
-/// Maximum number of idle connections to each server: a worker is called by two threads, the store
-/// by more.
+/// Maximum number of idle connections to each server: two tasks call each worker, and more tasks
+/// call the store.
 const MAX_IDLE_PER_HOST: usize = 10;
 /// Maximum number of idle connections in total, enough for some hundreds of workers.
 const MAX_IDLE: usize = 1_200;
--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -1,7 +1,7 @@
-//! Boxes as separate processes, against stand-ins of the platform in this one.
+//! End-to-end tests of boxes in separate processes, against simulated platform services in the test
+//! process.
 //!
-//! Nothing here judges a time: each step waits until what it names has come about, and a wait that
-//! lasts far too long fails the test.
+//! The tests do not depend on timing: each step waits for its condition, with a long time-out.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -33,27 +33,32 @@
     test_case::test_case,
 };
 
-/// A wait that lasts this long has failed, on any machine.
-const FOREVER: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
+/// Time-out of every wait, long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Run time of a task.
 const WORK: Duration = Duration::from_millis(50);
-/// For so long the entry of a new life may be behind.
-const BEHIND: Duration = Duration::from_millis(600);
+/// Delay after which a restarted worker updates its entry in the store.
+const ENTRY_DELAY: Duration = Duration::from_millis(600);
 
 fn free_port() -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap().port()
 }
 
-fn until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !is_so() {
-        assert!(begun.elapsed() < FOREVER, "never came about: {what}");
-        thread::sleep(LOOK);
+/// Waits until `condition` holds; panics with `description` after [`WAIT_TIMEOUT`].
+fn until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting: {description}"
+        );
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// One box.
+/// A box in its own process.
 struct Process {
     name: String,
     store: String,
@@ -62,23 +67,23 @@
     callers: u16,
     ready: u16,
     inside: u16,
-    /// It has told that all its ports are open.
-    runs: Arc<AtomicBool>,
+    /// True once the box has logged that all its ports are open.
+    is_open: Arc<AtomicBool>,
 }
 
-/// The line of a box whose ports are all open.
-const RUNS: &str = "\"The box runs.\"";
+/// Log message of a box whose ports are all open.
+const OPEN_MESSAGE: &str = "\"The box runs.\"";
 
-/// Reads what a box writes to its end, and notes that its ports are open.
-fn read_lines(child: &mut Child) -> Arc<AtomicBool> {
-    let runs = Arc::new(AtomicBool::new(false));
-    let (own, out) = (runs.clone(), child.stdout.take().unwrap());
+/// Reads the output of a box until it ends. The returned flag is set once its ports are open.
+fn watch_output(child: &mut Child) -> Arc<AtomicBool> {
+    let is_open = Arc::new(AtomicBool::new(false));
+    let (flag, out) = (is_open.clone(), child.stdout.take().unwrap());
     thread::spawn(move || {
         for line in BufReader::new(out).lines().map_while(Result::ok) {
-            own.fetch_or(line.contains(RUNS), Ordering::AcqRel);
+            flag.fetch_or(line.contains(OPEN_MESSAGE), Ordering::AcqRel);
         }
     });
-    runs
+    is_open
 }
 
 impl Process {
@@ -87,7 +92,7 @@
         Process::start_at(name, store, own_workers, ports)
     }
 
-    /// The ports are those of callers, of readiness and of other boxes.
+    /// Starts a box with the given ports for callers, readiness probes and other boxes.
     fn start_at(name: &str, store: &str, own_workers: usize, ports: [u16; 3]) -> Self {
         let [callers, ready, inside] = ports;
         let mut child = Command::new(env!("CARGO_BIN_EXE_magpie-box"))
@@ -101,7 +106,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
-        let runs = read_lines(&mut child);
+        let is_open = watch_output(&mut child);
         Process {
             name: name.to_owned(),
             store: store.to_owned(),
@@ -110,44 +115,45 @@
             callers,
             ready,
             inside,
-            runs,
+            is_open,
         }
     }
 
-    /// Ports were free when they were looked for; another test may have taken one since. Then the
-    /// box has ended with 1 and is started with others.
-    fn start_again_without_ports(&mut self) {
+    /// Restarts the box with other ports if it has exited with status 1: another test may have
+    /// bound one of its ports since they were found free.
+    fn restart_if_exited(&mut self) {
         let Some(ended) = self.child.try_wait().unwrap() else {
             return;
         };
-        assert_eq!(ended.code(), Some(1), "a box ended before it was ready");
+        assert_eq!(ended.code(), Some(1), "a box exited before it was ready");
         *self = Process::start(&self.name, &self.store, self.own_workers);
     }
 
-    /// True once it answers so itself: another box may have taken the port that was found free for this one.
+    /// Returns true once this box reports itself ready. A response on its port is not enough, since
+    /// another box may have bound that port.
     fn is_ready(&self) -> bool {
-        self.runs.load(Ordering::Acquire)
+        self.is_open.load(Ordering::Acquire)
             && send(self.ready, "GET", "/readiness", None)
                 .is_some_and(|answer| answer.status == 200)
     }
 
-    /// Tells the box, as another one would, that a job is cancelled.
-    fn tell_cancelled(&self, id: &str) -> Reply {
+    /// Notifies the box of a cancellation, as another box would.
+    fn notify_cancelled(&self, id: &str) -> Reply {
         let url = format!("http://127.0.0.1:{}/peer", self.inside);
         let ask = Ask::Cancelled(Id::new(id).unwrap());
-        match Client::new(None).post(&url, &ask, FOREVER).unwrap() {
+        match Client::new(None).post(&url, &ask, WAIT_TIMEOUT).unwrap() {
             Told::Reply(reply) => reply,
             other => panic!("{other:?}"),
         }
     }
 
-    /// The threads that it has now.
+    /// Returns the current number of threads.
     fn threads(&self) -> usize {
         let tasks = format!("/proc/{}/task", self.child.id());
         std::fs::read_dir(tasks).unwrap().count()
     }
 
-    /// Its probes of the store, and all its other calls of it.
+    /// Returns the number of its probes of the store, and of its other calls to the store.
     fn store_calls(&self) -> (u64, u64) {
         let answer = send(self.inside, "GET", "/metrics", None).unwrap();
         let text = String::from_utf8(answer.body).unwrap();
@@ -195,14 +201,14 @@
     Client::new(None).send(&call).ok()
 }
 
-struct World {
+struct Cluster {
     kv: Kv,
     store: String,
     seen: Arc<Mutex<Seen>>,
     runners: Vec<Runner>,
 }
 
-impl World {
+impl Cluster {
     fn new(work: Duration) -> Self {
         let kv = Kv::default();
         let url = kv.open(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -213,7 +219,7 @@
             runners.push(Runner::open(&kv, "pool", &id, 4, work, &seen).unwrap());
         }
         configure(&kv, 1, "/q/");
-        World {
+        Cluster {
             kv,
             store: url.trim_start_matches("http://").to_owned(),
             seen,
@@ -222,46 +228,51 @@
     }
 
     fn boxes(&self, count: usize) -> Vec<Process> {
-        self.sharing_boxes(count, 70)
+        self.boxes_with_relays(count, 70)
     }
 
-    /// Boxes of which the owner talks to so many workers itself.
-    fn sharing_boxes(&self, count: usize, own: usize) -> Vec<Process> {
+    /// Starts boxes whose owner calls at most `own_workers` workers itself, and waits until all are
+    /// ready.
+    fn boxes_with_relays(&self, count: usize, own_workers: usize) -> Vec<Process> {
         let names = (0..count).map(|number| format!("b{number}"));
         let mut boxes: Vec<Process> = names
-            .map(|name| Process::start(&name, &self.store, own))
+            .map(|name| Process::start(&name, &self.store, own_workers))
             .collect();
         until("all boxes are ready", || {
             for process in &mut boxes {
-                process.start_again_without_ports();
+                process.restart_if_exited();
             }
             boxes.iter().all(Process::is_ready)
         });
         boxes
     }
 
-    /// Cancels a job as callers do: they come again after a refusal, which has to be true, and where it is
-    /// not known what was done. Either comes from a box that the store does not answer in time, as the one
-    /// of this process may on a machine that is busy to its limit.
+    /// Cancels a job as callers do: they retry after a rejection, which must guarantee that nothing
+    /// was written, and after a response of unknown outcome. A box gives either response if the
+    /// store does not respond in time, which the simulated store may not do on an overloaded
+    /// machine.
     fn cancel(&self, process: &Process, id: &str) {
         let path = format!("/q/{id}");
-        let mut is_unsure = false;
-        until("the cancellation is taken", || {
+        let mut is_outcome_unknown = false;
+        until("the cancellation is accepted", || {
             match send(process.callers, "DELETE", &path, None).unwrap().status {
                 200 => return true,
                 503 => {
                     let was_tried = self.kv.was_tried(&format!("magpie/in/cancel/{id}"));
-                    assert!(is_unsure || !was_tried, "a refusal is not true");
+                    assert!(
+                        is_outcome_unknown || !was_tried,
+                        "a rejected cancellation was written"
+                    );
                 }
-                504 => is_unsure = true,
-                other => panic!("a cancellation is answered {other}"),
+                504 => is_outcome_unknown = true,
+                other => panic!("unexpected status of a cancellation: {other}"),
             }
             false
         });
     }
 
-    /// Submits jobs of these numbers and waits until they are completed.
-    fn complete(&self, boxes: &[Process], jobs: Range<u32>) {
+    /// Submits jobs with ids from a range and waits until they are completed.
+    fn run_jobs(&self, boxes: &[Process], jobs: Range<u32>) {
         let port = boxes[0].callers;
         let paths: Vec<String> = jobs.map(|number| format!("/q/{number:016x}")).collect();
         for path in &paths {
@@ -275,26 +286,26 @@
         }
     }
 
-    /// A box that does not own the cell.
+    /// Returns a box that does not own the cell.
     fn idle<'a>(&self, boxes: &'a [Process]) -> &'a Process {
         let owner = self.owner();
         let mut others = boxes.iter();
         others
-            .find(|own| Some(&own.name) != owner.as_ref())
+            .find(|process| Some(&process.name) != owner.as_ref())
             .unwrap()
     }
 
-    /// The number of tasks that run on all workers.
+    /// Returns the number of running tasks on all workers.
     fn running(&self) -> usize {
         self.runners.iter().map(Runner::running).sum()
     }
 
-    /// How often workers have crashed under a task.
+    /// Returns how many times workers have crashed because of a task.
     fn crashes(&self) -> u32 {
         self.runners.iter().map(Runner::crashes).sum()
     }
 
-    /// The name of the box that owns the cell, read from the store as an operator would.
+    /// Returns the name of the box that owns the cell, according to the store.
     fn owner(&self) -> Option<String> {
         let bytes = decode(&self.kv.value("magpie/owner/0")?);
         let is_named = |name: &&str| bytes.windows(2).any(|part| part == name.as_bytes());
@@ -339,8 +350,8 @@
 
 #[test]
 fn job_completes_through_any_box() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(2);
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     for process in &boxes {
         let answer = send(process.callers, "POST", path, Some(&job(4))).unwrap();
@@ -351,42 +362,43 @@
             state(process.callers, path) == "completed"
         });
     }
-    let seen = lock(&world.seen);
+    let seen = lock(&cluster.seen);
     assert_eq!(seen.starts.len(), 5);
     assert!(seen.starts.values().all(|&starts| starts == 1));
     assert!(seen.doubled.is_empty());
 }
 
-/// The most threads of a box that neither owns the cell nor talks to workers.
+/// Maximum number of threads of a box that neither owns the cell nor relays.
 const IDLE_THREADS: usize = 12;
 
-/// A host may have few threads for many boxes.
+/// A host may allow few threads for many boxes.
 #[test]
-fn threads_of_idle_box() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
-    let idle = world.idle(&boxes);
+fn idle_box_has_few_threads() {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
+    let idle = cluster.idle(&boxes);
     let mut clients = Vec::new();
     for _ in 0..40 {
         let address = ("127.0.0.1", idle.callers);
         clients.push(std::net::TcpStream::connect(address).unwrap());
     }
-    until("threads that have served have ended", || {
+    until("the threads that served callers have ended", || {
         idle.threads() <= IDLE_THREADS
     });
 }
 
-/// A box that did nothing read and watched the configuration and the owner's key, 12 calls in 5 s; 587 of them made nine
-/// tenths of all calls of the store. Probes cost a tenth of a call.
+/// Guards against idle boxes that read and watch the configuration and the owner's key: with 12
+/// calls in 5 s each, 587 of them made nine tenths of all calls to the store. A probe costs a tenth
+/// of a call.
 #[test]
 fn idle_box_only_probes_the_store() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
-    let idle = world.idle(&boxes);
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
+    let idle = cluster.idle(&boxes);
     let mut since = idle.store_calls();
-    until("three probes come with no call between", || {
+    until("three probes occur without another call", || {
         let now = idle.store_calls();
         if now.1 != since.1 {
             since = now;
@@ -396,17 +408,17 @@
 }
 
 #[test]
-fn boxes_answer_again_after_the_store_has_failed() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(2);
+fn boxes_recover_after_store_outage() {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
-    world.kv.fail(Faults {
+    cluster.kv.fail(Faults {
         busy: true,
         ..Faults::default()
     });
     until("no box is ready", || !boxes.iter().any(Process::is_ready));
-    world.kv.fail(Faults::default());
+    cluster.kv.fail(Faults::default());
     for process in &boxes {
         until("the box is ready again", || process.is_ready());
         until("the job is completed", || {
@@ -415,70 +427,71 @@
     }
 }
 
-/// The threads that a box may have besides while it talks to workers, however many.
-const TALK_THREADS: usize = 16;
+/// Maximum number of additional threads of a box that calls workers, regardless of their number.
+const WORKER_THREADS: usize = 16;
 const MANY: usize = 200;
 
-/// Two threads for each worker were 400 here.
+/// Guards against threads per worker: two for each worker would be 400 here.
 #[test_case(1, 1_000; "owner")]
 #[test_case(2, 1; "relay")]
-fn threads_of_box_with_many_workers(boxes: usize, own: usize) {
-    let world = World::new(WORK);
+fn box_with_many_workers_has_few_threads(boxes: usize, own: usize) {
+    let cluster = Cluster::new(WORK);
     let open = |number| {
         let id = format!("i-many-{number}");
-        Runner::open(&world.kv, "pool", &id, 4, FOREVER, &world.seen).unwrap()
+        Runner::open(&cluster.kv, "pool", &id, 4, WAIT_TIMEOUT, &cluster.seen).unwrap()
     };
     let runners: Vec<Runner> = (0..MANY).map(open).collect();
-    let boxes = world.sharing_boxes(boxes, own);
+    let boxes = cluster.boxes_with_relays(boxes, own);
     let path = "/q/00000000000000a1";
     let accepted = send(boxes[0].callers, "POST", path, Some(&job(8 * MANY as u32)));
     assert_eq!(accepted.unwrap().status, 200);
-    until("every worker runs something", || {
+    until("every worker runs a task", || {
         runners.iter().all(|runner| runner.running() > 0)
     });
     for process in boxes {
         let threads = process.threads();
-        assert!(threads <= IDLE_THREADS + TALK_THREADS, "{threads}");
+        assert!(threads <= IDLE_THREADS + WORKER_THREADS, "{threads}");
     }
 }
 
 #[test]
-fn refusals_tell_what_is_wrong() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(1);
+fn invalid_requests_get_error_statuses() {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
     assert_eq!(status(port, "/other/00000000000000a1"), 404);
     assert_eq!(status(port, "/q/00000000000000a1"), 410);
     assert_eq!(status(port, "/q/short"), 400);
-    until("the queue can be counted", || status(port, "/q/") == 200);
+    until("the queue responds", || status(port, "/q/") == 200);
     let bad = json!({ "specification": "x", "steps": [] });
     let answer = send(port, "POST", "/q/00000000000000a1", Some(&bad)).unwrap();
     assert_eq!(answer.status, 400);
     let large = json!({ "specification": "x".repeat(300_000), "steps": [] });
     let answer = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
     assert_eq!(answer.status, 413);
-    world.kv.fail(Faults {
+    cluster.kv.fail(Faults {
         busy: true,
         ..Faults::default()
     });
     let answer = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
     assert_eq!(answer.status, 503);
     assert_eq!(answer.header("retry-after"), "1");
-    world.kv.fail(Faults::default());
-    until("the refused job is not known", || {
+    cluster.kv.fail(Faults::default());
+    until("the rejected job is unknown", || {
         status(port, "/q/00000000000000a2") == 410
     });
 }
 
-/// The write took effect and its answer was lost: the job stands, and the caller is told so.
+/// A submission whose write took effect but whose response from the store was lost is accepted, at
+/// the latest when the caller retries it.
 #[test]
-fn lost_write_is_settled_by_reading() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(1);
+fn lost_write_response_is_resolved_by_reading() {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
-    until("the cell has an owner", || world.owner().is_some());
+    until("the cell has an owner", || cluster.owner().is_some());
     let path = "/q/00000000000000a1";
-    world.kv.fail(Faults {
+    cluster.kv.fail(Faults {
         lost: 1,
         ..Faults::default()
     });
@@ -491,179 +504,201 @@
     let second = send(port, "POST", path, Some(&job(1))).unwrap();
     assert_eq!(second.status, 200);
     until("the job is completed", || state(port, path) == "completed");
-    assert!(lock(&world.seen).starts.values().all(|&starts| starts == 1));
+    assert!(
+        lock(&cluster.seen)
+            .starts
+            .values()
+            .all(|&starts| starts == 1)
+    );
 }
 
 #[test]
-fn cancelled_job_stops() {
-    let world = World::new(FOREVER);
-    let boxes = world.boxes(2);
+fn cancelled_job_is_stopped() {
+    let cluster = Cluster::new(WAIT_TIMEOUT);
+    let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
-    until("its tasks run", || world.running() == 4);
-    world.cancel(&boxes[1], "00000000000000a1");
-    until("nothing of it runs", || world.running() == 0);
+    until("its tasks run", || cluster.running() == 4);
+    cluster.cancel(&boxes[1], "00000000000000a1");
+    until("its tasks have stopped", || cluster.running() == 0);
     assert_eq!(state(boxes[0].callers, path), "cancelled");
     let gone = send(boxes[0].callers, "DELETE", "/q/00000000000000a2", None).unwrap();
     assert_eq!(gone.status, 410);
 }
 
-/// A cancellation that any box took is told to the owner at once: its watch may have gone silent.
-#[test_case(0; "taken by one box")]
-#[test_case(1; "taken by the other")]
-fn cancelled_job_stops_without_watch(taker: usize) {
-    let world = World::new(FOREVER);
-    let boxes = world.boxes(2);
+/// A box that accepts a cancellation notifies the owner at once, since the owner's watch may
+/// deliver no events.
+#[test_case(0; "accepted by one box")]
+#[test_case(1; "accepted by the other box")]
+fn cancelled_job_is_stopped_without_watch(box_index: usize) {
+    let cluster = Cluster::new(WAIT_TIMEOUT);
+    let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
-    until("its tasks run", || world.running() == 4);
-    world.kv.fail(Faults {
+    until("its tasks run", || cluster.running() == 4);
+    cluster.kv.fail(Faults {
         deaf: true,
         ..Faults::default()
     });
-    world.cancel(&boxes[taker], "00000000000000a1");
-    until("nothing of it runs", || world.running() == 0);
+    cluster.cancel(&boxes[box_index], "00000000000000a1");
+    until("its tasks have stopped", || cluster.running() == 0);
 }
 
-/// What is not confirmed is told again, so nobody else than an owner that knows the job confirms.
+/// Unconfirmed cancellations are sent again, so only an owner that knows the job may confirm one.
 #[test]
-fn cancellation_is_confirmed_by_the_owner() {
-    let world = World::new(FOREVER);
-    let boxes = world.boxes(2);
+fn cancellation_is_confirmed_only_by_owner() {
+    let cluster = Cluster::new(WAIT_TIMEOUT);
+    let boxes = cluster.boxes(2);
     let id = "00000000000000a1";
     let path = format!("/q/{id}");
     send(boxes[0].callers, "POST", &path, Some(&job(4))).unwrap();
-    until("its tasks run", || world.running() == 4);
-    let index = usize::from(world.owner().unwrap() != "b0");
+    until("its tasks run", || cluster.running() == 4);
+    let index = usize::from(cluster.owner().unwrap() != "b0");
     let (owner, other) = (&boxes[index], &boxes[1 - index]);
-    assert_eq!(other.tell_cancelled(id), Reply::Gone);
-    assert_eq!(owner.tell_cancelled("00000000000000a2"), Reply::Gone);
-    assert_eq!(owner.tell_cancelled(id), Reply::Cancelled);
-    until("nothing of it runs", || world.running() == 0);
-    assert_eq!(owner.tell_cancelled(id), Reply::Cancelled);
+    assert_eq!(other.notify_cancelled(id), Reply::Gone);
+    assert_eq!(owner.notify_cancelled("00000000000000a2"), Reply::Gone);
+    assert_eq!(owner.notify_cancelled(id), Reply::Cancelled);
+    until("its tasks have stopped", || cluster.running() == 0);
+    assert_eq!(owner.notify_cancelled(id), Reply::Cancelled);
 }
 
-/// Once the store has failed a box, refusals are true: no write leaves until a read has come back.
+/// After a failed call of the store a box rejects submissions without sending a write, until a read
+/// has succeeded.
 #[test_case(Faults { reset: true, ..Faults::default() }; "reset")]
 #[test_case(Faults { busy: true, ..Faults::default() }; "busy")]
-fn refused_job_was_never_sent(faults: Faults) {
-    let world = World::new(WORK);
-    let boxes = world.boxes(1);
+fn rejected_job_is_not_written(faults: Faults) {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
-    until("the cell has an owner", || world.owner().is_some());
-    world.kv.fail(faults);
+    until("the cell has an owner", || cluster.owner().is_some());
+    cluster.kv.fail(faults);
     let submit = |id: &str| {
         let path = format!("/q/{id}");
         send(port, "POST", &path, Some(&job(1))).unwrap().status
     };
-    // The first one may meet the failure itself.
+    // The write of the first submission may itself fail.
     submit("00000000000000a0");
     for id in ["00000000000000a1", "00000000000000a2", "00000000000000a3"] {
         assert_eq!(submit(id), 503);
-        assert!(!world.kv.was_tried(&format!("magpie/in/job/{id}")));
+        assert!(!cluster.kv.was_tried(&format!("magpie/in/job/{id}")));
     }
-    world.kv.fail(Faults::default());
-    until("the refused job is taken", || {
+    cluster.kv.fail(Faults::default());
+    until("the rejected job is accepted", || {
         submit("00000000000000a1") == 200
     });
 }
 
 #[test]
-fn configuration_follows_without_restart() {
-    let world = World::new(WORK);
-    let boxes = world.boxes(1);
+fn configuration_changes_without_restart() {
+    let cluster = Cluster::new(WORK);
+    let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
     assert_eq!(status(port, "/new/"), 404);
-    configure(&world.kv, 5, "/new/");
-    until("the new queue is there", || status(port, "/new/") == 200);
+    configure(&cluster.kv, 5, "/new/");
+    until("the new queue is available", || {
+        status(port, "/new/") == 200
+    });
     assert_eq!(status(port, "/q/"), 404);
-    configure(&world.kv, 4, "/q/");
-    world.kv.compact();
-    until("the older version was seen", || world.kv.calls() > 0);
+    configure(&cluster.kv, 4, "/q/");
+    cluster.kv.compact();
+    until("the older version was read", || cluster.kv.calls() > 0);
     assert_eq!(status(port, "/new/"), 200);
 }
 
-/// The owner is killed while tasks run: another box takes over and nothing runs twice.
+/// If the owner is killed while tasks run, another box takes over and no task runs twice.
 #[test]
-fn killed_owner_is_followed() {
-    let world = World::new(Duration::from_secs(2));
-    let mut boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
-    let first = world.owner().unwrap();
+fn killed_owner_is_replaced() {
+    let cluster = Cluster::new(Duration::from_secs(2));
+    let mut boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
+    let first = cluster.owner().unwrap();
     let index = if first == "b0" { 0 } else { 1 };
     let path = "/q/00000000000000a1";
     send(boxes[1 - index].callers, "POST", path, Some(&job(6))).unwrap();
-    until("its tasks run", || world.running() == 6);
+    until("its tasks run", || cluster.running() == 6);
     let killed = boxes.remove(index);
     killed.signal("-KILL");
     until("another box owns the cell", || {
-        world.owner().is_some_and(|owner| owner != first)
+        cluster.owner().is_some_and(|owner| owner != first)
     });
     until("the job is completed", || {
         state(boxes[0].callers, path) == "completed"
     });
-    let seen = lock(&world.seen);
+    let seen = lock(&cluster.seen);
     assert!(seen.doubled.is_empty());
     assert!(seen.starts.values().all(|&starts| starts == 1));
 }
 
-/// A worker crashes and starts again at its address while its former entry stays listed. What runs
-/// on the new life goes on there, though another worker has room. Some 52 calls of a box take six
-/// listings.
+/// A worker crashes and restarts at its address while its previous entry is still listed. Tasks on
+/// the new incarnation keep running there, although another worker has free capacity. A box lists
+/// the workers about six times in 52 calls.
 #[test]
-fn restarted_worker_runs_nothing_twice() {
-    let world = World::new(FOREVER);
-    let boxes = world.boxes(1);
+fn restarted_worker_runs_no_task_twice() {
+    let cluster = Cluster::new(WAIT_TIMEOUT);
+    let boxes = cluster.boxes(1);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(12))).unwrap();
-    until("its tasks fill all workers", || world.running() == 12);
-    world.runners[0].restart("i-new");
-    until("what was lost runs again", || world.running() == 12);
-    let _empty = Runner::open(&world.kv, "pool", "i-other", 4, FOREVER, &world.seen).unwrap();
-    let before = world.kv.calls();
+    until("its tasks fill all workers", || cluster.running() == 12);
+    cluster.runners[0].restart("i-new");
+    until("the lost tasks run again", || cluster.running() == 12);
+    let _empty = Runner::open(
+        &cluster.kv,
+        "pool",
+        "i-other",
+        4,
+        WAIT_TIMEOUT,
+        &cluster.seen,
+    )
+    .unwrap();
+    let before = cluster.kv.calls();
     until("the workers were listed several times", || {
-        world.kv.calls() > before + 52
+        cluster.kv.calls() > before + 52
     });
-    let seen = lock(&world.seen);
+    let seen = lock(&cluster.seen);
     assert!(seen.doubled.is_empty(), "{:?}", seen.doubled);
     assert_eq!(seen.starts.values().sum::<u32>(), 16);
 }
 
-/// Seen beside busy processes: a test waited for an owner in vain. The port of its box's readiness had been taken by the box of
-/// another test, which answered that it was ready; its own had ended without a port, and nobody started it again.
+/// Guards against a test that waits forever for an owner: the readiness port of its box had been
+/// bound by the box of another test, which reported itself ready, while its own box had exited
+/// without a port and was not restarted.
 #[test]
-fn box_without_port_is_not_taken_for_ready() {
-    let world = World::new(WORK);
-    let other = world.boxes(1).remove(0);
+fn box_without_port_is_not_considered_ready() {
+    let cluster = Cluster::new(WORK);
+    let other = cluster.boxes(1).remove(0);
     let free = (free_port(), free_port());
-    let mut own = Process::start_at("b1", &world.store, 70, [free.0, other.ready, free.1]);
-    let ended = own.child.wait().unwrap();
+    let mut process = Process::start_at("b1", &cluster.store, 70, [free.0, other.ready, free.1]);
+    let ended = process.child.wait().unwrap();
     assert_eq!(ended.code(), Some(1));
-    assert!(other.is_ready() && !own.is_ready());
-    until("it is started again and ready", || {
-        own.start_again_without_ports();
-        own.is_ready()
+    assert!(other.is_ready() && !process.is_ready());
+    until("the box is restarted and ready", || {
+        process.restart_if_exited();
+        process.is_ready()
     });
 }
 
-/// What users saw: something that must run once ran twice, and jobs stood still to the end of the day. Workers had started
-/// again under the names that they had, and counted their ends anew. The owner told a life by the worker's name alone: it
-/// skipped the first ends of the new life as known, had that life forget them, and started their tasks again when their runs
-/// were listed no more. Evidence: of runs that began at once on one such worker the first ended unseen and the later ones
-/// did not, "A worker does not list a run that it was given."; jobs that stood still waited for tasks that had ended well up
-/// to nine times.
+/// Guards against an owner that identifies the incarnation of a worker by its name alone. Restarted
+/// workers number their ends from 1 again. Such an owner skips the first ends of the new
+/// incarnation as known, acknowledges them so that the worker discards them, and starts their tasks
+/// again once their runs are missing from reports: tasks run twice (up to nine times), and their
+/// jobs never complete.
 #[test_case(1, 70, false, false; "one box")]
-#[test_case(1, 70, true, false; "entry behind")]
+#[test_case(1, 70, true, false; "stale entry")]
 #[test_case(2, 1, false, false; "relay")]
-#[test_case(2, 1, true, false; "relay and entry behind")]
+#[test_case(2, 1, true, false; "relay and stale entry")]
 #[test_case(2, 70, false, true; "killed owner")]
-#[test_case(3, 1, true, true; "killed owner with relays and entry behind")]
-fn worker_under_its_former_name(boxes: usize, own: usize, behind: bool, kills: bool) {
-    let world = World::new(WORK);
-    let mut boxes = world.sharing_boxes(boxes, own);
-    until("the cell has an owner", || world.owner().is_some());
-    // The former lives have ended more runs than the new ones will for a while.
-    world.complete(&boxes, 1..5);
+#[test_case(3, 1, true, true; "killed owner with relays and stale entry")]
+fn worker_restarts_under_same_name(
+    boxes: usize,
+    own_workers: usize,
+    is_entry_stale: bool,
+    kills: bool,
+) {
+    let cluster = Cluster::new(WORK);
+    let mut boxes = cluster.boxes_with_relays(boxes, own_workers);
+    until("the cell has an owner", || cluster.owner().is_some());
+    // The previous incarnations end more runs than the new ones do at first.
+    cluster.run_jobs(&boxes, 1..5);
     send(
         boxes[0].callers,
         "POST",
@@ -671,61 +706,68 @@
         Some(&job(12)),
     )
     .unwrap();
-    for (number, runner) in world.runners.iter().enumerate() {
+    for (number, runner) in cluster.runners.iter().enumerate() {
         let id = format!("i-{number}");
-        if behind {
+        if is_entry_stale {
             runner.restart_unlisted(&id);
         } else {
             runner.restart(&id);
         }
     }
     if kills {
-        let owner = world.owner().unwrap();
-        let index = boxes.iter().position(|own| own.name == owner).unwrap();
+        let owner = cluster.owner().unwrap();
+        let index = boxes
+            .iter()
+            .position(|process| process.name == owner)
+            .unwrap();
         boxes.remove(index).signal("-KILL");
     }
-    thread::sleep(BEHIND);
-    for runner in &world.runners {
+    thread::sleep(ENTRY_DELAY);
+    for runner in &cluster.runners {
         runner.list();
     }
-    world.complete(&boxes, 5..9);
-    until("what began before is completed", || {
+    cluster.run_jobs(&boxes, 5..9);
+    until("the job from before the restart is completed", || {
         state(boxes[0].callers, "/q/00000000000000aa") == "completed"
     });
-    let seen = lock(&world.seen);
-    assert!(seen.doubled.is_empty(), "at once: {:?}", seen.doubled);
+    let seen = lock(&cluster.seen);
+    assert!(
+        seen.doubled.is_empty(),
+        "run concurrently: {:?}",
+        seen.doubled
+    );
     let again = seen.started_after_done();
-    assert!(again.is_empty(), "again: {again:?}");
+    assert!(again.is_empty(), "run again: {again:?}");
 }
 
-/// The story of the incident of crashing tasks with real boxes: a task crashes each worker that starts it; the worker
-/// is back 0.7 s later as another life. Before crashes were counted it was started for as long as the trial ran, also
-/// where its owner was killed meanwhile, and its job never showed `failed`.
+/// A task crashes every worker that starts it, and the worker restarts 0.7 s later as another
+/// incarnation. Guards against starting such a task again without limit, also after the owner is
+/// killed, so that its job never becomes `failed`.
 #[test_case(false, false; "one owner")]
-#[test_case(false, true; "a killed owner")]
-#[test_case(true, false; "lasting")]
-fn crashing_task_fails_its_job(lasting: bool, kills: bool) {
-    let world = World::new(WORK);
-    let mut boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
+#[test_case(false, true; "killed owner")]
+#[test_case(true, false; "long-running")]
+fn crashing_task_fails_its_job(long_running: bool, kills: bool) {
+    let cluster = Cluster::new(WORK);
+    let mut boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
     let path = "/q/00000000000000a1";
     let job = json!({
         "specification": "crash=0.1",
-        "steps": [{ "count": 2, "cpu": 1000, "memMb": 10, "longRunning": lasting }],
+        "steps": [{ "count": 2, "cpu": 1000, "memMb": 10, "longRunning": long_running }],
     });
     send(boxes[0].callers, "POST", path, Some(&job)).unwrap();
     if kills {
-        until("two workers have crashed", || world.crashes() >= 2);
-        let owner = world.owner().unwrap();
+        until("two workers have crashed", || cluster.crashes() >= 2);
+        let owner = cluster.owner().unwrap();
         let index = usize::from(owner != "b0");
         boxes.remove(index).signal("-KILL");
     }
     let port = boxes[0].callers;
     until("the job has failed", || state(port, path) == "failed");
     let task = "00000000000000a1.0.0.1";
-    let starts = lock(&world.seen).starts[task];
+    let starts = lock(&cluster.seen).starts[task];
     assert!(starts <= 5, "{starts} starts");
-    assert_eq!(world.crashes(), starts);
+    assert_eq!(cluster.crashes(), starts);
     let other = "/q/00000000000000a2";
     send(port, "POST", other, Some(&self::job(3))).unwrap();
     until("another job is completed", || {
@@ -733,56 +775,59 @@
     });
 }
 
-/// A data hall that is shut stays shut over the death of the owner. Every box tells of it, also one that does not own the
-/// cell.
+/// A closed data hall stays closed when the owner is killed. Every box lists it, including boxes
+/// that do not own the cell.
 #[test]
-fn shut_hall_stays_shut_over_takeover() {
-    let world = World::new(WORK);
-    let mut boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
+fn closed_hall_stays_closed_after_takeover() {
+    let cluster = Cluster::new(WORK);
+    let mut boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
     let closure = json!({ "by": "night shift" });
-    world.kv.put("op/evacuate/h1", &encode(&closure));
-    let told = |port| {
+    cluster.kv.put("op/evacuate/h1", &encode(&closure));
+    let list = |port| {
         let answer = send(port, "GET", "/halls", None)?;
         String::from_utf8(answer.body).ok()
     };
-    let is_told = |port| {
-        told(port).is_some_and(|text| text.starts_with("h1 ") && text.ends_with(" night shift\n"))
+    let is_listed = |port| {
+        list(port).is_some_and(|text| text.starts_with("h1 ") && text.ends_with(" night shift\n"))
     };
-    for one in &boxes {
-        until("the hall is told as shut", || is_told(one.inside));
+    for process in &boxes {
+        until("the hall is listed as closed", || is_listed(process.inside));
     }
     let path = "/q/00000000000000a1";
     let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
     assert_eq!(answer.status, 200);
-    let first = world.owner().unwrap();
+    let first = cluster.owner().unwrap();
     let killed = boxes.remove(usize::from(first != "b0"));
     killed.signal("-KILL");
     until("another box owns the cell", || {
-        world.owner().is_some_and(|owner| owner != first)
+        cluster.owner().is_some_and(|owner| owner != first)
     });
     let port = boxes[0].inside;
-    until("it tells the hall as shut", || is_told(port));
-    let before = world.kv.calls();
-    until("passes have gone by", || world.kv.calls() > before + 20);
-    assert!(lock(&world.seen).starts.is_empty());
-    world.kv.remove("op/evacuate/h1");
+    until("the new owner lists the hall as closed", || is_listed(port));
+    let before = cluster.kv.calls();
+    until("several scheduling passes have run", || {
+        cluster.kv.calls() > before + 20
+    });
+    assert!(lock(&cluster.seen).starts.is_empty());
+    cluster.kv.remove("op/evacuate/h1");
     let port = boxes[0].callers;
     until("the job is completed", || state(port, path) == "completed");
 }
 
-/// A box that is asked to stop hands the cell over, answers on, and ends with 0.
+/// An owner that receives SIGTERM hands the cell over and exits with status 0. SIGHUP does not stop
+/// it.
 #[test]
 fn stopped_owner_hands_over() {
-    let world = World::new(WORK);
-    let mut boxes = world.boxes(2);
-    until("the cell has an owner", || world.owner().is_some());
-    let first = world.owner().unwrap();
+    let cluster = Cluster::new(WORK);
+    let mut boxes = cluster.boxes(2);
+    until("the cell has an owner", || cluster.owner().is_some());
+    let first = cluster.owner().unwrap();
     let index = if first == "b0" { 0 } else { 1 };
     boxes[index].signal("-HUP");
     boxes[index].signal("-TERM");
     until("another box owns the cell", || {
-        world.owner().is_some_and(|owner| owner != first)
+        cluster.owner().is_some_and(|owner| owner != first)
     });
     let ended = boxes[index].child.wait().unwrap();
     assert_eq!(ended.code(), Some(0));
@@ -792,14 +837,14 @@
     until("the job is completed", || state(port, path) == "completed");
 }
 
-/// All boxes are gone and start anew: what was accepted is known and ends.
+/// Accepted jobs are completed after all boxes have been restarted.
 #[test]
-fn restart_of_all_keeps_jobs() {
-    let world = World::new(WORK);
+fn restart_of_all_boxes_keeps_jobs() {
+    let cluster = Cluster::new(WORK);
     let path = "/q/00000000000000a1";
     {
-        let boxes = world.boxes(2);
-        world.runners.iter().for_each(|runner| {
+        let boxes = cluster.boxes(2);
+        cluster.runners.iter().for_each(|runner| {
             runner.fail(standin::runner::Faults {
                 unwell: true,
                 ..standin::runner::Faults::default()
@@ -808,23 +853,23 @@
         let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
         assert_eq!(answer.status, 200);
     }
-    for runner in &world.runners {
+    for runner in &cluster.runners {
         runner.fail(standin::runner::Faults::default());
     }
-    let boxes = world.boxes(2);
+    let boxes = cluster.boxes(2);
     until("the job is completed", || {
         state(boxes[1].callers, path) == "completed"
     });
-    assert!(lock(&world.seen).doubled.is_empty());
+    assert!(lock(&cluster.seen).doubled.is_empty());
 }
 
-/// Most workers are talked to by a relay; when it is killed, the owner goes on without it.
+/// A relay calls most workers; when it is killed, the owner continues without it.
 #[test]
 fn killed_relay_is_replaced() {
-    let world = World::new(WORK);
-    let mut boxes = world.sharing_boxes(2, 1);
-    until("the cell has an owner", || world.owner().is_some());
-    let owner = world.owner().unwrap();
+    let cluster = Cluster::new(WORK);
+    let mut boxes = cluster.boxes_with_relays(2, 1);
+    until("the cell has an owner", || cluster.owner().is_some());
+    let owner = cluster.owner().unwrap();
     let index = if owner == "b0" { 0 } else { 1 };
     let port = boxes[index].callers;
     let first = "/q/00000000000000a1";
@@ -837,7 +882,7 @@
     until("the next job is completed", || {
         state(port, second) == "completed"
     });
-    let seen = lock(&world.seen);
+    let seen = lock(&cluster.seen);
     assert!(seen.doubled.is_empty());
     assert_eq!(seen.starts.len(), 22);
 }
