--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -680,8 +680,8 @@
 /// Guards against an owner that identifies the incarnation of a worker by its name alone. Restarted
 /// workers number their ends from 1 again. Such an owner skips the first ends of the new
 /// incarnation as known, acknowledges them so that the worker discards them, and starts their tasks
-/// again once their runs are missing from reports: tasks run twice (up to nine times), and their
-/// jobs never complete.
+/// again once their runs are missing from reports: tasks that have succeeded run again, up to nine
+/// times, and their jobs do not complete.
 #[test_case(1, 70, false, false; "one box")]
 #[test_case(1, 70, true, false; "stale entry")]
 #[test_case(2, 1, false, false; "relay")]
