--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -9,35 +9,35 @@
 pub mod callers;
 pub mod cancel;
 pub mod claim;
-pub mod comeback;
 pub mod config;
 pub mod core;
-pub mod fetch;
-pub mod follow;
+pub mod decode;
+pub mod external;
 pub mod group;
 pub mod heartbeat;
-pub mod kept;
+pub mod job_cache;
 pub mod keys;
 pub mod message;
-pub mod news;
-pub mod outside;
-pub mod owning;
+pub mod order_queue;
+pub mod owner_tasks;
+pub mod owner_watch;
+pub mod ownership;
 pub mod peer;
-pub mod queued;
 pub mod relay;
 pub mod relays;
+pub mod report_delta;
+pub mod retry_after;
 pub mod settings;
+pub mod spec_text;
 pub mod store;
-pub mod tenure;
-pub mod texts;
 pub mod time;
 pub mod worker;
 
 pub use callers::{Call, Reply};
 pub use core::{Core, Node};
-pub use outside::{
-    Advisor, Closure, Closures, Configs, Found, Later, Machines, Outside, Read, Unheard, Waited,
-    Workers,
+pub use external::{
+    Advisor, BoxFuture, ConfigRead, ConfigSnapshot, ConfigSource, ConfigWait, External,
+    HallClosure, HallClosures, Machines, PollError, Workers,
 };
 pub use settings::Settings;
 pub use store::Store;
--- a/components/node/src/relays/relay.rs
+++ b/components/node/src/relays/relay.rs
@@ -1,11 +1,11 @@
 //! One relay as its owner knows it, and what is on its way to it.
 
 use {
-    super::allowance::Allowance,
+    super::text_budget::TextBudget,
     crate::{
-        message::{Begin, Command},
-        settings::{AHEAD, Settings},
-        texts::Texts,
+        job_cache::JobCache,
+        message::{Command, CompactStart},
+        settings::{MAX_IN_FLIGHT_MS, Settings},
     },
     cell::{Order, Run, Start},
     std::{
@@ -30,7 +30,7 @@
     /// What its link carries, in bytes a millisecond.
     pub link: u64,
     /// The jobs whose texts it has.
-    pub texts: Texts<()>,
+    pub texts: JobCache<()>,
     /// Bytes of the commands that it has not acknowledged.
     pub unsent: usize,
     /// Bytes of the starts on their way to workers that have no answer yet.
@@ -57,7 +57,7 @@
 impl Relay {
     /// How many workers it looks after at the most.
     pub fn most(&self) -> usize {
-        Settings::most_workers(self.share, self.link).max(1)
+        Settings::max_workers(self.share, self.link).max(1)
     }
 
     /// True when it has room for another worker.
@@ -67,12 +67,12 @@
 
     /// True when it has as many starts to send as its link takes in the time ahead.
     pub fn is_busy(&self) -> bool {
-        self.starting as u64 >= self.link * AHEAD
+        self.starting as u64 >= self.link * MAX_IN_FLIGHT_MS
     }
 
     /// How many more starts its link takes in the time ahead.
     pub fn starts(&self) -> usize {
-        let room = ((self.link * AHEAD) as usize).saturating_sub(self.starting);
+        let room = ((self.link * MAX_IN_FLIGHT_MS) as usize).saturating_sub(self.starting);
         room.div_ceil(TEXT_BYTES + SENT_BYTES)
     }
 
@@ -83,7 +83,7 @@
 
     /// Has a task started, with others of its job where they are told of in turn.
     pub fn start(&mut self, worker: &Arc<str>, number: u64, now: u64, start: &Start) {
-        let begin = Begin::new(worker.clone(), number, start);
+        let begin = CompactStart::new(worker.clone(), number, start);
         let job = &start.key.job;
         if let Some(Command::Starts(last, at, begins)) = self.next.last_mut()
             && last == job
@@ -96,15 +96,15 @@
         self.command(Command::Starts(job.clone(), now, vec![begin]));
     }
 
-    /// Sends a start's text ahead, if the relay does not have it and the allowance takes it; else the relay reads it
+    /// Sends a start's text ahead, if the relay does not have it and the text_budget takes it; else the relay reads it
     /// from the store.
-    pub fn send_text(&mut self, start: &Start, allowance: &mut Allowance) {
+    pub fn send_text(&mut self, start: &Start, text_budget: &mut TextBudget) {
         let job = &start.key.job;
         if self.texts.get(job).is_some() {
             return;
         }
-        self.texts.keep(job.clone(), ());
-        let is_sent = !start.text.is_empty() && allowance.take(start.text.len());
+        self.texts.insert(job.clone(), ());
+        let is_sent = !start.text.is_empty() && text_budget.take(start.text.len());
         let text = is_sent.then(|| start.text.clone());
         self.command(Command::Text(job.clone(), text));
     }
--- a/components/node/tests/load.rs
+++ b/components/node/tests/load.rs
@@ -1,18 +1,18 @@
 //! A cell whose relays have narrow links, offered more than these carry, on a clock of its own.
 //!
 //! The cell and the book of relays are the real ones. What lies between is reckoned: each link carries so many bytes a
-//! millisecond, one thing after the other, and a start that comes later than [`START_WAIT`] is not sent.
+//! millisecond, one thing after the other, and a start that comes later than [`MAX_START_WAIT_MS`] is not sent.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
 use {
-    cell::{Cell, End, Entry, How, Outcome, Reason, Report, Timing},
+    cell::{Cell, EndCause, Entry, Outcome, Refusal, Report, RunEnd, Timing},
     job::{Id, Queue, Spec, Step, Submission, spec::Size},
     kernel::wire,
     magpie_node::{
-        message::{Begin, Command, Offer},
+        message::{Command, CompactStart, RelayRequest},
         relays::{Need, Relays},
-        settings::START_WAIT,
+        settings::MAX_START_WAIT_MS,
     },
     std::{collections::BTreeMap, sync::Arc},
 };
@@ -37,11 +37,11 @@
     /// A relay's offer reaches the owner, with the answers to these orders.
     Offer(usize, Vec<(u64, Outcome)>),
     /// A duty reaches a relay.
-    Duty(usize, Vec<(u64, Begin, Id)>, u64),
+    Duty(usize, Vec<(u64, CompactStart, Id)>, u64),
     /// A start leaves the relay, or does not.
-    Sent(usize, Begin, Id, bool),
+    Sent(usize, CompactStart, Id, bool),
     /// A run is done.
-    Done(Arc<str>, Id, Begin),
+    Done(Arc<str>, Id, CompactStart),
 }
 
 /// What a relay knows.
@@ -80,7 +80,7 @@
     Entry {
         id: name.clone(),
         name,
-        born: None,
+        started: None,
         generation: 0,
         pool: "pool".into(),
         address: format!("10.0.0.1:{number}").into(),
@@ -156,7 +156,7 @@
             world.at(world.now, Event::Offer(relay, Vec::new()));
         }
         let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
-        for entry in world.cell.list(entries, 1_000) {
+        for entry in world.cell.handle_listing(entries, 1_000) {
             let id = entry.id.clone();
             let relay = world.relays.assign(entry, 1_000).unwrap();
             world.links.insert(id.clone(), relay[1..].parse().unwrap());
@@ -170,10 +170,10 @@
         self.events.insert((time, self.numbers), event);
     }
 
-    fn offer(&mut self, relay: usize) -> Offer {
+    fn offer(&mut self, relay: usize) -> RelayRequest {
         let session = &mut self.sessions[relay];
         session.offered += 1;
-        Offer {
+        RelayRequest {
             name: name(relay).into(),
             hall: "h1".into(),
             share: 500,
@@ -186,16 +186,16 @@
     }
 
     /// A report of a worker, with a run that is done.
-    fn report(&mut self, id: &Arc<str>, done: Option<(Id, Begin)>) {
+    fn report(&mut self, id: &Arc<str>, done: Option<(Id, CompactStart)>) {
         let number = self.ended.entry(id.clone()).or_default();
         let ended = done.map(|(job, begin)| {
             *number += 1;
-            End {
+            RunEnd {
                 number: *number,
                 job,
                 address: begin.address,
                 run: begin.run,
-                how: How::Done,
+                how: EndCause::Done,
                 saved: None,
             }
         });
@@ -206,16 +206,16 @@
         };
         // Runs that are not listed are not missed: the poll left before they were ordered.
         self.cell.report(id, report, 0, self.now, self.now);
-        let change = self.cell.take_change(1_000);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(1_000);
+        self.cell.batch_written(&change);
     }
 
     /// Decides, and hands the orders to the relays.
     fn pass(&mut self) {
-        self.cell.hold_back(self.relays.busy());
-        let most = self.relays.starts(LINK);
+        self.cell.set_backpressured(self.relays.busy_workers());
+        let most = self.relays.start_budget(LINK);
         self.cell.place_some(self.now, most);
-        self.relays.allow_texts(LINK, false, self.now);
+        self.relays.refill_text_budget(LINK, false, self.now);
         for (id, order) in self.cell.take_orders() {
             let relay = name(self.links[&id]);
             self.relays.order(&relay, &id, self.now, order);
@@ -225,13 +225,13 @@
     /// An exchange: the relay's offer has come, and its duty leaves.
     fn exchange(&mut self, relay: usize, answers: Vec<(u64, Outcome)>) {
         let offer = self.offer(relay);
-        self.relays.take(&offer, self.now);
+        self.relays.accept_offer(&offer, self.now);
         for (number, outcome) in answers {
-            let Some((id, order)) = self.relays.answered(&name(relay), number) else {
+            let Some((id, order)) = self.relays.complete_order(&name(relay), number) else {
                 continue;
             };
             self.refused += u64::from(outcome != Outcome::Done);
-            self.cell.answered(&id, &order, outcome, self.now);
+            self.cell.handle_outcome(&id, &order, outcome, self.now);
         }
         self.pass();
         let duty = self.relays.duty(&name(relay), 9, LINK, self.now);
@@ -258,7 +258,7 @@
             Event::Duty(relay, starts, pause) => {
                 for (at, begin, job) in starts {
                     let free = self.free.1[relay].max(self.now);
-                    let is_sent = free - at <= START_WAIT;
+                    let is_sent = free - at <= MAX_START_WAIT_MS;
                     let spent = if is_sent { (TEXT + HEADS) / LINK } else { 0 };
                     self.free.1[relay] = free + spent;
                     self.at(free + spent, Event::Sent(relay, begin, job, is_sent));
@@ -269,7 +269,7 @@
             Event::Sent(relay, begin, job, is_sent) => {
                 let outcome = match is_sent {
                     true => Outcome::Done,
-                    false => Outcome::Refused(Reason::NotSent),
+                    false => Outcome::Refused(Refusal::NotSent),
                 };
                 self.sessions[relay].answers.push((begin.number, outcome));
                 if is_sent {
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -3,13 +3,13 @@
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
 use {
-    cell::{Entry, Order, Poll, Reason, Report, Run, Start},
+    cell::{Entry, Order, Poll, Refusal, Report, Run, Start},
     job::{Address, Id, spec::Size},
     magpie_node::{
-        message::{Command, Offer},
-        news::News,
-        outside::Unheard,
+        external::PollError,
+        message::{Command, RelayRequest},
         relays::{Need, Relays},
+        report_delta::ReportDelta,
     },
     test_case::test_case,
 };
@@ -18,13 +18,13 @@
 /// A link of 200 Mbit/s, in bytes a millisecond.
 const WIDE: u64 = 25_000;
 /// One of 2 Mbit/s.
-const NARROW: u64 = 250;
+const NARROW_LINK: u64 = 250;
 
 fn entry(id: &str) -> Entry {
     Entry {
         id: id.into(),
         name: id.into(),
-        born: None,
+        started: None,
         generation: 0,
         pool: "pool".into(),
         address: "127.0.0.1:1".into(),
@@ -36,8 +36,8 @@
     }
 }
 
-fn offer(name: &str, share: u32) -> Offer {
-    Offer {
+fn offer(name: &str, share: u32) -> RelayRequest {
+    RelayRequest {
         name: name.into(),
         hall: "h1".into(),
         share,
@@ -50,7 +50,7 @@
 }
 
 /// A book with one strong relay, and that relay's next offer.
-fn joined() -> (Relays, Offer) {
+fn joined() -> (Relays, RelayRequest) {
     let mut relays = Relays::default();
     let mut offer = offer("b1", 500);
     assert!(relays.join(&offer, Need::Large, 1).unwrap().is_empty());
@@ -61,7 +61,7 @@
 
 fn stop() -> Order {
     Order::Stop {
-        key: cell::Key {
+        key: cell::TaskKey {
             job: Id::new("00000000000000a1").unwrap(),
             place: 0,
         },
@@ -81,20 +81,20 @@
     assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_none());
     assert!(relays.assign(entry("w1"), 1).is_none());
     assert!(relays.join(&offer("weak", 120), Need::Large, 1).is_some());
-    assert_eq!(relays.take_unattended().len(), 1);
+    assert_eq!(relays.take_unassigned().len(), 1);
 }
 
 /// A box with half a core looks after 90 workers.
 #[test]
 fn has_room_until_full() {
     let mut relays = Relays::default();
-    assert!(!relays.has_room());
+    assert!(!relays.has_capacity());
     relays.join(&offer("b1", 500), Need::Large, 1);
     for number in 0..90 {
-        assert!(relays.has_room());
+        assert!(relays.has_capacity());
         relays.assign(entry(&format!("w{number}")), 1).unwrap();
     }
-    assert!(!relays.has_room());
+    assert!(!relays.has_capacity());
 }
 
 #[test]
@@ -104,12 +104,12 @@
     let first = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!((first.fence, first.commands.len()), (FENCE, 1));
     relays.order("b1", &"w1".into(), 1, stop());
-    assert!(relays.take(&offer, 2));
+    assert!(relays.accept_offer(&offer, 2));
     let again = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!((again.batch, again.commands.len()), (first.batch, 1));
     offer.ack = first.batch;
     offer.batch = 2;
-    assert!(relays.take(&offer, 3));
+    assert!(relays.accept_offer(&offer, 3));
     let second = relays.duty("b1", FENCE, WIDE, 1);
     assert_eq!(second.batch, first.batch + 1);
     assert!(matches!(second.commands[..], [Command::Order(..)]));
@@ -118,8 +118,8 @@
 #[test]
 fn offer_repeated_is_not_new() {
     let (mut relays, offer) = joined();
-    assert!(relays.take(&offer, 2));
-    assert!(!relays.take(&offer, 3));
+    assert!(relays.accept_offer(&offer, 2));
+    assert!(!relays.accept_offer(&offer, 3));
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let (mut relays, mut offer) = joined();
     offer.session += 1;
     offer.batch = 7;
-    assert!(!relays.take(&offer, 2));
+    assert!(!relays.accept_offer(&offer, 2));
 }
 
 /// A relay that starts anew has lost its tasks: its workers are given away again.
@@ -143,11 +143,11 @@
 fn silent_relay_loses_workers() {
     let (mut relays, offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.take(&offer, 100);
+    relays.accept_offer(&offer, 100);
     for now in (200..=1_300).step_by(100) {
-        assert!(relays.lose_silent(now).is_empty());
+        assert!(relays.expire_silent(now).is_empty());
     }
-    assert_eq!(relays.lose_silent(1_301), ["w1".into()]);
+    assert_eq!(relays.expire_silent(1_301), ["w1".into()]);
     assert_eq!(relays.duty("b1", FENCE, WIDE, 1).session, 0);
 }
 
@@ -160,8 +160,8 @@
     let Command::Order(_, number, _, _) = duty.commands[1] else {
         panic!("{:?}", duty.commands);
     };
-    assert_eq!(relays.answered("b1", number).unwrap().1, stop());
-    assert!(relays.answered("b1", number).is_none());
+    assert_eq!(relays.complete_order("b1", number).unwrap().1, stop());
+    assert!(relays.complete_order("b1", number).is_none());
 }
 
 #[test]
@@ -172,8 +172,8 @@
         assert!(relays.assign(entry(&id), 1).is_some());
     }
     assert!(relays.assign(entry("w90"), 1).is_none());
-    assert!(relays.take_neglected(1_500).is_empty());
-    assert_eq!(relays.take_neglected(1_501).len(), 1);
+    assert!(relays.take_overdue(1_500).is_empty());
+    assert_eq!(relays.take_overdue(1_501).len(), 1);
 }
 
 #[test]
@@ -198,13 +198,13 @@
 fn late_owner_blames_no_relay() {
     let (mut relays, offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.take(&offer, 100);
-    assert!(relays.lose_silent(200).is_empty());
-    assert!(relays.lose_silent(2_500).is_empty());
+    relays.accept_offer(&offer, 100);
+    assert!(relays.expire_silent(200).is_empty());
+    assert!(relays.expire_silent(2_500).is_empty());
     for now in (2_600..=3_700).step_by(100) {
-        assert!(relays.lose_silent(now).is_empty());
+        assert!(relays.expire_silent(now).is_empty());
     }
-    assert_eq!(relays.lose_silent(3_800), ["w1".into()]);
+    assert_eq!(relays.expire_silent(3_800), ["w1".into()]);
 }
 
 /// Workers that nobody has room for are tried again and again; that must not start their wait anew,
@@ -214,17 +214,17 @@
     let mut relays = Relays::default();
     assert!(relays.assign(entry("w1"), 1).is_none());
     for now in (100..1_500).step_by(100) {
-        assert!(relays.take_neglected(now).is_empty());
-        for (entry, since) in relays.take_unattended() {
+        assert!(relays.take_overdue(now).is_empty());
+        for (entry, since) in relays.take_unassigned() {
             assert!(relays.assign(entry, since).is_none());
         }
     }
-    assert_eq!(relays.take_neglected(1_600).len(), 1);
+    assert_eq!(relays.take_overdue(1_600).len(), 1);
 }
 
 fn start(job: &str, place: usize, text: &str) -> Order {
     Order::Start(Start {
-        key: cell::Key {
+        key: cell::TaskKey {
             job: Id::new(job).unwrap(),
             place,
         },
@@ -249,7 +249,7 @@
 fn order_sends_text_once() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    relays.allow_texts(WIDE, false, 5);
+    relays.refill_text_budget(WIDE, false, 5);
     for place in 0..3 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, "text"));
     }
@@ -268,7 +268,7 @@
     );
     assert_eq!(begins.len(), 3);
     offer.ack = duty.batch;
-    assert!(relays.take(&offer, 6));
+    assert!(relays.accept_offer(&offer, 6));
     relays.order("b1", &"w1".into(), 7, start(JOB, 3, "text"));
     let duty = relays.duty("b1", FENCE, WIDE, 7);
     assert!(matches!(&duty.commands[..], [Command::Starts(_, 7, begins)] if begins.len() == 1));
@@ -331,7 +331,7 @@
 fn assign_keeps_to_the_link() {
     let mut relays = Relays::default();
     let mut narrow = offer("b1", 500);
-    narrow.link = NARROW;
+    narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     let given = (0..90).filter(|number| relays.assign(entry(&format!("w{number}")), 1).is_some());
     assert_eq!(given.count(), 20);
@@ -369,9 +369,9 @@
     for number in 0..17 {
         relays.join(&offer(&format!("b{number}"), 500), Need::Large, 1);
     }
-    assert_eq!(relays.pause(WIDE), 25);
-    assert_eq!(relays.pause(NARROW), 100);
-    assert_eq!(relays.pause(2_500), 25);
+    assert_eq!(relays.exchange_interval(WIDE), 25);
+    assert_eq!(relays.exchange_interval(NARROW_LINK), 100);
+    assert_eq!(relays.exchange_interval(2_500), 25);
 }
 
 /// What is on its way to relays and not acknowledged leaves less room for further starts.
@@ -379,20 +379,20 @@
 fn starts_by_what_is_on_its_way() {
     let (mut relays, mut offer) = joined();
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.starts(NARROW);
+    let before = relays.start_budget(NARROW_LINK);
     assert!((100..300).contains(&before), "{before}");
     let text = "t".repeat(4_000);
-    relays.allow_texts(NARROW, true, 5);
+    relays.refill_text_budget(NARROW_LINK, true, 5);
     for number in 0..20 {
         let job = format!("{number:016x}");
         relays.order("b1", &"w1".into(), 5, start(&job, 0, &text));
     }
-    assert_eq!(relays.starts(NARROW), 0);
-    assert!(relays.starts(WIDE) > 4_000);
-    let duty = relays.duty("b1", FENCE, NARROW, 5);
+    assert_eq!(relays.start_budget(NARROW_LINK), 0);
+    assert!(relays.start_budget(WIDE) > 4_000);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 5);
     offer.ack = duty.batch;
-    relays.take(&offer, 6);
-    assert_eq!(relays.starts(NARROW), before);
+    relays.accept_offer(&offer, 6);
+    assert_eq!(relays.start_budget(NARROW_LINK), before);
 }
 
 /// No more is decided than the relays' links take, however wide the owner's is.
@@ -401,16 +401,16 @@
     let mut relays = Relays::default();
     for name in ["b1", "b2"] {
         let mut narrow = offer(name, 500);
-        narrow.link = NARROW;
+        narrow.link = NARROW_LINK;
         relays.join(&narrow, Need::Large, 1);
     }
     relays.assign(entry("w1"), 1).unwrap();
-    let before = relays.starts(WIDE);
+    let before = relays.start_budget(WIDE);
     assert!((60..100).contains(&before), "{before}");
     for place in 0..10 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, &"t".repeat(1_200)));
     }
-    assert_eq!(relays.starts(WIDE), before - 10);
+    assert_eq!(relays.start_budget(WIDE), before - 10);
 }
 
 /// A relay whose link is full of starts gets no more until workers have answered.
@@ -418,20 +418,20 @@
 fn busy_until_answered() {
     let mut relays = Relays::default();
     let mut narrow = offer("b1", 500);
-    narrow.link = NARROW;
+    narrow.link = NARROW_LINK;
     relays.join(&narrow, Need::Large, 1);
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_200);
     for place in 0..50 {
         relays.order("b1", &"w1".into(), 5, start(JOB, place, &text));
     }
-    assert_eq!(relays.busy().len(), 1);
+    assert_eq!(relays.busy_workers().len(), 1);
     for number in 1..=10 {
-        relays.answered("b1", number).unwrap();
+        relays.complete_order("b1", number).unwrap();
     }
-    assert!(relays.busy().is_empty());
-    relays.leave("b1", &"w1".into());
-    assert!(relays.busy().is_empty());
+    assert!(relays.busy_workers().is_empty());
+    relays.unassign("b1", &"w1".into());
+    assert!(relays.busy_workers().is_empty());
 }
 
 fn listed(place: u32, figure: u64) -> Run {
@@ -465,25 +465,25 @@
     let first = report(1, vec![listed(0, 5), listed(1, 6)]);
     let second = report(2, vec![listed(1, 7), listed(2, 8)]);
     for whole in [&first, &second] {
-        let news = News::of(whole.clone(), &mut known);
-        assert_eq!(&relays.read("b1", &id, Ok(news)).unwrap(), whole);
+        let news = ReportDelta::diff(whole.clone(), &mut known);
+        assert_eq!(&relays.decode_report("b1", &id, Ok(news)).unwrap(), whole);
     }
-    relays.left("b1", &id);
-    let news = News::of(first.clone(), &mut Vec::new());
-    assert_eq!(relays.read("b1", &id, Ok(news)).unwrap(), first);
-    let refused = Err(Unheard::Refused(Reason::Fence));
-    assert!(relays.read("b1", &id, refused).is_err());
+    relays.reset_baseline("b1", &id);
+    let news = ReportDelta::diff(first.clone(), &mut Vec::new());
+    assert_eq!(relays.decode_report("b1", &id, Ok(news)).unwrap(), first);
+    let refused = Err(PollError::Refused(Refusal::Fence));
+    assert!(relays.decode_report("b1", &id, refused).is_err());
 }
 
 /// Seen with 235 workers on 2 Mbit/s: specifications took more than the owner's link, and quick checks came late by
 /// seconds. Relays read those from the store that do not fit.
 #[test_case(false, 15; "the store answers")]
 #[test_case(true, 50; "the store fails")]
-fn texts_keep_to_their_part(is_failing: bool, sent: usize) {
+fn texts_keep_to_their_part(is_store_failing: bool, sent: usize) {
     let (mut relays, _) = joined();
     relays.assign(entry("w1"), 1).unwrap();
     let text = "t".repeat(1_000);
-    relays.allow_texts(NARROW, is_failing, 1_000);
+    relays.refill_text_budget(NARROW_LINK, is_store_failing, 1_000);
     for number in 0..50 {
         relays.order(
             "b1",
@@ -492,7 +492,7 @@
             start(&format!("{number:016x}"), 0, &text),
         );
     }
-    let duty = relays.duty("b1", FENCE, NARROW, 1_000);
+    let duty = relays.duty("b1", FENCE, NARROW_LINK, 1_000);
     let texts = duty
         .commands
         .iter()
@@ -509,11 +509,11 @@
 #[test]
 fn join_with_endless_link() {
     let mut relays = Relays::default();
-    let offer = Offer {
+    let offer = RelayRequest {
         link: u64::MAX,
         ..offer("b1", 500)
     };
     assert!(relays.join(&offer, Need::Large, 1).is_some());
     relays.assign(entry("w1"), 1).unwrap();
-    assert!(relays.starts(WIDE) > 0);
+    assert!(relays.start_budget(WIDE) > 0);
 }
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -6,7 +6,7 @@
         Request, Server, ops,
         server::{Bounds, INSIDE, Reply, Service},
     },
-    node::{Node, message::Shut, peer},
+    node::{Node, message::ClosedHall, peer},
     platform::callers,
     std::{
         io,
@@ -116,11 +116,11 @@
 }
 
 fn handle_relay(node: &Node, request: Request) -> Option<Request> {
-    node.answer_relay(request)
+    node.handle_relay(request)
 }
 
 fn handle_peer(node: &Node, request: Request) {
-    if let Some(request) = node.answer_box(request) {
+    if let Some(request) = node.handle_peer(request) {
         handle_ops(node, request);
     }
 }
@@ -139,13 +139,13 @@
 /// Lists the closed data halls, one per line: name, time of closure in milliseconds since 1970, and
 /// author, or `-` if unknown.
 fn closed_halls(node: &Node) -> Reply {
-    let closed = match peer::halls(node, false) {
+    let closed = match peer::closed_halls(node, false) {
         Ok(Some(closed)) => closed,
         Ok(None) => return Reply::text(503, "no owner answers\n"),
         Err(failure) => return Reply::failure(&failure),
     };
     let mut text = String::new();
-    for Shut { hall, by, since } in closed {
+    for ClosedHall { hall, by, since } in closed {
         let by = by.as_deref().unwrap_or("-");
         text.push_str(&format!("{hall} {since} {by}\n"));
     }
--- a/programs/box/src/signals.rs
+++ b/programs/box/src/signals.rs
@@ -46,7 +46,7 @@
 /// the requests in progress.
 pub fn stop(node: &Node, ports: &Ports, grace: Duration) {
     let start = Instant::now();
-    node.retire(HAND_OVER);
+    node.shut_down(HAND_OVER);
     let linger = LINGER.min(grace.saturating_sub(EXIT_MARGIN));
     thread::sleep(linger.saturating_sub(start.elapsed()));
     while ports.in_progress.load(Ordering::Acquire) > 0 && start.elapsed() + EXIT_MARGIN < grace {
