--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -434,14 +434,14 @@
 /// Guards against threads per worker: two for each worker would be 400 here.
 #[test_case(1, 1_000; "owner")]
 #[test_case(2, 1; "relay")]
-fn box_with_many_workers_has_few_threads(boxes: usize, own: usize) {
+fn box_with_many_workers_has_few_threads(boxes: usize, own_workers: usize) {
     let cluster = Cluster::new(WORK);
     let open = |number| {
         let id = format!("i-many-{number}");
         Runner::open(&cluster.kv, "pool", &id, 4, WAIT_TIMEOUT, &cluster.seen).unwrap()
     };
     let runners: Vec<Runner> = (0..MANY).map(open).collect();
-    let boxes = cluster.boxes_with_relays(boxes, own);
+    let boxes = cluster.boxes_with_relays(boxes, own_workers);
     let path = "/q/00000000000000a1";
     let accepted = send(boxes[0].callers, "POST", path, Some(&job(8 * MANY as u32)));
     assert_eq!(accepted.unwrap().status, 200);
