--- a/components/cell/tests/decisions/fill.rs
+++ b/components/cell/tests/decisions/best_effort.rs
@@ -1,4 +1,5 @@
-//! Filling tasks beside serving ones: where they go, and when they move.
+//! Best-effort tasks beside serving tasks: placement, pacing and relocation, and the priority of
+//! long-running tasks.
 
 use {
     crate::common::{JOB, World, end, entry, run, step, submission},
@@ -8,7 +9,7 @@
     test_case::test_case,
 };
 
-const FILL: &str = "00000000000000b2";
+const BEST_EFFORT: &str = "00000000000000b2";
 const OTHER: &str = "00000000000000c3";
 
 fn serving() -> Step {
@@ -20,7 +21,7 @@
     }
 }
 
-fn filling(image: &str, cpu: u64) -> Step {
+fn best_effort(image: &str, cpu: u64) -> Step {
     Step {
         fills: true,
         checkpoints: true,
@@ -29,11 +30,11 @@
     }
 }
 
-/// A worker with a serving task and a filling one, both running.
-fn shared_world(fill: Step) -> World {
+/// Creates a worker that runs a serving task and a best-effort task.
+fn shared_world(step: Step) -> World {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![serving()]);
-    world.submit(FILL, vec![fill]);
+    world.submit(BEST_EFFORT, vec![step]);
     let starts = world.starts();
     assert_eq!(starts.len(), 2);
     for (worker, start) in starts {
@@ -42,11 +43,11 @@
     world
 }
 
-/// The worker reports both tasks, with this tail of the serving one.
-fn figures(world: &mut World, tail: u64) {
-    let (mut serving, filling) = (run(JOB, 0, 1), run(FILL, 0, 1));
+/// Reports both tasks, with this tail latency of the serving task.
+fn report_tail(world: &mut World, tail: u64) {
+    let (mut serving, best_effort) = (run(JOB, 0, 1), run(BEST_EFFORT, 0, 1));
     serving.figure = tail;
-    world.report("w1", vec![serving, filling], vec![]);
+    world.report("w1", vec![serving, best_effort], vec![]);
 }
 
 fn add_worker(world: &mut World) {
@@ -55,30 +56,31 @@
     world.report("w2", vec![], vec![]);
 }
 
-/// The serving image s is disturbed by f and not by g. Images get their numbers in the order in which
-/// the tasks of a world start.
-fn learned(order: [&str; 3]) -> Interference {
-    let mut known = Interference::default();
+/// A model in which image f interferes with the serving image s and g does not. Images are numbered
+/// in the order in which the tasks of a world start.
+fn trained_model(order: [&str; 3]) -> Interference {
+    let mut model = Interference::default();
     for name in order {
-        known.intern(Some(&name.into()));
+        model.intern(Some(&name.into()));
     }
-    let [serving, harmful, harmless] = ["s", "f", "g"].map(|name| known.lookup(Some(&name.into())));
-    known.dense_row(&[(harmful, 0.2), (harmless, 0.2)]);
+    let [serving, interfering, harmless] =
+        ["s", "f", "g"].map(|name| model.lookup(Some(&name.into())));
+    model.dense_row(&[(interfering, 0.2), (harmless, 0.2)]);
     for _ in 0..40 {
-        known.add_sample(serving, 1.6 * 0.2, &[0.2, 0.0], 1.0);
-        known.add_sample(serving, 0.0, &[0.0, 0.2], 1.0);
+        model.add_sample(serving, 1.6 * 0.2, &[0.2, 0.0], 1.0);
+        model.add_sample(serving, 0.0, &[0.0, 0.2], 1.0);
     }
-    known.solve(1_000);
-    known
+    model.solve(1_000);
+    model
 }
 
-/// Seen on the larger deployments: hundreds of filling tasks stood still beside serving ones that
-/// they disturb, while other workers had room.
+/// Guards against best-effort tasks that stay paused beside serving tasks while other workers have
+/// capacity. On large deployments hundreds of tasks were affected.
 #[test]
-fn slowed_task_moves_to_calm_worker() {
-    let mut world = shared_world(filling("f", 500));
+fn slowed_task_moves_to_idle_worker() {
+    let mut world = shared_world(best_effort("f", 500));
     world.now += 500;
-    figures(&mut world, 60);
+    report_tail(&mut world, 60);
     add_worker(&mut world);
     world.cell.relocate(world.now + 500);
     assert!(world.stops().is_empty());
@@ -87,10 +89,10 @@
 }
 
 #[test]
-fn slowed_task_stays_without_calm_worker() {
-    let mut world = shared_world(filling("f", 500));
+fn slowed_task_stays_without_idle_worker() {
+    let mut world = shared_world(best_effort("f", 500));
     world.now += 500;
-    figures(&mut world, 60);
+    report_tail(&mut world, 60);
     world.cell.relocate(world.now + 900);
     assert!(world.stops().is_empty());
 }
@@ -99,77 +101,77 @@
 fn slowed_task_without_checkpoints_stays() {
     let step = Step {
         checkpoints: false,
-        ..filling("f", 500)
+        ..best_effort("f", 500)
     };
     let mut world = shared_world(step);
     world.now += 500;
-    figures(&mut world, 60);
+    report_tail(&mut world, 60);
     add_worker(&mut world);
     world.cell.relocate(world.now + 900);
     assert!(world.stops().is_empty());
 }
 
 #[test]
-fn harmless_goes_beside_harmful() {
-    let mut world = shared_world(filling("f", 500));
-    world.cell.recall(learned(["f", "s", "g"]));
-    figures(&mut world, 25);
-    world.submit(OTHER, vec![filling("g", 500)]);
+fn harmless_task_is_placed_beside_interfering_one() {
+    let mut world = shared_world(best_effort("f", 500));
+    world.cell.recall(trained_model(["f", "s", "g"]));
+    report_tail(&mut world, 25);
+    world.submit(OTHER, vec![best_effort("g", 500)]);
     assert_eq!(world.starts().len(), 1);
 }
 
-/// Seen on a further deployment: where a serving job had once been at its target by itself, nothing was
-/// placed beside it any more, though its load was low and the tasks that waited do not disturb it.
+/// Guards against a former load peak that blocks placement for good. A serving job that once
+/// reached its target by itself got no best-effort tasks, even harmless ones at low load.
 #[test]
-fn harmless_goes_beside_former_peak() {
-    let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
+fn harmless_task_is_placed_after_load_peak() {
+    let mut world = shared_world(best_effort("g", 500));
+    world.cell.recall(trained_model(["g", "s", "f"]));
     for tail in [40, 60, 60, 60, 60, 60, 25, 13, 13, 13, 13, 13, 13] {
         world.now += 500;
-        figures(&mut world, tail);
+        report_tail(&mut world, tail);
     }
-    world.submit(OTHER, vec![filling("g", 500)]);
+    world.submit(OTHER, vec![best_effort("g", 500)]);
     assert_eq!(world.starts().len(), 1);
 }
 
 #[test]
-fn harmful_waits_for_room_to_spare() {
-    let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
-    figures(&mut world, 25);
-    world.submit(OTHER, vec![filling("f", 500)]);
+fn interfering_task_waits_for_low_load() {
+    let mut world = shared_world(best_effort("g", 500));
+    world.cell.recall(trained_model(["g", "s", "f"]));
+    report_tail(&mut world, 25);
+    world.submit(OTHER, vec![best_effort("f", 500)]);
     assert!(world.starts().is_empty());
-    // Two seconds later the load is known, and low.
+    // Two seconds later the load is known to be low.
     for _ in 0..5 {
         world.now += 500;
-        figures(&mut world, 13);
+        report_tail(&mut world, 13);
     }
     assert_eq!(world.starts().len(), 1);
 }
 
-/// Where more filling work waits than runs, little is kept back for what harmful tasks may do.
-#[test_case(1, 0; "little waits")]
-#[test_case(20, 1; "more waits than runs")]
-fn harmful_goes_where_work_is_crowded(count: u32, least: usize) {
-    let mut world = shared_world(filling("g", 500));
-    world.cell.recall(learned(["g", "s", "f"]));
+/// If more best-effort work waits than runs, the margin kept for interference is reduced.
+#[test_case(1, 0; "small backlog")]
+#[test_case(20, 1; "backlog exceeds running work")]
+fn interfering_task_is_placed_under_backlog(count: u32, least: usize) {
+    let mut world = shared_world(best_effort("g", 500));
+    world.cell.recall(trained_model(["g", "s", "f"]));
     for _ in 0..8 {
         world.now += 500;
-        figures(&mut world, 23);
+        report_tail(&mut world, 23);
     }
-    let many = Step {
+    let steps = Step {
         count,
-        ..filling("f", 100)
+        ..best_effort("f", 100)
     };
-    world.submit(OTHER, vec![many]);
+    world.submit(OTHER, vec![steps]);
     world.cell.rerank(1, world.now);
     assert_eq!(world.starts().len().min(1), least);
 }
 
-/// The fewer workers hold unlike serving images, the more are left where a filling image disturbs nothing:
-/// what has to be mixed goes where it is mixed already.
+/// Unlike serving images share workers, which leaves more workers where a given best-effort image
+/// interferes with nothing.
 #[test]
-fn unlike_serving_tasks_gather() {
+fn unlike_serving_images_share_workers() {
     let mut world = World::new(&["w1", "w2"]);
     let mut placed = Vec::new();
     for (number, image) in ["a", "b", "c", "d"].into_iter().enumerate() {
@@ -184,19 +186,19 @@
     assert_eq!(placed[2], placed[3]);
 }
 
-/// A pace is set by the load that is foreseen, before a tail comes near its target.
+/// The pace follows the forecast load and falls before the tail latency reaches its target.
 #[test]
-fn pace_falls_ahead_of_the_load() {
-    let mut world = shared_world(filling("f", 1_500));
-    world.cell.recall(learned(["f", "s", "g"]));
+fn pace_follows_forecast() {
+    let mut world = shared_world(best_effort("f", 1_500));
+    world.cell.recall(trained_model(["f", "s", "g"]));
     let mut paces = Vec::new();
     for tail in [20, 22, 25, 28, 32, 36] {
         world.now += 500;
-        let (mut serving, mut filling) = (run(JOB, 0, 1), run(FILL, 0, 1));
-        (serving.figure, filling.figure) = (tail, 100);
+        let (mut serving, mut best_effort) = (run(JOB, 0, 1), run(BEST_EFFORT, 0, 1));
+        (serving.figure, best_effort.figure) = (tail, 100);
         let report = Report {
             clock: world.now + 50_000,
-            running: vec![serving, filling],
+            running: vec![serving, best_effort],
             ended: vec![],
         };
         let worker: Arc<str> = "w1".into();
@@ -211,9 +213,9 @@
     assert!(last < 70, "{paces:?}");
 }
 
-/// A job that surely misses its objective is no reason for another to miss its own.
+/// A job that will certainly miss its objective does not delay a job that can meet its own.
 #[test]
-fn hopeless_job_goes_behind() {
+fn job_that_misses_objective_has_low_rank() {
     let mut world = World::new(&["w1"]);
     let mut long = submission(JOB, vec![step(1, 4_000)]);
     long.spec.steps[0].estimate = 10_000;
@@ -227,9 +229,9 @@
     assert_eq!(starts[0].1.key.job.as_str(), OTHER);
 }
 
-/// What found no room is not tried on all workers in each pass, but on those with news.
+/// A step that found no capacity is tried again only on workers that have changed.
 #[test]
-fn stuck_need_tries_changed_workers() {
+fn unplaced_step_tries_changed_workers_only() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(3, 4_000)]);
     assert_eq!(world.starts().len(), 2);
@@ -244,17 +246,17 @@
     assert_eq!(world.cell.tried(), before);
 }
 
-/// A lasting job and two short ones, each of which needs a whole worker; a short one runs on each of the
-/// workers, and the lasting one has waited for over two seconds.
-fn lasting_behind_short(workers: &[&str]) -> World {
+/// A long-running job and two short ones, each of whose tasks needs a whole worker. A short task
+/// runs on each worker, and the long-running task has waited for more than two seconds.
+fn long_running_behind_short(workers: &[&str]) -> World {
     let mut world = World::new(workers);
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(1, 4_000)
     };
-    world.submit(JOB, vec![lasting]);
+    world.submit(JOB, vec![long_running]);
     world.submit(OTHER, vec![step(workers.len() as u32, 4_000)]);
-    world.submit(FILL, vec![step(2, 4_000)]);
+    world.submit(BEST_EFFORT, vec![step(2, 4_000)]);
     for (worker, start) in world.starts() {
         assert_ne!(start.key.job.as_str(), JOB);
         world.answer(&worker, &start, Outcome::Done);
@@ -264,38 +266,39 @@
     world
 }
 
-/// The short task that runs on a worker ends.
+/// Ends the short task on a worker.
 fn end_short(world: &mut World, worker: &str, index: u32) {
     let mut done = end(1, OTHER, 0, 1, How::Done);
     done.address.index = index;
     world.report(worker, vec![], vec![done]);
 }
 
-/// Seen on a grown site: quick checks took each piece of room for 12 s, and a task that is to last was
-/// not started again though room came free for two of it at a time.
+/// Guards against a long-running task that does not restart although capacity for two of it becomes
+/// free at a time: short tasks took every free slot for 12 s.
 #[test]
-fn lasting_task_goes_first_where_room_is_twice() {
-    let mut world = lasting_behind_short(&["w1", "w2"]);
+fn long_running_task_goes_first_with_double_capacity() {
+    let mut world = long_running_behind_short(&["w1", "w2"]);
     end_short(&mut world, "w1", 0);
     end_short(&mut world, "w2", 1);
     world.cell.rerank(3_200, world.now);
     assert_eq!(world.starts()[0].1.key.job.as_str(), JOB);
 }
 
-/// Seen on sabar-sort: with room for hardly anything, lasting tasks that went first kept quick checks
-/// waiting, of whose largest tenth a third was served.
+/// If capacity is scarce, short tasks keep their priority. When long-running tasks went first, a
+/// third of the largest tenth of short jobs was served.
 #[test]
-fn lasting_task_waits_where_room_is_short() {
-    let mut world = lasting_behind_short(&["w1", "w2"]);
+fn long_running_task_waits_if_capacity_is_scarce() {
+    let mut world = long_running_behind_short(&["w1", "w2"]);
     end_short(&mut world, "w1", 0);
     world.cell.rerank(3_200, world.now);
-    assert_eq!(world.starts()[0].1.key.job.as_str(), FILL);
+    assert_eq!(world.starts()[0].1.key.job.as_str(), BEST_EFFORT);
 }
 
-/// The bound on lasting tasks holds however full the workers are, after 9 s at the least.
+/// The bound on the waiting time of long-running tasks holds on full workers too, after 9 s at the
+/// latest.
 #[test]
-fn lasting_task_goes_first_after_long() {
-    let mut world = lasting_behind_short(&["w1", "w2"]);
+fn long_running_task_goes_first_after_wait_limit() {
+    let mut world = long_running_behind_short(&["w1", "w2"]);
     world.cell.rerank(3_200, world.now);
     world.now += 2_000;
     world.cell.rerank(5_100, world.now);
@@ -303,10 +306,11 @@
     assert_eq!(world.starts()[0].1.key.job.as_str(), JOB);
 }
 
-/// Seen on a grown site: 2 in 100 workers were set aside at any time since two tasks in a row had failed there
-/// by themselves, and lasting tasks waited for room beside them for 9 s.
+/// A long-running task may use a quarantined worker. On large fleets 2% of the workers were
+/// quarantined at any time after two consecutive, unrelated failures, while long-running tasks
+/// waited 9 s for capacity.
 #[test]
-fn lasting_task_takes_worker_set_aside() {
+fn long_running_task_uses_quarantined_worker() {
     let mut world = World::new(&["w1"]);
     world.submit(OTHER, vec![step(2, 1_000)]);
     for (worker, start) in world.starts() {
@@ -318,11 +322,11 @@
         end
     });
     world.report("w1", vec![], ends.to_vec());
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(1, 3_000)
     };
-    world.submit(JOB, vec![lasting]);
+    world.submit(JOB, vec![long_running]);
     world.cell.rerank(1_000, world.now);
     assert!(world.starts().is_empty());
     world.now += 2_100;
--- a/components/cell/tests/decisions/room.rs
+++ b/components/cell/tests/decisions/capacity.rs
@@ -1,7 +1,7 @@
-//! Room of workers that shrinks and grows while tasks run there, also where workers do not guard it.
+//! Worker capacity that changes while tasks run, including workers that do not enforce it.
 
 use {
-    crate::common::{JOB, World, entry, ordered, run, running, step},
+    crate::common::{JOB, World, entry, run, step, with_ordered_start, with_running_task},
     job::{Address, Id, spec::Size},
     magpie_cell::{End, Entry, How, Order, Outcome, Reason},
     std::{
@@ -11,24 +11,24 @@
     test_case::test_case,
 };
 
-/// Between two listings, in milliseconds.
-const LIST_GAP: u64 = 700;
+/// Interval of listings, in milliseconds.
+const LIST_INTERVAL: u64 = 700;
 const OTHER: &str = "00000000000000b2";
 
-/// Lists one worker with so many cores.
+/// Lists one worker with this many cores.
 fn resize(world: &mut World, cores: u64) {
-    world.now += LIST_GAP;
+    world.now += LIST_INTERVAL;
     world.list(vec![entry("w1", cores)]);
 }
 
-/// The workers of the pool start whatever they are told.
-fn unguarded(world: &mut World) {
+/// Declares that the workers of the pool do not enforce their capacity.
+fn disable_enforcement(world: &mut World) {
     world.cell.set_unguarded(["pool".into()].into());
 }
 
-/// Room that has shrunk takes nothing that does not fit, and is used again as soon as the listing shows it.
+/// Reduced capacity accepts only what fits, and is used again once a listing shows it restored.
 #[test]
-fn place_uses_room_as_listed() {
+fn place_uses_listed_capacity() {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(4, 1_000)]);
     resize(&mut world, 2);
@@ -39,24 +39,26 @@
     assert_eq!(world.starts().len(), 2);
 }
 
-/// What runs is left alone where less room is left than it takes: nobody asks for more, and its work would be lost.
-#[test_case(false; "guarded")]
-#[test_case(true; "not guarded")]
-fn list_stops_nothing_that_runs(is_unguarded: bool) {
-    let (mut world, _, _) = running(&["w1"], step(1, 3_000));
-    if is_unguarded {
-        unguarded(&mut world);
+/// Running tasks are not stopped when capacity shrinks below their usage: their work would be lost
+/// for no benefit.
+#[test_case(false; "enforced")]
+#[test_case(true; "not enforced")]
+fn shrinking_capacity_stops_no_run(is_unenforced: bool) {
+    let (mut world, _, _) = with_running_task(&["w1"], step(1, 3_000));
+    if is_unenforced {
+        disable_enforcement(&mut world);
     }
     resize(&mut world, 2);
     assert!(world.stops().is_empty());
 }
 
-/// A start that was decided for room which is gone meanwhile is taken back, the last one first; a stop says so to
-/// whoever sends it, and keeps it from beginning should it have left. Its room counts until it is known not to run.
+/// An unconfirmed start that no longer fits is taken back with a stop, the latest start first. The
+/// stop also prevents its execution if it was already sent. Its capacity stays reserved until it is
+/// known not to run.
 #[test]
-fn list_takes_back_starts_without_room() {
+fn shrinking_capacity_withdraws_pending_starts() {
     let mut world = World::new(&["w1"]);
-    unguarded(&mut world);
+    disable_enforcement(&mut world);
     world.submit(JOB, vec![step(3, 1_000)]);
     let starts = world.starts();
     assert_eq!(starts.len(), 3);
@@ -69,10 +71,11 @@
     assert!(stopped(&mut world).is_empty());
 }
 
-/// Workers that guard their room refuse what does not fit: a start that is on its way may still find room.
+/// Workers that enforce their capacity refuse what does not fit, so that pending starts are left to
+/// them.
 #[test]
-fn list_leaves_starts_to_workers_that_guard_their_room() {
-    let (mut world, _, _) = ordered(&["w1"], step(1, 3_000));
+fn enforcing_worker_keeps_pending_starts() {
+    let (mut world, _, _) = with_ordered_start(&["w1"], step(1, 3_000));
     resize(&mut world, 2);
     assert!(world.stops().is_empty());
 }
@@ -86,12 +89,12 @@
     stops.collect()
 }
 
-/// A run that must not be takes room until its end is listed; one of a job that is not known may take all of it.
+/// A stray run uses capacity until its end is reported; one of an unknown job may use all of it.
 #[test_case(JOB, 1; "of a known job")]
-#[test_case(OTHER, 0; "of a job that is not known")]
-fn stray_run_takes_room(job: &str, fits: usize) {
+#[test_case(OTHER, 0; "of an unknown job")]
+fn stray_run_uses_capacity(job: &str, fits: usize) {
     let mut world = World::new(&["w1"]);
-    unguarded(&mut world);
+    disable_enforcement(&mut world);
     world.submit(JOB, vec![step(1, 3_000)]);
     world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1);
     world.report("w1", vec![run(job, 0, 7)], vec![]);
@@ -99,14 +102,14 @@
     assert_eq!(world.starts().len(), fits);
 }
 
-/// What a listing says of the room of such workers is good for some seconds; with the store away nothing shows that
-/// it has shrunk.
-#[test_case(false, 1; "guarded")]
-#[test_case(true, 0; "not guarded")]
-fn place_needs_recent_listing(is_unguarded: bool, fits: usize) {
+/// For workers that do not enforce their capacity a listing is valid for some seconds; in a store
+/// outage nothing shows that the capacity has shrunk.
+#[test_case(false, 1; "enforced")]
+#[test_case(true, 0; "not enforced")]
+fn unenforced_capacity_needs_recent_listing(is_unenforced: bool, fits: usize) {
     let mut world = World::new(&["w1"]);
-    if is_unguarded {
-        unguarded(&mut world);
+    if is_unenforced {
+        disable_enforcement(&mut world);
     }
     world.now += 5_000;
     world.report("w1", vec![], vec![]);
@@ -116,35 +119,39 @@
     assert_eq!(world.starts().len(), 1 - fits);
 }
 
-/// Rooms that shrink and grow at random, with starts that are late, answers that are lost and reports that come now and
-/// then: no start is sent that brings a worker over the smallest room which was known when it was sent.
+/// With random capacity changes, late starts, lost answers and irregular reports, no start exceeds
+/// the smallest capacity that was known when it was sent.
 #[test]
-fn unguarded_worker_is_never_overfull() {
+fn random_sequences_never_exceed_unenforced_capacity() {
     for seed in 0..200 {
-        let mut play = Play::new(seed);
+        let mut scenario = Scenario::new(seed);
         for round in 0..80 {
-            play.step(round);
+            scenario.step(round);
         }
-        assert!(play.began > 10, "seed {seed}: {} starts", play.began);
+        assert!(
+            scenario.started > 10,
+            "seed {seed}: {} starts",
+            scenario.started
+        );
     }
 }
 
-/// From the time of a world to the clock of its workers, see [`World::report`].
+/// Offset of the workers' clock from the clock of the world; see [`World::report`].
 const CLOCK: u64 = 50_000;
 
-/// A worker that starts whatever it is told, as it sees itself.
+/// The actual state of a worker that does not enforce its capacity.
 #[derive(Default)]
-struct Real {
-    room: u64,
-    /// What runs: number of the run and processors.
+struct ActualWorker {
+    capacity: u64,
+    /// Runs: run number and millicores, by task.
     runs: HashMap<(Id, usize), (u64, u64)>,
-    /// The highest run that is over or barred.
+    /// The highest run that has ended or was barred, by task.
     over: HashMap<(Id, usize), u64>,
     ended: Vec<End>,
     count: u64,
 }
 
-impl Real {
+impl ActualWorker {
     fn end(&mut self, task: &(Id, usize), run: u64, how: How) {
         self.runs.remove(task);
         self.over.insert(task.clone(), run);
@@ -165,41 +172,41 @@
     }
 }
 
-struct Play {
+struct Scenario {
     seed: u64,
     rng: fastrand::Rng,
     world: World,
-    real: BTreeMap<Arc<str>, Real>,
-    /// Orders on their way.
-    line: Vec<(Arc<str>, Order)>,
-    /// The processors of each job's tasks.
-    needs: HashMap<Id, u64>,
-    began: u32,
+    actual: BTreeMap<Arc<str>, ActualWorker>,
+    /// Orders in transit.
+    in_transit: Vec<(Arc<str>, Order)>,
+    /// Millicores of each job's tasks.
+    cpu_by_job: HashMap<Id, u64>,
+    started: u32,
 }
 
-impl Play {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let ids = ["w1", "w2"];
         let mut world = World::new(&ids);
-        unguarded(&mut world);
-        let real = |id: &str| {
-            let room = 4_000;
+        disable_enforcement(&mut world);
+        let actual = |id: &str| {
+            let capacity = 4_000;
             (
                 id.into(),
-                Real {
-                    room,
-                    ..Real::default()
+                ActualWorker {
+                    capacity,
+                    ..ActualWorker::default()
                 },
             )
         };
-        Play {
+        Scenario {
             seed,
             rng: fastrand::Rng::with_seed(seed),
             world,
-            real: ids.into_iter().map(real).collect(),
-            line: Vec::new(),
-            needs: HashMap::new(),
-            began: 0,
+            actual: ids.into_iter().map(actual).collect(),
+            in_transit: Vec::new(),
+            cpu_by_job: HashMap::new(),
+            started: 0,
         }
     }
 
@@ -208,20 +215,20 @@
         if self.rng.u8(0..3) == 0 {
             self.submit(round);
         }
-        let resizes = self.rng.u8(0..4) == 0;
-        self.list(resizes);
+        let changes_capacity = self.rng.u8(0..4) == 0;
+        self.list(changes_capacity);
         self.report();
         self.world.cell.lapse(self.world.now);
         self.world.cell.place(self.world.now);
-        self.line.extend(self.world.cell.take_orders());
-        while !self.line.is_empty() && self.rng.u8(0..3) > 0 {
-            let (id, order) = self.line.remove(0);
-            let outcome = self.carry_out(&id, &order);
+        self.in_transit.extend(self.world.cell.take_orders());
+        while !self.in_transit.is_empty() && self.rng.u8(0..3) > 0 {
+            let (id, order) = self.in_transit.remove(0);
+            let outcome = self.execute(&id, &order);
             self.world
                 .cell
                 .answered(&id, &order, outcome, self.world.now);
         }
-        self.world.write();
+        self.world.persist();
     }
 
     fn submit(&mut self, round: u64) {
@@ -229,17 +236,17 @@
         let cpu = self.rng.u64(1..=3) * 500;
         let count = self.rng.u32(1..4);
         self.world.submit(&id, vec![step(count, cpu)]);
-        self.needs.insert(Id::new(&id).unwrap(), cpu);
+        self.cpu_by_job.insert(Id::new(&id).unwrap(), cpu);
     }
 
-    fn list(&mut self, resizes: bool) {
+    fn list(&mut self, changes_capacity: bool) {
         let mut entries = Vec::new();
-        for (id, real) in &mut self.real {
-            if resizes {
-                real.room = self.rng.u64(0..=8) * 500;
+        for (id, actual) in &mut self.actual {
+            if changes_capacity {
+                actual.capacity = self.rng.u64(0..=8) * 500;
             }
             let size = Size {
-                cpu: real.room,
+                cpu: actual.capacity,
                 ..entry(id, 4).size
             };
             entries.push(Entry {
@@ -250,37 +257,37 @@
         self.world.list(entries);
     }
 
-    /// Has a worker end some of its runs and report.
+    /// Lets a worker end some of its runs and report.
     fn report(&mut self) {
         let id: Arc<str> = if self.rng.bool() { "w1" } else { "w2" }.into();
-        let real = self.real.get_mut(&id).unwrap();
-        let over: Vec<_> = real
+        let actual = self.actual.get_mut(&id).unwrap();
+        let over: Vec<_> = actual
             .runs
             .iter()
             .map(|(task, (run, _))| (task.clone(), *run))
             .collect();
         for (task, run) in over {
             if self.rng.u8(0..3) == 0 {
-                real.end(&task, run, How::Done);
+                actual.end(&task, run, How::Done);
             }
         }
-        let running = real
+        let running = actual
             .runs
             .iter()
             .map(|((job, place), (number, _))| run(job.as_str(), *place as u32, *number));
         let running = running.collect();
-        let ended = real.ended.clone();
+        let ended = actual.ended.clone();
         self.world.report(&id, running, ended);
     }
 
-    fn carry_out(&mut self, id: &Arc<str>, order: &Order) -> Outcome {
+    fn execute(&mut self, id: &Arc<str>, order: &Order) -> Outcome {
         let now = self.world.now;
-        let real = self.real.get_mut(id).unwrap();
+        let actual = self.actual.get_mut(id).unwrap();
         match order {
             Order::Start(start) => {
                 let task = (start.key.job.clone(), start.key.place);
-                // A stop bars a start that has not left.
-                let is_barred = self.line.iter().any(|(other, order)| {
+                // A stop bars a start that was not sent yet.
+                let is_barred = self.in_transit.iter().any(|(other, order)| {
                     let Order::Stop { key, run, .. } = order else {
                         return false;
                     };
@@ -289,32 +296,35 @@
                 if is_barred {
                     return Outcome::Refused(Reason::NotSent);
                 }
-                let is_over = real.over.get(&task).is_some_and(|over| start.run <= *over);
-                if is_over || real.runs.contains_key(&task) {
+                let is_over = actual
+                    .over
+                    .get(&task)
+                    .is_some_and(|over| start.run <= *over);
+                if is_over || actual.runs.contains_key(&task) {
                     return Outcome::Refused(Reason::Old);
                 }
                 if now + CLOCK > start.deadline {
                     return Outcome::Refused(Reason::Late);
                 }
-                let taken: u64 = real.runs.values().map(|(_, cpu)| cpu).sum();
-                let (cpu, room) = (self.needs[&task.0], real.room);
+                let used: u64 = actual.runs.values().map(|(_, cpu)| cpu).sum();
+                let (cpu, capacity) = (self.cpu_by_job[&task.0], actual.capacity);
                 assert!(
-                    taken + cpu <= room,
-                    "seed {}: {taken} + {cpu} of {room} on {id}",
+                    used + cpu <= capacity,
+                    "seed {}: {used} + {cpu} of {capacity} on {id}",
                     self.seed
                 );
-                real.runs.insert(task, (start.run, cpu));
-                self.began += 1;
+                actual.runs.insert(task, (start.run, cpu));
+                self.started += 1;
                 if self.rng.u8(0..5) == 0 {
                     return Outcome::Unknown;
                 }
             }
             Order::Stop { key, run, .. } => {
                 let task = (key.job.clone(), key.place);
-                if real.runs.get(&task).is_some_and(|(own, _)| own == run) {
-                    real.end(&task, *run, How::Stopped);
+                if actual.runs.get(&task).is_some_and(|(own, _)| own == run) {
+                    actual.end(&task, *run, How::Stopped);
                 }
-                let over = real.over.entry(task).or_default();
+                let over = actual.over.entry(task).or_default();
                 *over = (*over).max(*run);
             }
             Order::Pace { .. } | Order::Withdraw { .. } => {}
--- a/components/cell/tests/decisions/common.rs
+++ b/components/cell/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A cell with workers and jobs, for tests that set the clock themselves.
+//! Test helpers: a cell with workers and jobs on a clock that the test sets.
 
 use {
     job::{Address, Id, Queue, Record, Spec, State, Step, Submission, spec::Size},
@@ -12,7 +12,7 @@
     pace: 100,
 };
 
-/// The job that most tests submit.
+/// Id of the job that most tests submit.
 pub const JOB: &str = "00000000000000a1";
 
 pub fn entry(id: &str, cores: u64) -> Entry {
@@ -71,36 +71,36 @@
     }
 }
 
-/// A cell and the time in it, as its owner would drive it.
+/// A cell and its clock, driven as by its owner.
 pub struct World {
     pub cell: Cell,
     pub now: u64,
 }
 
 impl World {
-    /// A cell with workers of 4 cores that have answered.
+    /// Creates a cell whose workers have 4 cores each and have reported.
     pub fn new(workers: &[&str]) -> Self {
-        let mut world = World::unheard(workers);
+        let mut world = World::without_reports(workers);
         for worker in workers {
             world.report(worker, vec![], vec![]);
         }
         world
     }
 
-    /// The same, with workers that have not answered yet.
-    pub fn unheard(workers: &[&str]) -> Self {
+    /// Creates a cell whose workers have not reported yet.
+    pub fn without_reports(workers: &[&str]) -> Self {
         let mut cell = Cell::new(TIMING);
         let entries: Vec<Entry> = workers.iter().map(|id| entry(id, 4)).collect();
         cell.list(entries, 1_000);
         let mut world = World { cell, now: 1_000 };
-        world.write();
+        world.persist();
         world
     }
 
-    /// Lists the workers, and writes down which they are. Returns those that are new.
+    /// Passes a listing of workers to the cell and persists the change. Returns the new workers.
     pub fn list(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let added = self.cell.list(entries, self.now);
-        self.write();
+        self.persist();
         added
     }
 
@@ -108,7 +108,7 @@
         assert!(self.cell.admit(submission(id, steps), 1));
     }
 
-    /// A job that a former owner had begun.
+    /// Resumes a job that a previous owner had started.
     pub fn resume(&mut self, id: &str, steps: Vec<Step>) {
         let record = Record {
             state: State::Running,
@@ -118,7 +118,7 @@
         self.cell.resume(submission(id, steps), &record, 1);
     }
 
-    /// A report whose request was just sent.
+    /// Passes a report to the cell whose poll was sent at the current time.
     pub fn report(&mut self, worker: &str, running: Vec<Run>, ended: Vec<End>) {
         let report = Report {
             clock: self.now + 50_000,
@@ -130,7 +130,7 @@
         self.cell.poll(worker, self.now);
     }
 
-    /// Places, and returns the starts that were ordered, by worker.
+    /// Runs a placement pass. Returns the ordered starts, by worker.
     pub fn starts(&mut self) -> Vec<(Arc<str>, Start)> {
         self.cell.place(self.now);
         let mut starts = Vec::new();
@@ -142,7 +142,7 @@
         starts
     }
 
-    /// The runs that were ordered to stop, by worker.
+    /// Takes all orders. Returns the runs that were ordered to stop, by worker.
     pub fn stops(&mut self) -> Vec<(Arc<str>, u64)> {
         let mut stops = Vec::new();
         for (worker, order) in self.cell.take_orders() {
@@ -158,42 +158,42 @@
         self.cell.answered(worker, &order, outcome, self.now);
     }
 
-    /// Writes down what is to be written.
-    pub fn write(&mut self) {
+    /// Persists the pending changes.
+    pub fn persist(&mut self) {
         let change = self.cell.take_change(100);
         self.cell.written(&change);
     }
 }
 
-/// A world with so many workers, which have answered.
-pub fn large(count: usize) -> World {
+/// Creates a cell with `count` workers that have reported.
+pub fn large_cell(count: usize) -> World {
     let names: Vec<String> = (0..count).map(|number| format!("w{number:05}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     World::new(&names)
 }
 
-/// The state of the job that most tests submit.
+/// State of the job [`JOB`].
 pub fn state(world: &World) -> Option<State> {
     world.cell.state(&Id::new(JOB).unwrap())
 }
 
-/// A world whose first task was ordered to start, without an answer yet; its worker and the order.
-pub fn ordered(workers: &[&str], step: Step) -> (World, Arc<str>, Start) {
+/// Creates a world whose first start is ordered and not answered. Returns its worker and the start.
+pub fn with_ordered_start(workers: &[&str], step: Step) -> (World, Arc<str>, Start) {
     let mut world = World::new(workers);
     world.submit(JOB, vec![step]);
     let (worker, start) = world.starts()[0].clone();
     (world, worker, start)
 }
 
-/// The same, with the order confirmed.
-pub fn running(workers: &[&str], step: Step) -> (World, Arc<str>, Start) {
-    let (mut world, worker, start) = ordered(workers, step);
+/// Creates a world whose first start is confirmed. Returns its worker and the start.
+pub fn with_running_task(workers: &[&str], step: Step) -> (World, Arc<str>, Start) {
+    let (mut world, worker, start) = with_ordered_start(workers, step);
     world.answer(&worker, &start, Outcome::Done);
     (world, worker, start)
 }
 
-/// The other one of the workers `w1` and `w2`.
-pub fn other_than(worker: &str) -> &'static str {
+/// The other of the workers `w1` and `w2`.
+pub fn other_worker(worker: &str) -> &'static str {
     if worker == "w1" { "w2" } else { "w1" }
 }
 
@@ -226,8 +226,8 @@
     }
 }
 
-/// What a worker tells of runs, by name and number, and of ends.
-pub fn report_of<'a>(
+/// Builds a report from runs, given by task and run number, and ends.
+pub fn build_report<'a>(
     clock: u64,
     runs: impl Iterator<Item = (&'a (Id, Address), u64)>,
     ended: &[End],
@@ -246,8 +246,8 @@
     }
 }
 
-/// The end of a run, as its worker counts it.
-pub fn end_of(number: u64, (job, address): (Id, Address), run: u64, how: How) -> End {
+/// The end of a run, numbered by its worker.
+pub fn task_end(number: u64, (job, address): (Id, Address), run: u64, how: How) -> End {
     End {
         number,
         job,
--- a/components/cell/tests/decisions/drain.rs
+++ b/components/cell/tests/decisions/drain.rs
@@ -1,18 +1,18 @@
-//! Tasks are moved off workers that leave, within what their steps may miss.
+//! Draining: tasks move off workers that leave, within the disruption limits of their steps.
 
 use {
     crate::common::{JOB, World, entry, run, step},
     magpie_cell::Outcome,
 };
 
-fn leaving(world: &mut World) {
-    let mut going = entry("w1", 4);
-    going.leaving = true;
-    going.remaining = Some(2_000);
-    world.cell.list(vec![going], world.now);
+fn announce_leave(world: &mut World) {
+    let mut leaving = entry("w1", 4);
+    leaving.leaving = true;
+    leaving.remaining = Some(2_000);
+    world.cell.list(vec![leaving], world.now);
 }
 
-fn placed(world: &mut World, steps: Vec<job::Step>, count: u32) {
+fn place_and_report(world: &mut World, steps: Vec<job::Step>, count: u32) {
     world.submit(JOB, steps);
     assert_eq!(world.starts().len(), count as usize);
     let running = (0..count).map(|index| run(JOB, index, 1)).collect();
@@ -20,38 +20,38 @@
 }
 
 #[test]
-fn lasting_tasks_within_may_miss() {
+fn drain_respects_may_miss() {
     let mut world = World::new(&["w1"]);
-    let mut lasting = step(3, 1_000);
-    lasting.lasting = true;
-    lasting.may_miss = Some(1);
-    placed(&mut world, vec![lasting], 3);
-    leaving(&mut world);
+    let mut long_running = step(3, 1_000);
+    long_running.lasting = true;
+    long_running.may_miss = Some(1);
+    place_and_report(&mut world, vec![long_running], 3);
+    announce_leave(&mut world);
     assert_eq!(world.stops().len(), 1);
-    leaving(&mut world);
+    announce_leave(&mut world);
     assert!(world.stops().is_empty());
 }
 
 #[test]
-fn tasks_without_checkpoint_stay() {
+fn drain_keeps_tasks_without_checkpoints() {
     let mut world = World::new(&["w1"]);
-    placed(&mut world, vec![step(2, 1_000)], 2);
-    leaving(&mut world);
+    place_and_report(&mut world, vec![step(2, 1_000)], 2);
+    announce_leave(&mut world);
     assert!(world.stops().is_empty());
 }
 
 #[test]
-fn tasks_with_checkpoint_move() {
+fn drain_moves_tasks_with_checkpoints() {
     let mut world = World::new(&["w1"]);
-    let mut saving = step(2, 1_000);
-    saving.checkpoints = true;
-    placed(&mut world, vec![saving], 2);
-    leaving(&mut world);
+    let mut checkpointed = step(2, 1_000);
+    checkpointed.checkpoints = true;
+    place_and_report(&mut world, vec![checkpointed], 2);
+    announce_leave(&mut world);
     assert_eq!(world.stops().len(), 2);
 }
 
-/// Lists w2 alone, again and again, up to a time; w1 is polled all the while.
-fn list_without_first(world: &mut World, until: u64) -> Vec<(std::sync::Arc<str>, u64)> {
+/// Lists only w2 until a given time while w1 keeps reporting. Returns the stops.
+fn list_only_second(world: &mut World, until: u64) -> Vec<(std::sync::Arc<str>, u64)> {
     let mut stops = Vec::new();
     while world.now < until {
         world.now += 700;
@@ -62,12 +62,12 @@
     stops
 }
 
-/// A world in which the only task, a lasting one, runs on w1.
-fn world_on_first() -> World {
+/// Creates a world whose only task, a long-running one, runs on w1.
+fn world_with_task_on_first() -> World {
     let mut world = World::new(&["w1", "w2"]);
-    let mut lasting = step(1, 1_000);
-    lasting.lasting = true;
-    world.submit(JOB, vec![lasting]);
+    let mut long_running = step(1, 1_000);
+    long_running.lasting = true;
+    world.submit(JOB, vec![long_running]);
     let (worker, start) = world.starts()[0].clone();
     assert_eq!(&*worker, "w1");
     world.answer(&worker, &start, Outcome::Done);
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn vanished_worker_is_emptied() {
-    let mut world = world_on_first();
+fn unlisted_worker_is_drained() {
+    let mut world = world_with_task_on_first();
     for _ in 0..5 {
         world.now += 700;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
@@ -85,16 +85,17 @@
             .list(vec![entry("w1", 4), entry("w2", 4)], world.now);
     }
     let until = world.now + 700;
-    assert_eq!(list_without_first(&mut world, until), [("w1".into(), 1)]);
+    assert_eq!(list_only_second(&mut world, until), [("w1".into(), 1)]);
 }
 
-/// The store was away and has lost entries: they are waited for.
+/// If entries disappear while the store is unavailable, they get time to return before the worker
+/// is drained.
 #[test]
-fn vanished_with_the_store_is_waited_for() {
-    let mut world = world_on_first();
+fn unlisted_worker_gets_grace_after_store_outage() {
+    let mut world = world_with_task_on_first();
     world.now += 5_000;
     let until = world.now + 2_600;
-    assert!(list_without_first(&mut world, until).is_empty());
+    assert!(list_only_second(&mut world, until).is_empty());
     let until = world.now + 700;
-    assert_eq!(list_without_first(&mut world, until), [("w1".into(), 1)]);
+    assert_eq!(list_only_second(&mut world, until), [("w1".into(), 1)]);
 }
--- a/components/cell/tests/decisions/ends.rs
+++ b/components/cell/tests/decisions/ends.rs
@@ -1,4 +1,4 @@
-//! What reports mean for tasks: ends, runs that must not be, and what is written down.
+//! Ends and runs in reports: state transitions, retries, stray runs and persistence.
 
 use {
     crate::common::{JOB, World, end, run, state, step},
@@ -7,8 +7,8 @@
     test_case::test_case,
 };
 
-/// Starts the only task of the job on `w1`, and returns its run.
-fn started(world: &mut World) -> u64 {
+/// Starts the only task of the job on `w1`. Returns its run.
+fn start_task(world: &mut World) -> u64 {
     let starts = world.starts();
     assert_eq!(starts.len(), 1);
     let (worker, start) = &starts[0];
@@ -17,37 +17,37 @@
 }
 
 #[test]
-fn done_shown_after_write() {
+fn success_is_shown_after_write() {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(1, 1_000)]);
-    let run = started(&mut world);
+    let run = start_task(&mut world);
     world.now += 1_000;
     world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Done)]);
     assert_eq!(state(&world), Some(State::Running));
     assert!(world.cell.is_unwritten("w1"));
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Completed));
     assert!(!world.cell.is_unwritten("w1"));
     assert_eq!(world.cell.poll("w1", world.now).unwrap().seen, 1);
 }
 
 #[test]
-fn done_opens_next_step() {
+fn success_starts_next_step() {
     let mut world = World::new(&["w1"]);
     let mut second = step(2, 1_000);
     second.after = vec![0];
     world.submit(JOB, vec![step(1, 1_000), second]);
-    let run = started(&mut world);
+    let run = start_task(&mut world);
     world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Done)]);
     assert_eq!(world.starts().len(), 2);
 }
 
-/// Ends that are not acknowledged are listed again.
+/// A worker reports an end again until it is acknowledged.
 #[test]
-fn end_listed_again_counts_once() {
+fn repeated_end_counts_once() {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(1, 1_000)]);
-    let run = started(&mut world);
+    let run = start_task(&mut world);
     for _ in 0..3 {
         world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Failed)]);
     }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn failed_as_often_as_allowed() {
+fn job_fails_after_allowed_attempts() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(1, 1_000)]);
     for number in 1..=2 {
@@ -66,14 +66,14 @@
         world.report(&worker.clone(), vec![], vec![failed]);
         world.now += 10;
     }
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Failed));
     assert!(world.starts().is_empty());
 }
 
-/// The former owner wrote the failure down and died before it acknowledged it to the worker.
+/// The previous owner persisted the failure and died before acknowledging it to the worker.
 #[test]
-fn failed_counted_by_former_owner() {
+fn failure_counted_by_previous_owner() {
     let mut world = World::new(&["w1"]);
     let record = job::Record {
         state: State::Running,
@@ -84,7 +84,7 @@
     let submission = crate::common::submission(JOB, vec![step(1, 1_000)]);
     world.cell.resume(submission, &record, 1);
     world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Running));
     assert!(world.starts().is_empty());
     world.now += 3_000;
@@ -96,10 +96,10 @@
 #[test_case(How::Lapsed; "lapsed")]
 #[test_case(How::Broken; "broken")]
 #[test_case(How::Alone; "alone")]
-fn interrupted_starts_again(how: How) {
+fn interrupted_run_restarts_from_checkpoint(how: How) {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(1, 1_000)]);
-    let run = started(&mut world);
+    let run = start_task(&mut world);
     let mut ended = end(1, JOB, 0, run, how);
     ended.saved = Some("point".into());
     world.report("w1", vec![], vec![ended]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn cancel_stops_and_stays() {
+fn cancel_stops_tasks_and_is_final() {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(2, 1_000)]);
     let starts = world.starts();
@@ -122,13 +122,13 @@
     let run = starts[0].1.run;
     world.report("w1", vec![], vec![end(1, JOB, 0, run, How::Stopped)]);
     assert!(world.starts().is_empty());
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Cancelled));
 }
 
-/// A late order that is carried out after its job was cancelled and forgotten.
+/// A delayed start may be executed after its job was cancelled and dropped.
 #[test]
-fn stray_is_stopped() {
+fn stray_run_is_stopped() {
     let mut world = World::new(&["w1"]);
     world.report("w1", vec![run(JOB, 3, 9)], vec![]);
     assert_eq!(world.stops(), [("w1".into(), 9)]);
@@ -139,20 +139,20 @@
     assert_eq!(world.stops().len(), 1);
 }
 
-/// The same task on two workers: the second one listed goes.
+/// If a task runs on two workers, the run reported second is stopped.
 #[test]
-fn second_run_is_stopped() {
-    let mut world = World::unheard(&["w1", "w2"]);
+fn duplicate_run_is_stopped() {
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.report("w1", vec![run(JOB, 0, 2)], vec![]);
     world.report("w2", vec![run(JOB, 0, 1)], vec![]);
     assert_eq!(world.stops(), [("w2".into(), 1)]);
 }
 
-/// Seen on a fleet of 490 workers: as long as any record waited to be written, no end was
-/// acknowledged, and a fifth of all ends never were.
+/// Guards against ends that are never acknowledged because some other record is always pending. On
+/// a fleet of 490 workers a fifth of all ends were affected.
 #[test]
-fn end_is_kept_with_its_own_record() {
+fn end_is_acknowledged_with_its_own_record() {
     let mut world = World::new(&["w1", "w2"]);
     let other = "00000000000000b2";
     world.submit(JOB, vec![step(1, 3_000)]);
@@ -161,7 +161,7 @@
     for (worker, start) in &starts {
         world.answer(worker, start, Outcome::Done);
     }
-    world.write();
+    world.persist();
     for (worker, start) in &starts {
         let done = end(1, start.key.job.as_str(), 0, start.run, How::Done);
         world.report(worker, vec![], vec![done]);
@@ -174,9 +174,9 @@
     assert!(!world.cell.is_unwritten("w1") && !world.cell.is_unwritten("w2"));
 }
 
-/// Records are written in the order in which they changed, so that none waits for ever.
+/// Records are written in the order of their changes, so that none is delayed indefinitely.
 #[test]
-fn records_are_written_in_turn() {
+fn records_are_written_in_order() {
     let mut world = World::new(&["w1"]);
     let (late, early) = ("00000000000000a1", "00000000000000f9");
     world.submit(early, vec![step(1, 1_000)]);
@@ -191,10 +191,10 @@
     assert_eq!(change.records[0].0.as_str(), early);
 }
 
-/// Seen on a grown site: with all jobs waiting to be written down, the end of a job was shown 0.3 s after its last
-/// task had ended, and 2 s later in a burst.
+/// Final states are written first. With all other records pending as well, clients saw a job end
+/// 0.3 s late, and 2 s late under load.
 #[test]
-fn ended_job_is_written_first() {
+fn final_state_is_written_first() {
     let mut world = World::new(&["w1"]);
     let (first, last) = ("00000000000000a1", "00000000000000f9");
     world.submit(first, vec![step(2, 500)]);
@@ -206,30 +206,30 @@
     let change = world.cell.take_change(2);
     assert_eq!(change.records.len(), 1);
     assert_eq!(change.records[0].0.as_str(), last);
-    // What could not be written keeps its turn.
+    // A record whose write failed stays queued.
     world.cell.unwritten(change);
     assert_eq!(world.cell.take_change(3).records.len(), 2);
 }
 
-/// The share of speed of a run that a former owner may have slowed down is not known: it is
-/// ordered anew.
+/// The pace of an adopted run is unknown, since a previous owner may have slowed it down; it is set
+/// again.
 #[test]
-fn adopted_filling_task_is_paced_anew() {
-    let mut world = World::unheard(&["w1"]);
-    let mut filling = step(1, 500);
-    filling.fills = true;
-    filling.image = Some("f".into());
-    world.resume(JOB, vec![filling]);
+fn adopted_best_effort_task_is_paced_again() {
+    let mut world = World::without_reports(&["w1"]);
+    let mut best_effort = step(1, 500);
+    best_effort.fills = true;
+    best_effort.image = Some("f".into());
+    world.resume(JOB, vec![best_effort]);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     let orders = world.cell.take_orders();
     let is_pace = |order: &Order| matches!(order, Order::Pace { percent: 100, .. });
     assert!(orders.iter().any(|(_, order)| is_pace(order)));
 }
 
-/// The room of a cancelled task is taken until its worker lists its end, also when its job is written
-/// down as cancelled and forgotten by then.
+/// A cancelled task uses capacity until its worker reports its end, even if the job was persisted
+/// as cancelled and dropped before.
 #[test]
-fn cancelled_task_takes_room_until_its_end() {
+fn cancelled_task_uses_capacity_until_its_end() {
     let mut world = World::new(&["w1"]);
     let mut second = step(1, 4_000);
     second.after = vec![0];
@@ -238,15 +238,15 @@
     world.answer(&worker, &start, Outcome::Done);
     let done = end(1, JOB, 0, start.run, How::Done);
     world.report(&worker, vec![], vec![done]);
-    world.write();
+    world.persist();
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
     world.cell.cancel(&start.key.job, world.now, 1);
-    world.write();
-    let mut going = run(JOB, 0, start.run);
-    going.address.step = 1;
+    world.persist();
+    let mut still_running = run(JOB, 0, start.run);
+    still_running.address.step = 1;
     world.now += 100;
-    world.report(&worker, vec![going], vec![]);
+    world.report(&worker, vec![still_running], vec![]);
     world.submit("00000000000000b2", vec![step(1, 4_000)]);
     assert!(world.starts().is_empty());
     let stopped = end(2, JOB, 1, start.run, How::Stopped);
--- a/components/cell/tests/decisions/advise.rs
+++ b/components/cell/tests/decisions/external_placement.rs
@@ -1,11 +1,11 @@
-//! Queues on which a service outside chooses the workers.
+//! Queues for which an external service chooses the workers.
 
 use {
     crate::common::{JOB, World, step, submission},
     magpie_cell::{Advice, Outcome, Question, Reason},
 };
 
-fn advised_world() -> World {
+fn world_with_external_placement() -> World {
     let mut world = World::new(&["w1", "w2"]);
     let mut job = submission(JOB, vec![step(2, 1_000)]);
     job.queue.advised = true;
@@ -33,7 +33,7 @@
 
 #[test]
 fn starts_only_with_ticket() {
-    let mut world = advised_world();
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     assert_eq!(asked.workers.len(), 2);
     world.cell.advised(&asked, Some(advice("w2")), world.now);
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn asks_again_after_failure() {
-    let mut world = advised_world();
+fn asks_again_after_failed_question() {
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     assert!(world.starts().is_empty() && world.cell.take_questions().is_empty());
     world.cell.advised(&asked, None, world.now);
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn ticket_runs_out() {
-    let mut world = advised_world();
+fn ticket_expires() {
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     world.cell.advised(&asked, Some(advice("w2")), world.now);
     world.now += 2_000;
@@ -71,7 +71,7 @@
 
 #[test]
 fn refused_ticket_is_dropped() {
-    let mut world = advised_world();
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     world.cell.advised(&asked, Some(advice("w2")), world.now);
     let starts = world.starts();
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -1,7 +1,6 @@
-//! Data halls that are shut: nothing starts there, and what runs there goes on.
-//!
-//! The story: the users emptied a data hall for 12 s, and 7,749 tasks were started there after the 5 s that they allow,
-//! since nothing read their request.
+//! Closed data halls: no task starts there, and running tasks continue. Guards against starts in a
+//! hall that is being evacuated: 7,749 tasks started after the 5 s that are allowed, because the
+//! request was not read.
 
 use {
     crate::common::{JOB, World, end, entry, run, step},
@@ -11,24 +10,24 @@
     test_case::test_case,
 };
 
-/// The workers of most tests, and the hall of each.
+/// Workers of most tests, and their halls.
 const WORKERS: [(&str, &str); 4] = [("w1", "h1"), ("w2", "h1"), ("w3", "h2"), ("w4", "h3")];
 
-fn entry_in(id: &str, hall: &str) -> Entry {
+fn entry_in_hall(id: &str, hall: &str) -> Entry {
     Entry {
         hall: hall.into(),
         ..entry(id, 4)
     }
 }
 
-fn names(halls: &[&str]) -> HashSet<Arc<str>> {
+fn hall_set(halls: &[&str]) -> HashSet<Arc<str>> {
     halls.iter().map(|&hall| hall.into()).collect()
 }
 
-/// Workers that have answered.
+/// Creates a world whose workers have reported.
 fn world() -> World {
     let mut world = World::new(&[]);
-    let entries = WORKERS.iter().map(|(id, hall)| entry_in(id, hall));
+    let entries = WORKERS.iter().map(|(id, hall)| entry_in_hall(id, hall));
     world.list(entries.collect());
     for (id, _) in WORKERS {
         world.report(id, vec![], vec![]);
@@ -36,8 +35,8 @@
     world
 }
 
-/// The workers of the starts that are ordered now.
-fn started(world: &mut World) -> Vec<Arc<str>> {
+/// The workers of the starts ordered by a placement pass.
+fn place(world: &mut World) -> Vec<Arc<str>> {
     let starts = world.starts();
     starts.into_iter().map(|(worker, _)| worker).collect()
 }
@@ -47,7 +46,7 @@
     hall
 }
 
-fn lasting(count: u32) -> Step {
+fn long_running(count: u32) -> Step {
     Step {
         lasting: true,
         may_miss: Some(1),
@@ -58,113 +57,116 @@
 #[test_case(&["h1"], 8; "one")]
 #[test_case(&["h1", "h3"], 4; "two")]
 #[test_case(&["h1", "h2", "h3"], 0; "all")]
-#[test_case(&["elsewhere"], 16; "one without workers")]
-fn shut_halls_get_nothing(shut: &[&str], starts: usize) {
+#[test_case(&["elsewhere"], 16; "hall without workers")]
+fn closed_halls_get_nothing(closed: &[&str], starts: usize) {
     let mut world = world();
-    world.cell.shut(names(shut));
+    world.cell.shut(hall_set(closed));
     world.submit(JOB, vec![step(20, 1_000)]);
-    let started = started(&mut world);
-    assert_eq!(started.len(), starts);
-    assert!(started.iter().all(|id| !shut.contains(&hall_of(id))));
+    let placed = place(&mut world);
+    assert_eq!(placed.len(), starts);
+    assert!(placed.iter().all(|id| !closed.contains(&hall_of(id))));
 }
 
-/// A gang that fits in one hall only waits until that is open.
+/// A gang that fits into one hall waits until that hall reopens.
 #[test]
-fn gang_does_not_start_in_shut_hall() {
+fn gang_does_not_start_in_closed_hall() {
     let mut world = world();
     let gang = Step {
         gang: true,
         ..step(3, 3_000)
     };
-    world.cell.shut(names(&["h1"]));
+    world.cell.shut(hall_set(&["h1"]));
     world.submit(JOB, vec![gang]);
-    assert!(started(&mut world).is_empty());
-    world.cell.shut(names(&[]));
-    assert_eq!(started(&mut world).len(), 3);
+    assert!(place(&mut world).is_empty());
+    world.cell.shut(hall_set(&[]));
+    assert_eq!(place(&mut world).len(), 3);
 }
 
-/// A task that lasts may go to workers that are set aside once it has waited for long, but to none in a shut hall.
+/// After a long wait a long-running task may start on a quarantined worker, but never in a closed
+/// hall.
 #[test]
-fn pressed_task_does_not_go_to_shut_hall() {
+fn overdue_task_does_not_start_in_closed_hall() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3"]));
-    world.submit(JOB, vec![lasting(1)]);
+    world.cell.shut(hall_set(&["h1", "h2", "h3"]));
+    world.submit(JOB, vec![long_running(1)]);
     for _ in 0..100 {
         world.now += 100;
         for (id, _) in WORKERS {
             world.report(id, vec![], vec![]);
         }
         world.cell.rerank(world.now, world.now);
-        assert!(started(&mut world).is_empty());
+        assert!(place(&mut world).is_empty());
     }
-    world.cell.shut(names(&["h1", "h2"]));
-    assert_eq!(started(&mut world), ["w4".into()]);
+    world.cell.shut(hall_set(&["h1", "h2"]));
+    assert_eq!(place(&mut world), ["w4".into()]);
 }
 
-/// A worker that comes into a shut hall, as one does after a crash there.
+/// A worker that joins in a closed hall, for instance after a crash, gets no work.
 #[test]
-fn new_worker_in_shut_hall_gets_nothing() {
+fn new_worker_in_closed_hall_gets_nothing() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3", "h4"]));
-    world.list(vec![entry_in("w5", "h4")]);
+    world.cell.shut(hall_set(&["h1", "h2", "h3", "h4"]));
+    world.list(vec![entry_in_hall("w5", "h4")]);
     world.report("w5", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
-    assert!(started(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
 }
 
-/// What runs there is neither stopped nor counted as lost, and its end is taken in as any other.
+/// A run in a closed hall is neither stopped nor counted as lost, and its end is processed as
+/// usual.
 #[test]
-fn run_in_shut_hall_goes_on() {
+fn run_in_closed_hall_continues() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
+    world.cell.shut(hall_set(&["h2", "h3"]));
     world.submit(JOB, vec![step(1, 1_000)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
+    world.cell.shut(hall_set(&["h1"]));
     assert!(world.cell.take_orders().is_empty());
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
     assert!(world.cell.take_orders().is_empty());
     world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Done)]);
-    world.write();
+    world.persist();
     assert_eq!(crate::common::state(&world), Some(job::State::Completed));
 }
 
-/// A run there that a former owner began is adopted.
+/// A run that a previous owner started in a closed hall is adopted.
 #[test]
-fn run_in_shut_hall_is_adopted() {
+fn run_in_closed_hall_is_adopted() {
     let mut world = world();
-    world.cell.shut(names(&["h1"]));
+    world.cell.shut(hall_set(&["h1"]));
     world.resume(JOB, vec![step(1, 1_000)]);
     world.report("w1", vec![run(JOB, 0, 2)], vec![]);
-    assert!(started(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     assert!(world.stops().is_empty());
 }
 
-/// A task that lasts and ends there is started again elsewhere.
+/// A long-running task that ends in a closed hall is restarted elsewhere.
 #[test]
-fn lasting_task_that_ended_starts_elsewhere() {
+fn ended_long_running_task_restarts_elsewhere() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
-    world.submit(JOB, vec![lasting(1)]);
+    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.submit(JOB, vec![long_running(1)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
+    world.cell.shut(hall_set(&["h1"]));
     world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
-    world.write();
-    let started = started(&mut world);
-    assert!(started.len() == 1 && hall_of(&started[0]) != "h1");
+    world.persist();
+    let placed = place(&mut world);
+    assert!(placed.len() == 1 && hall_of(&placed[0]) != "h1");
 }
 
-/// Starts that wait behind other orders are taken back; their tasks start elsewhere at once.
+/// Starts that are queued behind other orders are withdrawn, and their tasks start elsewhere at
+/// once.
 #[test]
-fn start_on_its_way_is_withdrawn() {
+fn pending_start_is_withdrawn() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
-    world.submit(JOB, vec![lasting(2)]);
+    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.submit(JOB, vec![long_running(2)]);
     let starts = world.starts();
     let (worker, confirmed) = starts[0].clone();
     world.answer(&worker, &confirmed, Outcome::Done);
-    world.cell.shut(names(&["h1"]));
+    world.cell.shut(hall_set(&["h1"]));
     let (other, waiting) = starts[1].clone();
     let withdrawal = Order::Withdraw {
         key: Key {
@@ -182,67 +184,68 @@
         .answered(&other, &withdrawal, Outcome::Done, world.now);
     assert!(!told);
     world.answer(&other, &waiting, Outcome::Refused(Reason::NotSent));
-    let started = started(&mut world);
-    assert!(started.len() == 1 && hall_of(&started[0]) != "h1");
+    let placed = place(&mut world);
+    assert!(placed.len() == 1 && hall_of(&placed[0]) != "h1");
 }
 
-/// Work that found no room looks at the hall in the first pass after it is open.
+/// Work that found no capacity is placed in the first pass after a hall reopens.
 #[test]
-fn opened_hall_gets_work_at_once() {
+fn reopened_hall_gets_work_at_once() {
     let mut world = world();
-    world.cell.shut(names(&["h1", "h2", "h3"]));
+    world.cell.shut(hall_set(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![step(2, 1_000)]);
-    assert!(started(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     world.now += 4;
-    assert!(started(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     world.now += 4;
-    world.cell.shut(names(&["h1", "h2"]));
-    assert_eq!(started(&mut world).len(), 2);
+    world.cell.shut(hall_set(&["h1", "h2"]));
+    assert_eq!(place(&mut world).len(), 2);
 }
 
-/// Work moves off a worker that leaves, but not into a shut hall.
+/// A leaving worker is drained, but not into a closed hall.
 #[test]
-fn leaving_worker_empties_past_shut_hall() {
+fn drain_avoids_closed_hall() {
     let mut world = world();
-    world.cell.shut(names(&["h2", "h3"]));
-    let saving = Step {
+    world.cell.shut(hall_set(&["h2", "h3"]));
+    let checkpointed = Step {
         checkpoints: true,
         ..step(1, 4_000)
     };
-    world.submit(JOB, vec![saving]);
+    world.submit(JOB, vec![checkpointed]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(names(&["h1", "h2"]));
+    world.cell.shut(hall_set(&["h1", "h2"]));
     let leaving = Entry {
         leaving: true,
         remaining: Some(2_000),
-        ..entry_in(&worker, "h1")
+        ..entry_in_hall(&worker, "h1")
     };
     world.cell.list(vec![leaving], world.now);
     assert_eq!(world.stops().len(), 1);
     let stopped = end(1, JOB, 0, 1, How::Stopped);
     world.report(&worker, vec![], vec![stopped]);
     let entries = WORKERS.iter().filter(|(id, _)| *id != &*worker);
-    world.list(entries.map(|(id, hall)| entry_in(id, hall)).collect());
-    assert_eq!(started(&mut world), ["w4".into()]);
+    world.list(entries.map(|(id, hall)| entry_in_hall(id, hall)).collect());
+    assert_eq!(place(&mut world), ["w4".into()]);
 }
 
-/// Halls are shut and opened at any moment while jobs come, start and end: no start is ordered where it is shut.
+/// Halls are closed and reopened at random while jobs are submitted, start and end: no start is
+/// ordered in a closed hall.
 #[test]
-fn no_start_in_shut_halls_whatever_comes() {
+fn random_sequences_start_nothing_in_closed_halls() {
     for seed in 0..60 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut world = world();
-        let mut shut: Vec<&str> = Vec::new();
+        let mut closed: Vec<&str> = Vec::new();
         let mut numbers = 0;
         for round in 0..80 {
             world.now += random.u64(1..400);
             if random.u8(0..4) == 0 {
-                shut = ["h1", "h2", "h3"]
+                closed = ["h1", "h2", "h3"]
                     .into_iter()
                     .filter(|_| random.bool())
                     .collect();
-                world.cell.shut(names(&shut));
+                world.cell.shut(hall_set(&closed));
             }
             let id = format!("{round:016x}");
             let step = Step {
@@ -255,7 +258,7 @@
             world.cell.rerank(world.now, world.now);
             for (worker, start) in world.starts() {
                 assert!(
-                    !shut.contains(&hall_of(&worker)),
+                    !closed.contains(&hall_of(&worker)),
                     "seed {seed}, round {round}"
                 );
                 let outcome = *random
@@ -270,7 +273,7 @@
                     world.report(&worker, vec![], vec![ended]);
                 }
             }
-            world.write();
+            world.persist();
         }
     }
 }
--- a/components/cell/tests/decisions/told.rs
+++ b/components/cell/tests/decisions/logging.rs
@@ -1,7 +1,7 @@
-//! What logs tell of runs: a failure at once, runs that are done together.
+//! Log lines about runs: failures are logged at once, successful ends in batches.
 
 use {
-    crate::common::{JOB, World, end, ordered, step},
+    crate::common::{JOB, World, end, step, with_ordered_start},
     log::{LevelFilter, Log, Metadata, Record, kv::Key},
     magpie_cell::{End, How, Order, Outcome},
     std::{cell::RefCell, mem},
@@ -9,14 +9,14 @@
 };
 
 thread_local! {
-    /// The lines of the test on this thread.
+    /// Log lines of the test on this thread.
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps lines for the test that causes them.
-struct Keeper;
+/// Logger that keeps the lines of each test.
+struct TestLogger;
 
-impl Log for Keeper {
+impl Log for TestLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -36,17 +36,17 @@
     fn flush(&self) {}
 }
 
-/// The lines with this message since the last call.
+/// Lines with this message since the last call.
 fn lines(message: &str) -> Vec<String> {
     let mut lines = LINES.with_borrow_mut(mem::take);
     lines.retain(|line| line.starts_with(message));
     lines
 }
 
-/// A world with one running job of so many tasks on one worker, whose lines are kept.
-fn world(tasks: u32) -> World {
-    // Another test may have set it.
-    let _ = log::set_logger(&Keeper);
+/// Creates a world with one job of `tasks` running tasks on one worker, and records its log.
+fn world_with_log(tasks: u32) -> World {
+    // Another test may have set the logger.
+    let _ = log::set_logger(&TestLogger);
     log::set_max_level(LevelFilter::Info);
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(tasks, 10)]);
@@ -57,28 +57,28 @@
 }
 
 /// The end of the first run of a task.
-fn end_of(index: u32, how: How) -> End {
+fn task_end(index: u32, how: How) -> End {
     let mut end = end(u64::from(index) + 1, JOB, 0, 1, how);
     end.address.index = index;
     end
 }
 
 #[test]
-fn done_told_together_with_ages() {
-    let mut world = world(3);
+fn successful_ends_are_batched_with_ages() {
+    let mut world = world_with_log(3);
     world.now += 1_000;
     world.report(
         "w1",
         vec![],
-        vec![end_of(0, How::Done), end_of(1, How::Done)],
+        vec![task_end(0, How::Done), task_end(1, How::Done)],
     );
     world.now += 40;
-    world.report("w1", vec![], vec![end_of(2, How::Done)]);
+    world.report("w1", vec![], vec![task_end(2, How::Done)]);
     assert!(lines("Runs are done.").is_empty());
     world.now += 7;
     world.cell.tell_done(world.now);
-    let told = format!("Runs are done. 3 {JOB}/0.1@w1:47 {JOB}/1.1@w1:47 {JOB}/2.1@w1:7");
-    assert_eq!(lines("Runs are done."), [told]);
+    let expected = format!("Runs are done. 3 {JOB}/0.1@w1:47 {JOB}/1.1@w1:47 {JOB}/2.1@w1:7");
+    assert_eq!(lines("Runs are done."), [expected]);
     world.cell.tell_done(world.now);
     assert!(lines("Runs are done.").is_empty());
 }
@@ -86,34 +86,34 @@
 #[test_case(How::Failed)]
 #[test_case(How::Stopped)]
 #[test_case(How::Lapsed)]
-fn other_end_told_at_once(how: How) {
-    let mut world = world(2);
-    world.report("w1", vec![], vec![end_of(1, how)]);
-    let told = format!("A run has ended. {JOB} 1 w1 1 {how:?}");
-    assert_eq!(lines("A run has ended."), [told]);
+fn unsuccessful_end_is_logged_at_once(how: How) {
+    let mut world = world_with_log(2);
+    world.report("w1", vec![], vec![task_end(1, how)]);
+    let expected = format!("A run has ended. {JOB} 1 w1 1 {how:?}");
+    assert_eq!(lines("A run has ended."), [expected]);
 }
 
-/// A line that is too long for one write may come in pieces.
+/// A line that exceeds one atomic write could be split.
 #[test]
-fn done_of_one_report_bounded_lines() {
-    let mut world = world(150);
+fn batched_lines_are_bounded() {
+    let mut world = world_with_log(150);
     let placed = lines("Tasks are placed.");
-    let ends = (0..150).map(|index| end_of(index, How::Done)).collect();
+    let ends = (0..150).map(|index| task_end(index, How::Done)).collect();
     world.report("w1", vec![], ends);
     world.cell.tell_done(world.now);
     let done = lines("Runs are done.");
     for lines in [&placed, &done] {
         assert_eq!(lines.len(), 2);
         assert!(lines.iter().all(|line| line.len() < 4_000));
-        let told: usize = lines.iter().map(|line| line.matches("@w1").count()).sum();
-        assert_eq!(told, 150);
+        let expected: usize = lines.iter().map(|line| line.matches("@w1").count()).sum();
+        assert_eq!(expected, 150);
     }
 }
 
-/// The specification of a job may be long, and a ticket is for the worker alone.
+/// The text leaves out the job's specification, which may be long, and the ticket, which is secret.
 #[test]
 fn order_start_text() {
-    let (_, _, mut start) = ordered(&["w1"], step(1, 10));
+    let (_, _, mut start) = with_ordered_start(&["w1"], step(1, 10));
     start.ticket = Some("secret".into());
     start.deadline = 4_820_132;
     let order = Order::Start(start);
@@ -122,7 +122,7 @@
 
 #[test]
 fn order_stop_and_pace_text() {
-    let (_, _, start) = ordered(&["w1"], step(1, 10));
+    let (_, _, start) = with_ordered_start(&["w1"], step(1, 10));
     let (key, address, run) = (start.key, start.address, start.run);
     let stop = Order::Stop {
         key: key.clone(),
--- a/components/cell/tests/decisions/main.rs
+++ b/components/cell/tests/decisions/main.rs
@@ -1,27 +1,27 @@
-//! The decisions of a cell, on a clock that the tests set.
+//! Tests of a cell's decisions on a simulated clock.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
-mod advise;
+mod best_effort;
+mod capacity;
 mod common;
 mod crashes;
 mod drain;
 mod ends;
-mod farm;
-mod fill;
+mod external_placement;
+mod fault_regressions;
 mod halls;
-mod held;
-mod lives;
-mod names;
-mod place;
-mod room;
-mod room_for_lasting;
-mod silence;
+mod incarnations;
+mod logging;
+mod long_running_capacity;
+mod maintenance;
+mod net_sim;
+mod placement;
+mod random_faults;
+mod restart_times;
+mod reused_names;
+mod sim;
 mod starts;
-mod steady;
-mod steady_cases;
+mod stuck_state;
 mod takeover;
-mod told;
-mod waits;
-mod wave;
-mod yard;
+mod unreachable;
--- a/components/cell/tests/decisions/wave.rs
+++ b/components/cell/tests/decisions/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: limit, emptying, and what counts as done.
+//! Maintenance waves: limit, draining, and completion.
 
 use {
     crate::common::{JOB, World, end, entry, run, step},
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn limit_is_kept() {
+fn wave_limit_is_respected() {
     let mut world = World::new(&["w1", "w2"]);
     let orders = world.cell.upkeep(&[wave(1)], &both(), world.now);
     assert_eq!(orders, [order("m1")]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn complete_when_all_came_back() {
+fn wave_completes_when_machines_return() {
     let mut world = World::new(&["w1", "w2"]);
     world.cell.upkeep(&[wave(2)], &both(), world.now);
     assert!(!world.cell.standings(&[wave(2)])[0].complete);
@@ -59,9 +59,9 @@
     assert!(world.cell.standings(&[wave(2)])[0].complete);
 }
 
-/// A machine that has left the fleet needs no upkeep; one that an owner noted is done.
+/// A machine that left the fleet needs no maintenance; one that an owner recorded is done.
 #[test]
-fn gone_and_noted_are_done() {
+fn removed_and_recorded_machines_are_done() {
     let mut world = World::new(&["w1"]);
     let mut noted = wave(1);
     noted.done = vec!["m1".into()];
@@ -71,21 +71,21 @@
 }
 
 #[test]
-fn lasting_task_is_moved_first() {
+fn drain_precedes_maintenance() {
     let mut world = World::new(&["w1", "w2"]);
-    let mut lasting = step(1, 1_000);
-    lasting.lasting = true;
-    lasting.may_miss = Some(1);
-    world.submit(JOB, vec![lasting]);
+    let mut long_running = step(1, 1_000);
+    long_running.lasting = true;
+    long_running.may_miss = Some(1);
+    world.submit(JOB, vec![long_running]);
     let (worker, start) = world.starts()[0].clone();
     world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
-    let mut one = wave(1);
+    let mut single = wave(1);
     let name = if &*worker == "w1" { "m1" } else { "m2" };
-    one.machines = vec![name.into()];
+    single.machines = vec![name.into()];
     assert!(
         world
             .cell
-            .upkeep(&[one.clone()], &both(), world.now)
+            .upkeep(&[single.clone()], &both(), world.now)
             .is_empty()
     );
     assert_eq!(world.stops(), [(worker.clone(), start.run)]);
@@ -94,18 +94,18 @@
     assert!(
         world
             .cell
-            .upkeep(&[one.clone()], &both(), world.now)
+            .upkeep(&[single.clone()], &both(), world.now)
             .is_empty()
     );
     let ended = end(1, JOB, 0, start.run, How::Stopped);
     world.report(&worker, vec![], vec![ended]);
     assert_ne!(world.starts()[0].0, worker);
-    let orders = world.cell.upkeep(&[one], &both(), world.now);
+    let orders = world.cell.upkeep(&[single], &both(), world.now);
     assert_eq!(orders, [order(name)]);
 }
 
 #[test]
-fn refused_order_is_given_again() {
+fn refused_order_is_repeated() {
     let mut world = World::new(&["w1", "w2"]);
     let orders = world.cell.upkeep(&[wave(1)], &both(), world.now);
     world.cell.upkeep_refused(&orders[0]);
@@ -113,38 +113,36 @@
     assert_eq!(again, orders);
 }
 
-/// Found by a review of what holds others back and may never be lifted: the operators took a wave back, or a machine out
-/// of it, while the machine was being emptied. Its worker got no work for the rest of its life.
-#[test_case(&[]; "no wave is left")]
+/// Guards against a worker that stays closed when its wave, or its machine's part in it, is
+/// withdrawn during draining.
+#[test_case(&[]; "no wave remains")]
 #[test_case(&["m2"]; "the machine is in no wave")]
-fn worker_gets_work_again_when_wave_is_taken_back(machines: &[&str]) {
+fn withdrawn_wave_reopens_drained_worker(machines: &[&str]) {
     let mut world = World::new(&["w1"]);
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(1, 1_000)
     };
-    world.submit(JOB, vec![lasting]);
+    world.submit(JOB, vec![long_running]);
     let (worker, start) = world.starts()[0].clone();
     world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
     let list = [machine("m1", Some("w1"))];
     assert!(world.cell.upkeep(&[wave(1)], &list, world.now).is_empty());
     world.submit("00000000000000b2", vec![step(1, 1_000)]);
     assert!(world.starts().is_empty());
-    let mut left = wave(1);
-    left.machines = machines.iter().map(|name| (*name).into()).collect();
-    let waves = [left];
+    let mut remaining = wave(1);
+    remaining.machines = machines.iter().map(|name| (*name).into()).collect();
+    let waves = [remaining];
     let count = usize::from(!machines.is_empty());
     world.cell.upkeep(&waves[..count], &list, world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
-/// The story: a machine was being emptied for its upkeep when its worker crashed. The next life of the worker was given
-/// lasting tasks, and nobody moved them off: the machine never went down, and the wave never ended.
-///
-/// The cause: that a worker is emptied is noted on the life that was there when it began; what the wave waits for is
-/// whatever life is there now.
+/// Draining continues with the next incarnation of a worker that crashes while it is drained. The
+/// drain state belonged to the old incarnation; the next one got long-running tasks, was never
+/// drained, and the wave never completed.
 #[test]
-fn wave_goes_on_with_next_life() {
+fn wave_continues_with_next_incarnation() {
     let mut world = World::new(&["w1", "w2"]);
     let wave = Wave {
         number: 3,
@@ -158,12 +156,12 @@
         upkeep: false,
         worker: Some(worker.into()),
     };
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         spread: 1,
         ..step(2, 1_000)
     };
-    world.submit(JOB, vec![lasting]);
+    world.submit(JOB, vec![long_running]);
     let mut listed = HashMap::new();
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
@@ -176,20 +174,20 @@
         .cell
         .upkeep(from_ref(&wave), &[machine("w1")], world.now);
     assert!(orders.is_empty());
-    // Another life of the worker is there now.
+    // Another incarnation of the worker replaces the first.
     world
         .cell
         .end_life(&"w1".into(), "another life answers", world.now);
     world.list(vec![entry("w3", 4), entry("w2", 4)]);
-    let mut begun = Vec::new();
-    let mut other: Option<Id> = None;
+    let mut orders_to_next = Vec::new();
+    let mut moved_job: Option<Id> = None;
     let mut number = 0;
-    let mut on_third: Vec<Run> = Vec::new();
+    let mut on_next: Vec<Run> = Vec::new();
     for _ in 0..300 {
         world.now += 100;
         let kept = listed.get("w2").cloned().into_iter().collect();
         world.report("w2", kept, vec![]);
-        world.report("w3", on_third.clone(), vec![]);
+        world.report("w3", on_next.clone(), vec![]);
         world.cell.rerank(world.now, world.now);
         world.cell.place(world.now);
         for (worker, order) in world.cell.take_orders() {
@@ -200,11 +198,11 @@
                         .answered(&worker, &order, Outcome::Done, world.now);
                     let mut own = run(JOB, 0, start.run);
                     own.address = start.address;
-                    on_third.push(own);
-                    other = Some(start.key.job.clone());
+                    on_next.push(own);
+                    moved_job = Some(start.key.job.clone());
                 }
                 Order::Stop { run, address, .. } if &*worker == "w3" => {
-                    on_third.clear();
+                    on_next.clear();
                     number += 1;
                     let mut ended = end(number, JOB, 0, *run, How::Stopped);
                     ended.address = *address;
@@ -213,13 +211,20 @@
                 _ => {}
             }
         }
-        world.write();
-        begun.extend(
+        world.persist();
+        orders_to_next.extend(
             world
                 .cell
                 .upkeep(from_ref(&wave), &[machine("w3")], world.now),
         );
     }
-    assert!(other.is_some(), "no task came to the next life");
-    assert_eq!(begun.len(), 1, "the machine is not told to go down in 30 s");
+    assert!(
+        moved_job.is_some(),
+        "no task started on the next incarnation"
+    );
+    assert_eq!(
+        orders_to_next.len(),
+        1,
+        "the machine gets no maintenance order in 30 s"
+    );
 }
--- a/components/cell/tests/decisions/place.rs
+++ b/components/cell/tests/decisions/placement.rs
@@ -1,13 +1,13 @@
-//! Which worker a task is given, and when it may start.
+//! Placement: which worker a task is started on, and when.
 
 use {
-    crate::common::{JOB, World, end, entry, large, run, step, submission},
+    crate::common::{JOB, World, end, entry, large_cell, run, step, submission},
     job::{Id, Step, spec::Timetable},
     magpie_cell::{End, How, Order, Outcome, Report, Start},
     std::{collections::HashSet, sync::Arc},
 };
 
-fn workers(world: &mut World) -> Vec<Arc<str>> {
+fn place(world: &mut World) -> Vec<Arc<str>> {
     world
         .starts()
         .into_iter()
@@ -16,30 +16,30 @@
 }
 
 #[test]
-fn room_is_never_passed() {
+fn capacity_is_never_exceeded() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(20, 1_500)]);
-    assert_eq!(workers(&mut world).len(), 4);
+    assert_eq!(place(&mut world).len(), 4);
 }
 
 #[test]
-fn spread_bounds_tasks_on_a_worker() {
+fn spread_limits_tasks_per_worker() {
     let mut world = World::new(&["w1", "w2"]);
     let mut apart = step(5, 100);
     apart.spread = 2;
     world.submit(JOB, vec![apart]);
-    let placed = workers(&mut world);
+    let placed = place(&mut world);
     assert_eq!(placed.len(), 4);
     assert_eq!(placed.iter().filter(|worker| &***worker == "w1").count(), 2);
 }
 
 #[test]
-fn label_must_be_there() {
+fn missing_label_prevents_start() {
     let mut world = World::new(&["w1"]);
-    let mut odd = step(1, 100);
-    odd.label = Some("b".into());
-    world.submit(JOB, vec![odd]);
-    assert!(workers(&mut world).is_empty());
+    let mut labelled = step(1, 100);
+    labelled.label = Some("b".into());
+    world.submit(JOB, vec![labelled]);
+    assert!(place(&mut world).is_empty());
 }
 
 #[test]
@@ -48,11 +48,11 @@
     let mut other = submission(JOB, vec![step(1, 100)]);
     other.queue.pool = "another".into();
     world.cell.admit(other, 1);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
 }
 
 #[test]
-fn rack_of_the_data_goes_first() {
+fn data_rack_is_preferred() {
     let mut world = World::new(&["w1", "w2"]);
     let mut near = entry("w3", 4);
     near.labels = vec!["a".into(), "r7".into()];
@@ -61,7 +61,7 @@
     let mut bound = step(2, 1_000);
     bound.rack = Some("r7".into());
     world.submit(JOB, vec![bound]);
-    assert_eq!(workers(&mut world), ["w3".into(), "w3".into()]);
+    assert_eq!(place(&mut world), ["w3".into(), "w3".into()]);
 }
 
 #[test]
@@ -71,18 +71,18 @@
     leaving.leaving = true;
     world.cell.list(vec![leaving], world.now);
     world.submit(JOB, vec![step(1, 100)]);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
 }
 
 #[test]
 fn unfenced_worker_gets_nothing() {
-    let mut world = World::unheard(&["w1"]);
+    let mut world = World::without_reports(&["w1"]);
     world.submit(JOB, vec![step(1, 100)]);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
 }
 
 #[test]
-fn failing_worker_is_set_aside() {
+fn failing_worker_is_quarantined() {
     let mut world = World::new(&["w1"]);
     let other = "00000000000000b2";
     world.submit(JOB, vec![step(1, 1_000)]);
@@ -96,10 +96,10 @@
         end(2, other, 0, 1, How::Failed),
     ];
     world.report("w1", vec![], ends);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     world.now += 3_000;
     world.report("w1", vec![], vec![]);
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
 }
 
 #[test]
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn timetable_not_before_due() {
+fn timetable_starts_when_due() {
     let mut world = World::new(&["w1"]);
     let mut timed = submission(JOB, vec![step(1, 100)]);
     timed.spec.timetable = Some(Timetable {
@@ -124,25 +124,25 @@
         interval: 500,
     });
     world.cell.admit(timed, 999);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     assert_eq!(world.cell.waiting("queue"), 0);
     world.cell.open_due(1_000);
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
     world.cell.open_due(1_499);
-    assert!(workers(&mut world).is_empty());
+    assert!(place(&mut world).is_empty());
     world.cell.open_due(1_500);
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
 }
 
 #[test]
-fn gang_starts_whole_with_one_run() {
+fn gang_starts_as_a_whole() {
     let mut world = World::new(&["w1", "w2"]);
     let mut gang = step(6, 1_500);
     gang.gang = true;
     world.submit(JOB, vec![gang.clone()]);
-    assert!(workers(&mut world).is_empty());
-    let third = entry("w3", 4);
-    world.list(vec![entry("w1", 4), entry("w2", 4), third]);
+    assert!(place(&mut world).is_empty());
+    let other = entry("w3", 4);
+    world.list(vec![entry("w1", 4), entry("w2", 4), other]);
     world.report("w3", vec![], vec![]);
     let starts = world.starts();
     assert_eq!(starts.len(), 6);
@@ -153,34 +153,34 @@
     let mut done = end(1, JOB, 0, start.run, How::Done);
     done.address = start.address;
     world.report(&worker, vec![], vec![done]);
-    world.write();
+    world.persist();
     let state = world.cell.state(&Id::new(JOB).unwrap());
     assert_eq!(state, Some(job::State::Completed));
 }
 
 #[test]
-fn filling_tasks_take_no_processors() {
+fn best_effort_tasks_reserve_no_processors() {
     let mut world = World::new(&["w1"]);
     let mut serving = step(2, 2_000);
     serving.lasting = true;
     serving.target = 50;
     serving.image = Some("s".into());
     world.submit(JOB, vec![serving]);
-    assert_eq!(workers(&mut world).len(), 2);
-    let mut filling = step(4, 500);
-    filling.fills = true;
-    filling.image = Some("f".into());
-    world.submit("00000000000000b2", vec![filling]);
-    let placed = workers(&mut world).len();
+    assert_eq!(place(&mut world).len(), 2);
+    let mut best_effort = step(4, 500);
+    best_effort.fills = true;
+    best_effort.image = Some("f".into());
+    world.submit("00000000000000b2", vec![best_effort]);
+    let placed = place(&mut world).len();
     assert!((1..4).contains(&placed), "{placed} were placed");
 }
 
 #[test]
-fn lasting_task_starts_again_whatever_its_end() {
+fn long_running_task_restarts_after_any_end() {
     let mut world = World::new(&["w1"]);
-    let mut lasting = step(1, 1_000);
-    lasting.lasting = true;
-    world.submit(JOB, vec![lasting]);
+    let mut long_running = step(1, 1_000);
+    long_running.lasting = true;
+    world.submit(JOB, vec![long_running]);
     for number in 1..=6 {
         let starts = world.starts();
         assert_eq!(starts.len(), 1);
@@ -196,25 +196,25 @@
     }
 }
 
-/// A worker whose serving task is over its target, with a filling task beside it.
-fn shared_world() -> World {
+/// Creates a worker with a best-effort task beside a serving task.
+fn world_with_best_effort_task() -> World {
     let mut world = World::new(&["w1"]);
     let mut serving = step(1, 1_000);
     serving.lasting = true;
     serving.target = 50;
     serving.image = Some("s".into());
-    let mut filling = step(1, 500);
-    filling.fills = true;
-    filling.image = Some("f".into());
+    let mut best_effort = step(1, 500);
+    best_effort.fills = true;
+    best_effort.image = Some("f".into());
     world.submit(JOB, vec![serving]);
-    world.submit("00000000000000b2", vec![filling]);
+    world.submit("00000000000000b2", vec![best_effort]);
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
     }
     world
 }
 
-fn paced(world: &mut World) -> Vec<u8> {
+fn ordered_paces(world: &mut World) -> Vec<u8> {
     let mut percents = Vec::new();
     for (_, order) in world.cell.take_orders() {
         if let magpie_cell::Order::Pace { percent, .. } = order {
@@ -224,12 +224,12 @@
     percents
 }
 
-fn figures(world: &mut World, tail: u64) {
-    let (mut serving, filling) = (run(JOB, 0, 1), run("00000000000000b2", 0, 1));
+fn report_tail(world: &mut World, tail: u64) {
+    let (mut serving, best_effort) = (run(JOB, 0, 1), run("00000000000000b2", 0, 1));
     serving.figure = tail;
     let report = Report {
         clock: world.now + 50_000,
-        running: vec![serving, filling],
+        running: vec![serving, best_effort],
         ended: vec![],
     };
     world
@@ -238,52 +238,54 @@
 }
 
 #[test]
-fn pace_stops_harmful_at_once() {
-    let mut world = shared_world();
+fn pace_pauses_interfering_task_at_once() {
+    let mut world = world_with_best_effort_task();
     world.now += 500;
-    figures(&mut world, 60);
-    assert_eq!(paced(&mut world), [0]);
+    report_tail(&mut world, 60);
+    assert_eq!(ordered_paces(&mut world), [0]);
 }
 
-/// What was stopped for a serving task that stayed over its target for a second comes back in steps.
+/// Best-effort tasks that were paused because a serving task exceeded its target for a second
+/// resume in steps.
 #[test]
-fn pace_rises_step_by_step() {
-    let mut world = shared_world();
+fn pace_rises_in_steps() {
+    let mut world = world_with_best_effort_task();
     for _ in 0..4 {
         world.now += 500;
-        figures(&mut world, 60);
+        report_tail(&mut world, 60);
     }
-    assert_eq!(paced(&mut world), [0]);
+    assert_eq!(ordered_paces(&mut world), [0]);
     world.now += 300;
-    figures(&mut world, 10);
-    assert_eq!(paced(&mut world), [20]);
+    report_tail(&mut world, 10);
+    assert_eq!(ordered_paces(&mut world), [20]);
     world.now += 300;
-    figures(&mut world, 10);
-    assert!(paced(&mut world).is_empty());
+    report_tail(&mut world, 10);
+    assert!(ordered_paces(&mut world).is_empty());
     world.now += 400;
-    figures(&mut world, 10);
-    assert_eq!(paced(&mut world), [40]);
+    report_tail(&mut world, 10);
+    assert_eq!(ordered_paces(&mut world), [40]);
 }
 
-/// Whatever was learned, a serving task that stays over its target stops what fills beside it: the target may
-/// be missed for 4 s.
+/// Whatever the model predicts, best-effort tasks are paused when the serving task stays over its
+/// target; it may miss the target for 4 s.
 #[test]
-fn pace_stops_all_after_a_second() {
-    let mut world = shared_world();
+fn pace_pauses_all_after_a_second() {
+    let mut world = world_with_best_effort_task();
     let mut stopped = None;
     for _ in 0..4 {
         world.now += 500;
-        figures(&mut world, 52);
-        if paced(&mut world).contains(&0) {
+        report_tail(&mut world, 52);
+        if ordered_paces(&mut world).contains(&0) {
             stopped.get_or_insert(world.now);
         }
     }
     assert!(stopped.is_some_and(|at| at <= 1_500 + 1_000));
 }
 
-/// Figures are rough: one of them near the target says nothing while the job's others are low.
+/// Figures are noisy: a single one near the target is ignored while the job's other figures are
+/// low.
 #[test]
-fn pace_stays_after_one_figure_near_target() {
+fn pace_ignores_single_figure_near_target() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(&names);
     let mut serving = step(6, 1_000);
@@ -291,11 +293,11 @@
     serving.spread = 1;
     serving.target = 50;
     serving.image = Some("s".into());
-    let mut filling = step(1, 1_500);
-    filling.fills = true;
-    filling.image = Some("f".into());
+    let mut best_effort = step(1, 1_500);
+    best_effort.fills = true;
+    best_effort.image = Some("f".into());
     world.submit(JOB, vec![serving]);
-    world.submit("00000000000000b2", vec![filling]);
+    world.submit("00000000000000b2", vec![best_effort]);
     let mut held = Vec::new();
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
@@ -324,12 +326,13 @@
             world.report(name, running, vec![]);
         }
     }
-    let all = paced(&mut world);
+    let all = ordered_paces(&mut world);
     assert!(!all.contains(&0), "{all:?}");
 }
 
-/// A world whose only worker has failed its two tasks just now; the ends are still to be reported.
-fn failing() -> (World, Vec<End>) {
+/// Creates a world whose only worker has failed its two tasks. Returns the ends, which are not
+/// reported yet.
+fn world_with_failures() -> (World, Vec<End>) {
     let mut world = World::new(&["w1"]);
     let other = "00000000000000b2";
     world.submit(JOB, vec![step(1, 1_000)]);
@@ -344,9 +347,9 @@
     (world, ends)
 }
 
-/// The same 3 s after the ends were reported, with both jobs cancelled: the worker may be tried again.
-fn set_aside() -> World {
-    let (mut world, ends) = failing();
+/// Creates a worker 3 s after it was quarantined, which may be probed; both jobs are cancelled.
+fn quarantined_world() -> World {
+    let (mut world, ends) = world_with_failures();
     for id in [JOB, "00000000000000b2"] {
         let id = Id::new(id).unwrap();
         world.cell.cancel(&id, world.now, 1);
@@ -356,10 +359,9 @@
     world
 }
 
-/// Seen on a day with workers that fail all they start: the second and last attempt of a task was
-/// spent on the worker that had failed the first.
+/// Guards against both attempts of a task being spent on the same faulty worker.
 #[test]
-fn failed_task_goes_elsewhere() {
+fn failed_task_restarts_elsewhere() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(1, 1_000)]);
     let (worker, start) = world.starts()[0].clone();
@@ -372,8 +374,8 @@
 }
 
 #[test]
-fn faulty_worker_gets_one_probe() {
-    let (mut world, ends) = failing();
+fn quarantined_worker_gets_one_probe() {
+    let (mut world, ends) = world_with_failures();
     world.report("w1", vec![], ends);
     world.now += 3_000;
     world.submit("00000000000000c3", vec![step(3, 1_000)]);
@@ -387,23 +389,23 @@
     assert!(world.starts().len() >= 2);
 }
 
-/// Seen on days with orders that come late: a worker that was set aside was tried with a task that lasts, and got
-/// nothing more for the rest of the day, since that task never ended.
+/// Guards against a quarantine that never ends: the probe was a long-running task, and only its end
+/// would have cleared the worker.
 #[test]
-fn faulty_worker_is_cleared_by_lasting_probe() {
-    let mut world = set_aside();
-    let lasting = "00000000000000c3";
-    let watch = Step {
+fn long_running_probe_ends_quarantine() {
+    let mut world = quarantined_world();
+    let long_running = "00000000000000c3";
+    let probe_step = Step {
         lasting: true,
         ..step(3, 1_000)
     };
-    world.submit(lasting, vec![watch]);
+    world.submit(long_running, vec![probe_step]);
     world.report("w1", vec![], vec![]);
     let probe = world.starts();
     assert_eq!(probe.len(), 1);
     world.answer(&probe[0].0, &probe[0].1, Outcome::Done);
     let probed = || {
-        let mut own = run(lasting, 0, 1);
+        let mut own = run(long_running, 0, 1);
         own.address = probe[0].1.address;
         vec![own]
     };
@@ -415,23 +417,23 @@
     assert_eq!(world.starts().len(), 2);
 }
 
-/// Found by a review of what holds others back for as long as a task runs: a worker that was set aside was tried with a
-/// batch task of an hour, and got nothing else for that hour, lasting tasks included.
+/// Guards against a quarantined worker that gets no other task, not even a long-running one, while
+/// its probe, a batch task of an hour, runs.
 #[test]
-fn faulty_worker_gets_next_probe_beside_long_one() {
-    let (mut world, ends) = failing();
+fn quarantined_worker_gets_next_probe_beside_long_one() {
+    let (mut world, ends) = world_with_failures();
     world.report("w1", vec![], ends);
     world.now += 3_000;
     world.report("w1", vec![], vec![]);
     let probe = world.starts();
     assert_eq!(probe.len(), 1);
     world.answer(&probe[0].0, &probe[0].1, Outcome::Done);
-    let lasting = "00000000000000c3";
-    let watch = Step {
+    let long_running = "00000000000000c3";
+    let probe_step = Step {
         lasting: true,
         ..step(1, 1_000)
     };
-    world.submit(lasting, vec![watch]);
+    world.submit(long_running, vec![probe_step]);
     let mut long = run(probe[0].1.key.job.as_str(), 0, probe[0].1.run);
     long.address = probe[0].1.address;
     world.now += 2_900;
@@ -442,69 +444,67 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// The story: a worker that had failed its tasks was tried with a lasting task, which ran well; its next report, which is
-/// 2 s apart from the last, would have cleared it. A pass of placement came before that, and put the next task there as the
-/// new probe. The worker took one task in 3 s from then on and stayed set aside.
-///
-/// The cause: the next probe may start once the last one has run for 3 s, and takes its place; what clears the worker is
-/// a report of the present probe alone.
+/// A probe that runs well clears the worker even if another task starts before the next report.
+/// Reports come every 2 s; a placement pass in between started the next task as the new probe, and
+/// only a report of the current probe cleared the worker. It got one task in 3 s and stayed
+/// quarantined.
 #[test]
-fn lasting_probe_clears_whatever_starts_before_its_report() {
-    let mut world = set_aside();
-    let lasting = "00000000000000c3";
-    let watch = Step {
+fn long_running_probe_ends_quarantine_beside_later_starts() {
+    let mut world = quarantined_world();
+    let long_running = "00000000000000c3";
+    let probe_step = Step {
         lasting: true,
         ..step(4, 1_000)
     };
-    world.submit(lasting, vec![watch]);
+    world.submit(long_running, vec![probe_step]);
     world.report("w1", vec![], vec![]);
     let mut listed = Vec::new();
-    let mut taken = Vec::new();
-    // Passes each 100 ms, reports each 2 s, as where no poll has anything to tell.
+    let mut started_at = Vec::new();
+    // Passes every 100 ms, reports every 2 s, as without events that end a poll early.
     for pass in 0..=60 {
         if pass % 20 == 1 {
             world.report("w1", listed.clone(), vec![]);
         }
         for (worker, start) in world.starts() {
             world.answer(&worker, &start, Outcome::Done);
-            let mut own = run(lasting, 0, start.run);
+            let mut own = run(long_running, 0, start.run);
             own.address = start.address;
             listed.push(own);
-            taken.push(world.now - 4_000);
+            started_at.push(world.now - 4_000);
         }
         world.now += 100;
     }
-    assert_eq!(taken.len(), 4, "starts at {taken:?}");
+    assert_eq!(started_at.len(), 4, "starts at {started_at:?}");
 }
 
-/// Seen on a day with filling tasks one after the other beside the same serving task: the end of
-/// the first made the worker look well again, and the next one went on disturbing.
+/// Guards against consecutive best-effort tasks beside an overloaded serving task: the end of the
+/// first made the worker appear healthy, and the next one interfered again.
 #[test]
-fn over_target_takes_no_filling_task() {
-    let mut world = shared_world();
-    let third = "00000000000000c3";
-    let mut filling = step(1, 500);
-    filling.fills = true;
-    filling.image = Some("f".into());
+fn overloaded_serving_task_blocks_best_effort_task() {
+    let mut world = world_with_best_effort_task();
+    let other = "00000000000000c3";
+    let mut best_effort = step(1, 500);
+    best_effort.fills = true;
+    best_effort.image = Some("f".into());
     world.now += 500;
     let mut serving = run(JOB, 0, 1);
     serving.figure = 60;
     let done = end(1, "00000000000000b2", 0, 1, How::Done);
     world.report("w1", vec![serving.clone()], vec![done]);
-    world.submit(third, vec![filling]);
-    assert!(workers(&mut world).is_empty());
+    world.submit(other, vec![best_effort]);
+    assert!(place(&mut world).is_empty());
     world.now += 500;
     serving.figure = 10;
     world.report("w1", vec![serving], vec![]);
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
 }
 
-/// A filling task may be placed while a poll is held: it must not be held for long.
+/// A best-effort task may be placed while a poll is held, so polls of serving workers are short.
 #[test]
 fn poll_of_serving_worker_is_short() {
-    let mut world = shared_world();
-    let (serving, filling) = (run(JOB, 0, 1), run("00000000000000b2", 0, 1));
-    world.report("w1", vec![serving.clone(), filling], vec![]);
+    let mut world = world_with_best_effort_task();
+    let (serving, best_effort) = (run(JOB, 0, 1), run("00000000000000b2", 0, 1));
+    world.report("w1", vec![serving.clone(), best_effort], vec![]);
     let done = end(1, "00000000000000b2", 0, 1, How::Done);
     let report = Report {
         clock: world.now + 50_000,
@@ -517,13 +517,13 @@
     assert_eq!(world.cell.poll("w1", world.now).unwrap().wait, 500);
 }
 
-/// Under a burst each waiting job was tried on each worker in each pass, for seconds. What is at
-/// least as large as something that has just found no room finds none either.
+/// Guards against trying every waiting job on every worker in each pass, which took seconds under
+/// load. A step is skipped if it needs at least as much as one that has just found no capacity.
 #[test]
-fn larger_need_is_not_tried() {
+fn larger_step_is_not_tried() {
     let mut world = World::new(&["w1"]);
     world.submit(JOB, vec![step(1, 3_500)]);
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
     for (id, cpu) in [
         ("00000000000000b2", 600),
         ("00000000000000c3", 900),
@@ -532,13 +532,14 @@
         world.submit(id, vec![step(1, cpu)]);
     }
     let before = world.cell.tried();
-    assert_eq!(workers(&mut world).len(), 1);
+    assert_eq!(place(&mut world).len(), 1);
     assert_eq!(world.cell.tried() - before, 2);
 }
 
-/// What cannot be told to workers soon waits in the queue, where more urgent work that comes goes before it.
+/// Starts that cannot be sent yet stay in the queue, so that more urgent work that arrives later
+/// goes first.
 #[test]
-fn place_some_goes_by_the_line() {
+fn limited_pass_follows_queue_order() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(6, 500)]);
     world.cell.place_some(world.now, 2);
@@ -557,9 +558,10 @@
     assert_eq!(start.key.job.as_str(), "00000000000000b2");
 }
 
-/// The rest is placed once there is room on the wire, also where it had been looked at in vain.
+/// Work beyond the limit of a pass is placed in later passes, even if a pass has already skipped
+/// it.
 #[test]
-fn place_some_loses_nothing() {
+fn limited_passes_place_all() {
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(7, 1_000)]);
     let mut placed = 0;
@@ -570,22 +572,22 @@
     assert_eq!(placed, 7);
 }
 
-/// Work goes to other workers while one is held back, and to it again at once.
+/// A worker that is held back gets no work until it is released.
 #[test]
-fn hold_back_and_free_again() {
+fn held_back_worker_gets_nothing() {
     let mut world = World::new(&["w1", "w2"]);
     world.cell.hold_back(HashSet::from(["w1".into()]));
     world.submit(JOB, vec![step(8, 1_000)]);
-    assert!(workers(&mut world).iter().all(|id| &**id == "w2"));
+    assert!(place(&mut world).iter().all(|id| &**id == "w2"));
     world.cell.hold_back(HashSet::new());
-    assert_eq!(workers(&mut world).len(), 4);
+    assert_eq!(place(&mut world).len(), 4);
 }
 
-/// Seen with 3,000 workers: one pass over the lasting tasks at the start of a day took 3.2 s, and others took the cell
-/// over, whose passes took as long.
+/// Bounds the time of a placement pass: with 3,000 workers a pass over the initial long-running
+/// tasks took 3.2 s, longer than the owner's lease, and the next owners took as long.
 #[test]
-fn pass_of_large_cell_is_bounded() {
-    let mut world = large(3_000);
+fn placement_pass_is_bounded() {
+    let mut world = large_cell(3_000);
     world.submit(JOB, vec![step(6_000, 1_000)]);
     let first = world.starts().len();
     assert!((100..1_000).contains(&first), "{first}");
@@ -596,32 +598,32 @@
     assert_eq!(placed, 6_000);
 }
 
-/// The tasks of a pass go to different parts of the workers, and room anywhere is found in the end.
+/// Passes cover different parts of a large cell, and all free capacity is found eventually.
 #[test]
-fn large_cell_is_used_whole() {
-    let mut world = large(1_200);
+fn large_cell_is_fully_used() {
+    let mut world = large_cell(1_200);
     world.submit(JOB, vec![step(4_801, 1_000)]);
     let mut used = HashSet::new();
     let mut placed = 0;
     for _ in 0..200 {
-        let starts = workers(&mut world);
+        let starts = place(&mut world);
         placed += starts.len();
         used.extend(starts);
     }
     assert_eq!((placed, used.len()), (4_800, 1_200));
 }
 
-/// Few workers bear a label; the right ones are found wherever they stand.
+/// A label that few workers have is found anywhere in a large cell.
 #[test]
-fn label_is_found_in_large_cell() {
-    let mut world = large(1_200);
+fn rare_label_is_found_in_large_cell() {
+    let mut world = large_cell(1_200);
     let mut rare = entry("w99999", 4);
     rare.labels = vec!["rare".into(), "r1".into()];
     let names = (0..1_200).map(|number| entry(&format!("w{number:05}"), 4));
     world.list(names.chain([rare]).collect());
     world.report("w99999", vec![], vec![]);
-    let mut odd = step(2, 100);
-    odd.label = Some("rare".into());
-    world.submit(JOB, vec![odd]);
-    assert_eq!(workers(&mut world), ["w99999".into(), "w99999".into()]);
+    let mut labelled = step(2, 100);
+    labelled.label = Some("rare".into());
+    world.submit(JOB, vec![labelled]);
+    assert_eq!(place(&mut world), ["w99999".into(), "w99999".into()]);
 }
--- a/components/cell/tests/decisions/starts.rs
+++ b/components/cell/tests/decisions/starts.rs
@@ -1,30 +1,30 @@
-//! What answers to orders to start mean, and what is done about orders without an answer.
+//! Answers to start orders, and starts without an answer.
 
 use {
-    crate::common::{JOB, end, ordered, run, state, step},
+    crate::common::{JOB, end, run, state, step, with_ordered_start},
     job::State,
     magpie_cell::{How, Order, Outcome, Reason},
     test_case::test_case,
 };
 
-/// An order without an answer may be carried out until its deadline on the worker's clock.
+/// An unanswered start may be executed until its deadline on the worker's clock.
 #[test]
-fn unknown_start_waits_for_deadline() {
-    let (mut world, worker, start) = ordered(&["w1", "w2"], step(1, 1_000));
+fn unanswered_start_waits_for_deadline() {
+    let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     world.answer(&worker, &start, Outcome::Unknown);
     world.now += 1_000;
     world.report(&worker, vec![], vec![]);
     assert!(world.starts().is_empty());
     world.now += 600;
     world.report(&worker, vec![], vec![]);
-    let again = world.starts();
-    assert_eq!(again.len(), 1);
-    assert!(again[0].1.run > start.run);
+    let restarts = world.starts();
+    assert_eq!(restarts.len(), 1);
+    assert!(restarts[0].1.run > start.run);
 }
 
 #[test]
-fn unknown_start_found_running() {
-    let (mut world, worker, start) = ordered(&["w1"], step(1, 1_000));
+fn unanswered_start_found_running() {
+    let (mut world, worker, start) = with_ordered_start(&["w1"], step(1, 1_000));
     world.answer(&worker, &start, Outcome::Unknown);
     world.now += 5_000;
     world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
@@ -32,11 +32,12 @@
     assert_eq!(state(&world), Some(State::Running));
 }
 
-/// Workers that carry orders out late kept tasks of a second's work waiting for two more. A run that
-/// is stopped before it has begun cannot begin, and its task starts elsewhere at once.
+/// An unanswered start is barred with a stop, since a run that is stopped before it begins cannot
+/// begin, and the task starts elsewhere at once. Waiting for the deadline delayed tasks of one
+/// second by two more.
 #[test]
-fn unknown_start_is_barred() {
-    let (mut world, worker, start) = ordered(&["w1", "w2"], step(1, 1_000));
+fn unanswered_start_is_barred() {
+    let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     world.now += 500;
     world.answer(&worker, &start, Outcome::Unknown);
     world.now += 100;
@@ -54,15 +55,15 @@
     assert!(world.starts().is_empty());
     world.now += 100;
     world.report(&worker, vec![], vec![]);
-    let again = world.starts();
-    assert_eq!(again.len(), 1);
-    assert!(again[0].1.run > start.run);
+    let restarts = world.starts();
+    assert_eq!(restarts.len(), 1);
+    assert!(restarts[0].1.run > start.run);
 }
 
-/// The start came through after all, between the report and the order to stop.
+/// The start was executed after all, between the report and the stop.
 #[test]
 fn barred_start_found_running() {
-    let (mut world, worker, start) = ordered(&["w1", "w2"], step(1, 1_000));
+    let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     world.now += 500;
     world.answer(&worker, &start, Outcome::Unknown);
     world.now += 100;
@@ -82,18 +83,18 @@
 #[test_case(Reason::Old; "old")]
 #[test_case(Reason::Unwell; "unwell")]
 #[test_case(Reason::NotSent; "not sent")]
-fn refused_start_goes_elsewhere(reason: Reason) {
-    let (mut world, worker, start) = ordered(&["w1", "w2"], step(1, 1_000));
+fn refused_start_is_placed_elsewhere(reason: Reason) {
+    let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     world.answer(&worker, &start, Outcome::Refused(reason));
-    let again = world.starts();
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].0, worker);
-    assert!(again[0].1.run > start.run);
+    let restarts = world.starts();
+    assert_eq!(restarts.len(), 1);
+    assert_ne!(restarts[0].0, worker);
+    assert!(restarts[0].1.run > start.run);
 }
 
 #[test]
-fn refused_for_fence_deposes() {
-    let (mut world, worker, start) = ordered(&["w1"], step(1, 1_000));
+fn refused_fence_means_other_owner() {
+    let (mut world, worker, start) = with_ordered_start(&["w1"], step(1, 1_000));
     let order = Order::Start(start);
     let outcome = Outcome::Refused(Reason::Fence);
     assert!(world.cell.answered(&worker, &order, outcome, world.now));
--- a/components/cell/tests/decisions/held.rs
+++ b/components/cell/tests/decisions/stuck_state.rs
@@ -1,20 +1,21 @@
-//! Workers with room that are not used, and tasks that count as placed where nothing runs: for as long as one owner lasts.
+//! State that must not get stuck during an owner's term: workers with capacity that get no work,
+//! and tasks that count as placed without running.
 
 use {
-    crate::common::{JOB, World, end, entry, other_than, run, step, submission},
+    crate::common::{JOB, World, end, entry, other_worker, run, step, submission},
     job::Step,
     magpie_cell::{Advice, End, How, Machine, Order, Outcome, Reason, Run, Start, Upkeep, Wave},
     std::{collections::BTreeMap, sync::Arc},
     test_case::test_case,
 };
 
-/// The owner looks at its cell so often, in milliseconds.
+/// Interval of the owner's passes, in milliseconds.
 const TICK: u64 = 100;
-/// A lasting task has to run again this long after its worker was last heard, in milliseconds: 4.9 s until all leases are
-/// over, and some ticks.
-const AGAIN: u64 = 6_000;
+/// Time from the last report of its worker until a long-running task must restart, in milliseconds:
+/// 4.9 s until all leases expire, plus some passes.
+const RESTART_LIMIT: u64 = 6_000;
 
-fn lasting(cpu: u64) -> Step {
+fn long_running(cpu: u64) -> Step {
     Step {
         lasting: true,
         ..step(1, cpu)
@@ -22,35 +23,36 @@
 }
 
 impl World {
-    /// One tick of the owner besides what is heard. Returns the starts that were ordered.
+    /// Runs one pass of the owner, except for polls. Returns the ordered starts.
     fn tick(&mut self) -> Vec<(Arc<str>, Start)> {
         self.now += TICK;
         self.cell.rerank(self.now, self.now);
         self.cell.expire_tickets(self.now);
         self.cell.lapse(self.now);
         let starts = self.starts();
-        self.write();
+        self.persist();
         starts
     }
 }
 
-/// Lists runs of jobs of one task each, by job.
-fn listed(runs: &BTreeMap<String, u64>) -> Vec<Run> {
+/// Runs of single-task jobs, by job.
+fn runs_of(runs: &BTreeMap<String, u64>) -> Vec<Run> {
     runs.iter()
         .map(|(job, number)| run(job, 0, *number))
         .collect()
 }
 
-/// The story: on a queue where a service chooses the workers, a lasting task was lost with its worker a moment after it
-/// had started, and counts as a suspect. No worker with a ticket was left. A task that is suspected asks the service
-/// nothing, so it waited for as long as no other task of its step had a question.
+/// Guards against a task that waits for a ticket nobody requests. On a queue with external
+/// placement a long-running task became a suspect when its worker crashed just after the start, and
+/// no worker with a ticket was left. Suspected tasks request no tickets, so it waited as long as no
+/// other task of its step did.
 #[test]
-fn ask_for_suspect() {
+fn suspected_task_requests_ticket() {
     let mut world = World::new(&["w1"]);
-    let mut job = submission(JOB, vec![lasting(1_000)]);
+    let mut job = submission(JOB, vec![long_running(1_000)]);
     job.queue.advised = true;
     world.cell.admit(job, 1);
-    let first = advise(&mut world);
+    let first = grant_tickets(&mut world);
     assert_eq!(first.len(), 1);
     let (worker, start) = &first[0];
     world.answer(worker, start, Outcome::Done);
@@ -59,46 +61,48 @@
         .cell
         .end_life(&"w1".into(), "another life answers", world.now);
     world.list(vec![entry("w2", 4)]);
-    let mut again = Vec::new();
-    for _ in 0..AGAIN / TICK {
+    let mut restarts = Vec::new();
+    for _ in 0..RESTART_LIMIT / TICK {
         world.report("w2", vec![], vec![]);
-        again.extend(world.tick());
-        again.extend(advise(&mut world));
+        restarts.extend(world.tick());
+        restarts.extend(grant_tickets(&mut world));
     }
-    assert!(!again.is_empty(), "the task does not run again");
+    assert!(!restarts.is_empty(), "the task does not restart");
 }
 
-/// The story: the same for a task that has failed once. The only worker with a ticket had failed it just now, and was left
-/// alone for as long as the ticket held; then nobody asked for another one.
+/// As above, for a task that failed once. The only worker with a ticket had just failed it and was
+/// avoided while the ticket was valid; no other ticket was requested.
 #[test]
-fn ask_for_failed() {
+fn failed_task_requests_ticket() {
     let mut world = World::new(&["w1"]);
     let mut job = submission(JOB, vec![step(1, 1_000)]);
     job.queue.advised = true;
     world.cell.admit(job, 1);
-    let first = advise(&mut world);
+    let first = grant_tickets(&mut world);
     let (worker, start) = &first[0];
     world.answer(worker, start, Outcome::Done);
     world.now += 10;
     world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
-    let mut again = Vec::new();
+    let mut restarts = Vec::new();
     for _ in 0..200 {
         world.report("w1", vec![], vec![]);
         world.report("w2", vec![], vec![]);
-        again.extend(world.tick());
-        again.extend(advise(&mut world));
+        restarts.extend(world.tick());
+        restarts.extend(grant_tickets(&mut world));
     }
-    assert!(!again.is_empty(), "the task does not run again");
+    assert!(!restarts.is_empty(), "the task does not restart");
 }
 
-/// Has all workers advised that were asked about. Returns the starts that follow.
-fn advise(world: &mut World) -> Vec<(Arc<str>, Start)> {
+/// Grants tickets for all workers that were asked about. Returns the resulting starts.
+fn grant_tickets(world: &mut World) -> Vec<(Arc<str>, Start)> {
     let mut starts = world.starts();
     for question in world.cell.take_questions() {
         let good = question.workers.iter().cloned();
         let advice = Advice {
-            good: good.map(|own| (own.id, "ticket".into())).collect(),
+            good: good
+                .map(|candidate| (candidate.id, "ticket".into()))
+                .collect(),
             valid: 3_000,
         };
         world.cell.advised(&question, Some(advice), world.now);
@@ -107,22 +111,23 @@
     starts
 }
 
-/// A worker that is listed and cut off: each poll takes 0.8 s and the next one follows 0.3 s later.
-struct Cut {
+/// A listed worker that is partitioned: each poll fails after 0.8 s, and the next one follows 0.3 s
+/// later.
+struct Partition {
     id: Arc<str>,
-    /// When the poll on its way fails.
-    fails: u64,
-    /// Starts without an answer, and when that is known.
+    /// When the pending poll fails.
+    fails_at: u64,
+    /// Unanswered starts, and when they time out.
     unanswered: Vec<(u64, Start)>,
 }
 
-impl Cut {
-    /// Takes in what has failed by now.
-    fn fail(&mut self, world: &mut World) {
-        if world.now >= self.fails {
+impl Partition {
+    /// Passes failed polls and timed-out starts to the cell.
+    fn apply_failures(&mut self, world: &mut World) {
+        if world.now >= self.fails_at {
             world.cell.unheard(&self.id, world.now);
             world.cell.poll(&self.id, world.now);
-            self.fails = world.now + 1_100;
+            self.fails_at = world.now + 1_100;
         }
         let due = self.unanswered.extract_if(.., |(at, _)| world.now >= *at);
         for (_, start) in due.collect::<Vec<_>>() {
@@ -131,76 +136,80 @@
     }
 }
 
-/// The story: a worker was cut off from the owner while it stayed listed, and held a lasting task. Between two failed polls
-/// it was given short tasks, since it was the fullest one with room; each of those starts put off the moment at which all
-/// its leases were over. The lasting task counted as running for as long as short ones came.
+/// Guards against leases that never expire. A partitioned worker stayed listed and held a
+/// long-running task. As the fullest worker with capacity it got short tasks between two failed
+/// polls, and each start extended its leases, so that the long-running task counted as running for
+/// as long as short tasks arrived.
 #[test_case(0; "no other work")]
 #[test_case(2; "five short tasks a second")]
 #[test_case(3; "three short tasks a second")]
 #[test_case(10; "a short task each second")]
-fn lapse_despite_starts_for_silent_worker(short: u64) {
+fn leases_expire_despite_starts_on_unreachable_worker(short_interval: u64) {
     let mut world = World::new(&["w1", "w2"]);
-    world.submit(JOB, vec![lasting(1_000)]);
+    world.submit(JOB, vec![long_running(1_000)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    let other = other_than(&worker);
-    // A run that was listed for so long is not suspected of what follows.
+    let other = other_worker(&worker);
+    // After being reported for this long the run is not suspected later.
     for _ in 0..20 {
         world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
         world.report(other, vec![], vec![]);
         world.tick();
     }
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
-    let cut_at = world.now;
-    let mut cut = Cut {
+    let partitioned_at = world.now;
+    let mut partition = Partition {
         id: worker,
-        fails: cut_at + 1_300,
+        fails_at: partitioned_at + 1_300,
         unanswered: Vec::new(),
     };
     let mut runs = BTreeMap::new();
-    let mut again = None;
+    let mut restarts = None;
     for tick in 1..=400 {
-        if short > 0 && tick % short == 0 {
+        if short_interval > 0 && tick % short_interval == 0 {
             world.submit(&format!("{tick:016x}"), vec![step(1, 50)]);
         }
         let starts = world.tick();
-        cut.fail(&mut world);
+        partition.apply_failures(&mut world);
         for (id, start) in starts {
             if start.key.job.as_str() == JOB {
-                again.get_or_insert(world.now - cut_at);
+                restarts.get_or_insert(world.now - partitioned_at);
             }
-            if *id == *cut.id {
-                cut.unanswered.push((world.now + 750, start));
+            if *id == *partition.id {
+                partition.unanswered.push((world.now + 750, start));
                 continue;
             }
             runs.insert(start.key.job.as_str().to_owned(), start.run);
             world.answer(&id, &start, Outcome::Done);
         }
         if tick % 5 == 0 {
-            world.report(other, listed(&runs), vec![]);
+            world.report(other, runs_of(&runs), vec![]);
         }
     }
-    assert!(again.is_some_and(|after| after <= AGAIN), "{again:?}");
+    assert!(
+        restarts.is_some_and(|after| after <= RESTART_LIMIT),
+        "{restarts:?}"
+    );
 }
 
-/// What becomes of the orders to a worker whose polls are answered.
+/// Fate of the orders to a worker that answers its polls.
 #[derive(Debug, Clone, Copy)]
-enum Orders {
-    /// The owner has nobody who sends them.
+enum OrderFate {
+    /// No sender exists for the orders.
     Unsent,
-    /// They are sent, and have no answer and no effect.
+    /// Orders are sent without an answer or an effect.
     Unanswered,
 }
 
-/// The story: a worker answered its polls, and no order reached it. A task placed there counted as started until the
-/// deadline of its start had passed, and then went to the very same worker, which was the best one by its room, again and
-/// again: one try each two seconds, beside another worker with room.
-#[test_case(Orders::Unsent; "unsent")]
-#[test_case(Orders::Unanswered; "unanswered")]
-fn start_elsewhere_when_orders_vanish(orders: Orders) {
+/// Guards against endless starts on a worker that answers polls but receives no orders. The task
+/// counted as started until the deadline of its start and then went to the same worker again, every
+/// two seconds, although another worker had capacity.
+#[test_case(OrderFate::Unsent; "unsent")]
+#[test_case(OrderFate::Unanswered; "unanswered")]
+fn lost_orders_move_start_to_other_worker(fate: OrderFate) {
     let mut world = World::new(&["w1", "w2"]);
-    world.submit(JOB, vec![lasting(1_000)]);
-    let mut tries = Vec::new();
+    world.submit(JOB, vec![long_running(1_000)]);
+    let mut attempts = Vec::new();
     let mut due: Vec<(u64, Order)> = Vec::new();
     for tick in 1..=200 {
         world.now += TICK;
@@ -209,7 +218,7 @@
         world.cell.place(world.now);
         for (id, order) in world.cell.take_orders() {
             if let Order::Start(start) = &order {
-                tries.push((world.now - 1_000, id.to_string(), start.run));
+                attempts.push((world.now - 1_000, id.to_string(), start.run));
             }
             if &*id == "w1" {
                 due.push((world.now + 750, order));
@@ -219,7 +228,7 @@
         }
         let now = world.now;
         for (_, order) in due.extract_if(.., |(at, _)| now >= *at) {
-            if let Orders::Unanswered = orders {
+            if let OrderFate::Unanswered = fate {
                 world
                     .cell
                     .answered(&"w1".into(), &order, Outcome::Unknown, now);
@@ -227,25 +236,28 @@
         }
         if tick % 5 == 0 {
             world.report("w1", vec![], vec![]);
-            let here = tries.iter().rev().find(|(_, id, _)| id == "w2");
-            let runs: Vec<Run> = here
+            let started = attempts.iter().rev().find(|(_, id, _)| id == "w2");
+            let runs: Vec<Run> = started
                 .map(|(_, _, number)| run(JOB, 0, *number))
                 .into_iter()
                 .collect();
             world.report("w2", runs, vec![]);
         }
-        world.write();
+        world.persist();
     }
-    let elsewhere = tries.iter().find(|(_, id, _)| id == "w2");
-    assert!(elsewhere.is_some_and(|(at, ..)| *at <= AGAIN), "{tries:?}");
+    let elsewhere = attempts.iter().find(|(_, id, _)| id == "w2");
+    assert!(
+        elsewhere.is_some_and(|(at, ..)| *at <= RESTART_LIMIT),
+        "{attempts:?}"
+    );
 }
 
-/// The story: a new owner found a run of a job that it did not know yet. The worker of that run was cut off, was forgotten
-/// with its leases while its entry was away, and was listed again. Only then were the jobs read once more, and the run was
-/// adopted for a worker that had said nothing since: its leases never counted as over.
+/// Guards against an adopted run whose leases never expire. A new owner saw a run of an unknown
+/// job; its worker was partitioned, removed after its leases expired and listed again. Then the job
+/// was read, and the run was adopted on a worker that had not reported since.
 #[test]
-fn lapse_of_run_adopted_for_worker_listed_again() {
-    let mut world = World::unheard(&["w1", "w2"]);
+fn leases_expire_for_adopted_run_of_relisted_worker() {
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.cell.recover(world.now);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world.report("w2", vec![], vec![]);
@@ -258,18 +270,18 @@
     }
     assert!(!world.cell.knows("w1"));
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
-    world.submit(JOB, vec![lasting(1_000)]);
+    world.submit(JOB, vec![long_running(1_000)]);
     world.cell.intake_read();
-    let mut again = Vec::new();
+    let mut restarts = Vec::new();
     for _ in 0..300 {
         world.cell.unheard("w1", world.now);
         world.report("w2", vec![], vec![]);
-        again.extend(world.tick());
-        if !again.is_empty() {
+        restarts.extend(world.tick());
+        if !restarts.is_empty() {
             break;
         }
     }
-    assert_eq!(again.len(), 1, "the task counts as placed for good");
+    assert_eq!(restarts.len(), 1, "the task counts as placed indefinitely");
 }
 
 fn wave() -> Wave {
@@ -291,64 +303,63 @@
     names.iter().map(machine).collect()
 }
 
-/// True when a lasting task runs on the only worker within 20 s.
-fn is_used(world: &mut World) -> bool {
-    world.submit(JOB, vec![lasting(1_000)]);
+/// True if a long-running task starts on the only worker within 20 s.
+fn gets_work(world: &mut World) -> bool {
+    world.submit(JOB, vec![long_running(1_000)]);
     (0..200).any(|_| {
         world.report("w1", vec![], vec![]);
         !world.tick().is_empty()
     })
 }
 
-/// The story: a machine was to go down for its upkeep, and the order was refused, as others were in turn. The operators
-/// took the wave back. Its worker got no work for as long as the owner lasted.
+/// A worker reopens when its maintenance wave is withdrawn. The order to take the machine down had
+/// been refused, and the worker got no work for the rest of the owner's term.
 #[test]
-fn upkeep_taken_back_opens_worker() {
+fn withdrawn_wave_reopens_worker() {
     let mut world = World::new(&["w1"]);
     let orders: Vec<Upkeep> = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
     assert_eq!(orders.len(), 1);
     world.cell.upkeep_refused(&orders[0]);
     world.cell.upkeep(&[], &machines(&["m1"]), world.now);
-    assert!(is_used(&mut world), "the worker stays closed");
+    assert!(gets_work(&mut world), "the worker stays closed");
 }
 
-/// The story: while a machine was emptied for its upkeep, one list of the machines lacked it. It counted as gone, and the
-/// upkeep as done; it was listed again with the same worker, which got no work for as long as the owner lasted.
+/// A machine that is missing from one listing during maintenance must not leave its worker closed.
+/// It counted as removed and its maintenance as done, and the worker stayed closed when it was
+/// listed again.
 #[test]
-fn upkeep_of_machine_missing_once_opens_worker() {
+fn machine_missing_once_reopens_worker() {
     let mut world = World::new(&["w1"]);
     let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
     world.cell.upkeep_refused(&orders[0]);
     world.cell.upkeep(&[wave()], &machines(&[]), world.now);
     let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
     assert!(
-        !orders.is_empty() || is_used(&mut world),
-        "the worker stays closed and gets no upkeep"
+        !orders.is_empty() || gets_work(&mut world),
+        "the worker stays closed and gets no maintenance"
     );
 }
 
-/// The story: a run of a job that was not known was to be stopped, and its job came to be known before the worker's next
-/// report. The worker crashed in between, and the owner's process ended with it.
-///
-/// The cause: the run was held under a place of its own, which no task of the job has, and counting the crash looked for the
-/// task there.
+/// Guards against a panic of the owner. A stray run was about to be stopped when its job became
+/// known, and the worker crashed before its next report. The run was held under a place that no
+/// task of the job has, which the crash count looked up.
 #[test]
-fn end_life_with_run_of_job_known_since() {
+fn crash_with_stray_run_of_job_known_since() {
     let mut world = World::new(&["w1", "w2"]);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
-    world.submit(JOB, vec![lasting(1_000)]);
+    world.submit(JOB, vec![long_running(1_000)]);
     world
         .cell
         .end_life(&"w1".into(), "another life answers", world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
-/// A worker that lists another run than the one it was given keeps the place of the given one for no longer than the other
-/// takes to stop.
+/// A worker that reports a different run than the one ordered keeps the task's place only until the
+/// other run has stopped.
 #[test]
-fn missing_beside_another_run_of_the_task() {
+fn task_restarts_after_other_run_stopped() {
     let mut world = World::new(&["w1"]);
-    world.submit(JOB, vec![lasting(1_000)]);
+    world.submit(JOB, vec![long_running(1_000)]);
     let start = world.starts()[0].1.clone();
     world.now += 10;
     world.answer(&"w1".into(), &start, Outcome::Done);
@@ -362,33 +373,33 @@
     assert_eq!(world.tick().len(), 1);
 }
 
-/// Runs of one job under three owners. What the second one orders and writes is told by the case.
+/// Actions of the second of three owners of a job.
 #[derive(Debug, Clone, Copy)]
-enum Second {
-    /// It starts the task, and its record is written after that.
+enum SecondOwner {
+    /// It starts the task and then writes the record.
     StartsAndWrites,
-    /// It writes the record of the job without a start.
+    /// It writes the record without a start.
     Writes,
-    /// It starts the task, and no record is written after that.
+    /// It starts the task and writes no record afterwards.
     Starts,
 }
 
-/// The first run that a third owner orders: it leaves numbers out after the highest that the record has, which are also
-/// those that the second owner left out, whether it started anything or not.
-#[test_case(Second::StartsAndWrites, 131; "started and written")]
-#[test_case(Second::Writes, 130; "written")]
-#[test_case(Second::Starts, 66; "started")]
-fn resume_numbers_by_what_was_written(second: Second, expected: u64) {
+/// The third owner skips run numbers above the highest one in the record. They cover the numbers
+/// skipped by the second owner, whether it started anything or not.
+#[test_case(SecondOwner::StartsAndWrites, 131; "started and written")]
+#[test_case(SecondOwner::Writes, 130; "written")]
+#[test_case(SecondOwner::Starts, 66; "started")]
+fn resume_skips_run_numbers_above_record(second: SecondOwner, expected: u64) {
     let mut record = job::Record {
         state: job::State::Running,
         run: 1,
         ..job::Record::default()
     };
     let mut world = resumed(&record);
-    if !matches!(second, Second::Writes) {
+    if !matches!(second, SecondOwner::Writes) {
         assert_eq!(world.starts()[0].1.run, 66);
     }
-    if !matches!(second, Second::Starts) {
+    if !matches!(second, SecondOwner::Starts) {
         let dirty = run(JOB, 1, 1);
         world.report("w1", vec![dirty], vec![]);
         world.now += 10;
@@ -404,23 +415,24 @@
     assert_eq!(world.starts()[0].1.run, expected);
 }
 
-/// A cell with one worker and a job of two lasting tasks that a former owner has left so.
+/// Creates a cell with one worker that resumes a job of two long-running tasks from a record.
 fn resumed(record: &job::Record) -> World {
     let mut world = World::new(&["w1"]);
     let step = Step {
         count: 2,
         spread: 1,
-        ..lasting(1_000)
+        ..long_running(1_000)
     };
     world.cell.resume(submission(JOB, vec![step]), record, 1);
     world
 }
 
-/// A start that is refused is nothing that lasts: however often a task is tried, its record is not written for it.
+/// A refused start changes nothing durable: no record is written for it, however often the task is
+/// tried.
 #[test]
-fn take_change_without_tries() {
+fn refused_starts_write_no_record() {
     let mut world = World::new(&["w1"]);
-    world.submit(JOB, vec![lasting(1_000)]);
+    world.submit(JOB, vec![long_running(1_000)]);
     for number in 1..=65 {
         let (worker, start) = world.starts()[0].clone();
         assert_eq!(start.run, number);
--- a/components/cell/tests/decisions/takeover.rs
+++ b/components/cell/tests/decisions/takeover.rs
@@ -1,4 +1,4 @@
-//! A new owner adopts what runs and starts nothing twice.
+//! Takeover: a new owner adopts running tasks and starts nothing twice.
 
 use {
     crate::common::{JOB, TIMING, World, end, entry, run, state, step},
@@ -8,7 +8,7 @@
 
 #[test]
 fn recover_adopts_running() {
-    let mut world = World::unheard(&["w1", "w2"]);
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn recover_waits_for_silent_worker() {
-    let mut world = World::unheard(&["w1", "w2"]);
+fn recover_waits_for_unreachable_worker() {
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
     world.report("w1", vec![], vec![]);
@@ -32,11 +32,11 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// Seen on a day with a store that goes away during a takeover: the next poll waits until ends are
-/// written, and meanwhile the leases that the former owner gave were taken for over.
+/// Guards against treating leases granted by the previous owner as expired. The next poll waits
+/// until ends are persisted, which takes long if the store fails during a takeover.
 #[test]
-fn lapse_keeps_leases_of_former_owner() {
-    let mut world = World::unheard(&["w1", "w2"]);
+fn leases_of_previous_owner_stay_valid() {
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
     let report = magpie_cell::Report {
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn resume_numbers_runs_above_former() {
+fn resume_numbers_runs_above_previous() {
     let mut world = World::new(&["w1"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     let starts = world.starts();
     assert!(starts[0].1.run > 1 + 60);
 }
 
-/// Seen on a day with an owner cut off: the new owner heard of the second failure first, took the
-/// first one for counted, and started the task once too often.
+/// Failures count in any order. A new owner received the second failure of a task first, considered
+/// the first one counted, and started the task once too often.
 #[test]
 fn failures_count_in_any_order() {
-    let mut world = World::unheard(&["w1", "w2"]);
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
     world.report("w2", vec![], vec![end(1, JOB, 0, 2, How::Failed)]);
@@ -74,16 +74,16 @@
     world.report("w1", vec![], vec![]);
     world.report("w2", vec![], vec![]);
     assert!(world.starts().is_empty());
-    world.write();
+    world.persist();
     let state = world.cell.state(&Id::new(JOB).unwrap());
     assert_eq!(state, Some(State::Failed));
 }
 
-/// Seen on days with an owner that stands still for 2.2 to 3 s: it wakes up after another box has read
-/// the jobs, takes one more and starts it on a worker that does not know the new fence yet.
+/// Guards against a duplicate start. An owner paused for 2.2 to 3 s resumes after another box has
+/// read the jobs, accepts one more job and starts it on a worker that does not know the new fence.
 #[test]
-fn recover_keeps_back_job_accepted_since() {
-    let mut world = World::unheard(&["w1", "w2"]);
+fn recover_delays_job_accepted_since() {
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.cell.recover(world.now);
     world.submit(JOB, vec![step(1, 1_000)]);
     world.report("w2", vec![], vec![]);
@@ -93,11 +93,11 @@
     assert!(world.starts().is_empty());
 }
 
-/// The worker may list such a run before the job is known: the run is not stopped, since it would run
-/// on for a moment while its task is started elsewhere.
+/// The worker may report such a run before the job is known. The run is not stopped, since it would
+/// continue for a moment while its task starts elsewhere.
 #[test]
 fn recover_keeps_run_of_unknown_job() {
-    let mut world = World::unheard(&["w1", "w2"]);
+    let mut world = World::without_reports(&["w1", "w2"]);
     world.cell.recover(world.now);
     world.report("w2", vec![], vec![]);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
@@ -109,11 +109,12 @@
     assert!(world.stops().is_empty());
 }
 
-/// Nor is its end acknowledged, which would be lost, and those that follow it are taken in later.
+/// The end of an unknown job's run is not acknowledged, or it would be lost. It and later ends are
+/// processed once the job is known.
 #[test]
 fn recover_keeps_end_of_unknown_job() {
-    let mut world = World::unheard(&["w1"]);
-    world.write();
+    let mut world = World::without_reports(&["w1"]);
+    world.persist();
     world.cell.recover(world.now);
     let ends = vec![end(1, JOB, 0, 1, How::Done)];
     world.report("w1", vec![], ends.clone());
@@ -124,14 +125,14 @@
     world.cell.lapse(world.now);
     assert!(world.starts().is_empty());
     assert_eq!(state(&world), Some(State::Queued));
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Completed));
 }
 
-/// A worker that lists as many ends as it does at once may have more to tell.
+/// A worker that reports the maximum number of ends may have more of them.
 #[test]
 fn recover_keeps_waiting_for_further_ends() {
-    let mut world = World::unheard(&["w1"]);
+    let mut world = World::without_reports(&["w1"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
     let ends = (1..=500).map(|number| end(number, "00000000000000b2", 0, number, How::Done));
@@ -140,10 +141,11 @@
     assert!(world.starts().is_empty());
 }
 
-/// A listing brings a worker, it gets work, and the owner dies before the record of the fleet names it: with the
-/// store away the worker's entry lapses, and the next owner would start its work elsewhere.
+/// A new worker gets no work before the fleet record with it is persisted. If the owner died before
+/// that and the worker's entry expired in a store outage, the next owner would start its tasks
+/// elsewhere.
 #[test]
-fn list_gives_no_work_before_fleet_is_written() {
+fn new_worker_gets_no_work_before_fleet_is_persisted() {
     let mut world = World::new(&["w1"]);
     world
         .cell
@@ -152,13 +154,13 @@
     world.submit(JOB, vec![step(8, 1_000)]);
     let starts = world.starts();
     assert!(starts.iter().all(|(worker, _)| &**worker == "w1"));
-    world.write();
+    world.persist();
     assert_eq!(world.starts().len(), 8 - starts.len());
 }
 
-/// Workers that the former owner has recorded may be given work before this one has written.
+/// Workers in the fleet record of the previous owner get work before the new owner has written one.
 #[test]
-fn inherit_knows_recorded_workers() {
+fn inherit_accepts_recorded_workers() {
     let mut cell = Cell::new(TIMING);
     cell.list(vec![entry("w1", 4)], 1_000);
     cell.inherit(vec![entry("w1", 4)]);
@@ -168,16 +170,16 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// A job with a timetable that was cancelled: runs of several of its times may go on at a worker. Seen
-/// by a review; they were stopped one after the other, each within up to 0.9 s.
+/// Runs of a cancelled job may exist for several times of its timetable. All of them are stopped at
+/// once rather than one after the other, each within up to 0.9 s.
 #[test]
 fn report_stops_all_runs_of_unknown_job() {
     let mut world = World::new(&["w1"]);
     let mut runs = Vec::new();
     for time in 0..3 {
-        let mut own = run(JOB, 0, 1);
-        own.address.time = time;
-        runs.push(own);
+        let mut stray = run(JOB, 0, 1);
+        stray.address.time = time;
+        runs.push(stray);
     }
     world.report("w1", runs, vec![]);
     assert_eq!(world.stops().len(), 3);
--- a/components/cell/tests/decisions/silence.rs
+++ b/components/cell/tests/decisions/unreachable.rs
@@ -1,17 +1,20 @@
-//! Workers that do not answer, that are not asked in time, or whose life is over.
+//! Workers that are unreachable, that are polled late, or whose incarnation is over.
 
 use {
-    crate::common::{JOB, World, end, entry, ordered, other_than, run, running, state, step},
+    crate::common::{
+        JOB, World, end, entry, other_worker, run, state, step, with_ordered_start,
+        with_running_task,
+    },
     job::{State, Step},
     magpie_cell::{How, Order, Outcome, Reach, Reason, Report},
     std::sync::Arc,
 };
 
 #[test]
-fn silent_worker_frees_after_lease() {
-    let (mut world, worker, _) = running(&["w1", "w2"], step(1, 1_000));
+fn unreachable_worker_frees_tasks_after_lease() {
+    let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
     world.cell.poll(&worker, world.now);
-    let other = other_than(&worker);
+    let other = other_worker(&worker);
     world.now += 4_800;
     world.cell.unheard(&worker, world.now);
     world.report(other, vec![], vec![]);
@@ -22,12 +25,11 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// Seen on a day with workers that go at short notice: each failed poll asked for a new lease and
-/// put off the moment at which all leases were surely over.
+/// Guards against failed polls that extend leases and postpone their expiry.
 #[test]
-fn failed_polls_extend_nothing() {
-    let (mut world, worker, _) = running(&["w1", "w2"], step(1, 1_000));
-    let other = other_than(&worker);
+fn failed_polls_extend_no_lease() {
+    let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
+    let other = other_worker(&worker);
     for _ in 0..12 {
         world.cell.poll(&worker, world.now);
         world.cell.unheard(&worker, world.now);
@@ -38,10 +40,10 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// A poll whose answer was lost takes 2.8 s; the next one must be answered at once, or the lease
-/// runs out while it is held.
+/// A poll whose answer is lost takes 2.8 s. The next one must be answered at once, or the lease
+/// expires while the poll is held.
 #[test]
-fn poll_after_lost_one_is_not_held() {
+fn poll_after_lost_answer_is_not_held() {
     let mut world = World::new(&["w1"]);
     world.report("w1", vec![], vec![]);
     assert_eq!(world.cell.poll("w1", world.now).unwrap().wait, 0);
@@ -54,26 +56,26 @@
     assert_eq!(world.cell.poll("w1", world.now).unwrap().wait, 2_000);
 }
 
-/// Seen under a burst: a late owner had not asked a worker for 5 s, took its leases for over and
-/// started a task again whose end the worker had listed 3 s before.
+/// Guards against a duplicate run. An overloaded owner had not polled a worker for 5 s, considered
+/// its leases expired and restarted a task whose end the worker had reported 3 s earlier.
 #[test]
-fn lapse_waits_for_worker_not_asked() {
-    let (mut world, worker, start) = running(&["w1", "w2"], step(1, 1_000));
-    let other = other_than(&worker);
+fn late_owner_waits_for_next_report() {
+    let (mut world, worker, start) = with_running_task(&["w1", "w2"], step(1, 1_000));
+    let other = other_worker(&worker);
     world.now += 5_200;
     world.report(other, vec![], vec![]);
     world.cell.lapse(world.now);
     assert!(world.starts().is_empty());
     let done = end(1, JOB, 0, start.run, How::Done);
     world.report(&worker, vec![], vec![done]);
-    world.write();
+    world.persist();
     assert_eq!(state(&world), Some(State::Completed));
 }
 
 #[test]
-fn lapse_waits_for_no_silent_worker() {
-    let (mut world, worker, _) = running(&["w1", "w2"], step(1, 1_000));
-    let other = other_than(&worker);
+fn expired_lease_of_unreachable_worker_frees_task() {
+    let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
+    let other = other_worker(&worker);
     world.now += 5_200;
     world.cell.unheard(&worker, world.now);
     world.report(other, vec![], vec![]);
@@ -81,13 +83,13 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// A lasting task has no end to wait for, and has to run again soon.
+/// A long-running task has no end to wait for and must restart soon.
 #[test]
-fn lapse_frees_lasting_at_once() {
-    let mut lasting = step(1, 1_000);
-    lasting.lasting = true;
-    let (mut world, worker, _) = running(&["w1", "w2"], lasting);
-    let other = other_than(&worker);
+fn expired_lease_frees_long_running_task_at_once() {
+    let mut long_running = step(1, 1_000);
+    long_running.lasting = true;
+    let (mut world, worker, _) = with_running_task(&["w1", "w2"], long_running);
+    let other = other_worker(&worker);
     world.now += 5_200;
     world.report(other, vec![], vec![]);
     world.cell.lapse(world.now);
@@ -95,8 +97,8 @@
 }
 
 #[test]
-fn other_life_frees_all() {
-    let (mut world, worker, start) = ordered(&["w1", "w2"], step(1, 1_000));
+fn answer_of_other_incarnation_frees_tasks() {
+    let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     let order = Order::Start(start);
     let outcome = Outcome::Refused(Reason::OtherLife);
     assert!(!world.cell.answered(&worker, &order, outcome, world.now));
@@ -105,11 +107,11 @@
 }
 
 #[test]
-fn new_life_frees_at_once() {
-    let (mut world, worker, _) = running(&["w1", "w2"], step(1, 4_000));
+fn new_incarnation_frees_tasks_at_once() {
+    let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 4_000));
     let mut new = entry("w9", 4);
     new.address = entry(&worker, 4).address;
-    let other = other_than(&worker);
+    let other = other_worker(&worker);
     let added = world.cell.list(vec![new, entry(other, 4)], world.now);
     assert_eq!(added.len(), 1);
     world.now += 1;
@@ -118,8 +120,8 @@
     assert_eq!(world.starts().len(), 1);
 }
 
-/// Workers that each have a serving task and were polled again right after they had answered.
-fn serving(workers: &[&str]) -> World {
+/// Creates workers with a serving task each that were polled again right after their reports.
+fn serving_workers(workers: &[&str]) -> World {
     let mut world = World::new(workers);
     let serving = Step {
         lasting: true,
@@ -135,30 +137,32 @@
     world
 }
 
-/// A hall with the owner in it is cut off, where only w1 is: the others are silent half a second before the lease of the
-/// owner is over in the store (2 s), after which another box may claim the cell. They counted as heard for 3 s, and the
-/// owner let the lease of w1 go on 0.6 s after the cell had been claimed.
+/// Workers cut off from the owner count as unreachable half a second before the owner's lease in
+/// the store (2 s) expires and another box may claim the cell. With a limit of 3 s an owner in a
+/// partitioned hall, where only w1 is, extended the lease of w1 0.6 s after the cell had been
+/// claimed.
 #[test]
-fn cut_off_workers_are_silent_before_another_claims() {
-    let mut world = serving(&["w1", "w2", "w3", "w4"]);
-    let cut = world.now;
+fn partitioned_workers_are_unreachable_before_next_claim() {
+    let mut world = serving_workers(&["w1", "w2", "w3", "w4"]);
+    let partitioned_at = world.now;
     let reach = |heard, silent| Reach { heard, silent };
-    assert_eq!(world.cell.reach(cut + 1_000), reach(4, 0));
+    assert_eq!(world.cell.reach(partitioned_at + 1_000), reach(4, 0));
     for _ in 0..3 {
         world.now += 500;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     }
     world.cell.take_orders();
-    assert_eq!(world.cell.reach(cut + 1_500), reach(4, 0));
-    assert_eq!(world.cell.reach(cut + 1_501), reach(1, 3));
-    // Polls that fail show it sooner.
+    assert_eq!(world.cell.reach(partitioned_at + 1_500), reach(4, 0));
+    assert_eq!(world.cell.reach(partitioned_at + 1_501), reach(1, 3));
+    // Failed polls show it earlier.
     world.cell.unheard("w1", world.now);
-    assert_eq!(world.cell.reach(cut + 1_501), reach(0, 4));
+    assert_eq!(world.cell.reach(partitioned_at + 1_501), reach(0, 4));
 }
 
-/// While the store is away for all, no worker is silent, and those whose polls are held for long are no sign of a cut.
+/// Idle workers, whose polls are held long, do not count as unreachable. Nor does a store outage
+/// for all boxes make them unreachable.
 #[test]
-fn idle_workers_are_not_silent() {
+fn idle_workers_are_reachable() {
     let world = World::new(&["w1", "w2"]);
     for after in [0, 1_500, 2_900] {
         assert_eq!(world.cell.reach(world.now + after).silent, 0);
