--- a/components/cell/src/interference/regression.rs
+++ b/components/cell/src/interference/regression.rs
@@ -59,7 +59,7 @@
             square,
             result: packed.result.iter().map(sum).collect(),
             weights: Vec::new(),
-            dirty: true,
+            fresh: true,
         }
     }
 }
@@ -75,7 +75,7 @@
     /// The solution, by column.
     weights: Vec<f64>,
     /// Samples were added since the last solution.
-    dirty: bool,
+    fresh: bool,
 }
 
 impl Regression {
@@ -91,7 +91,7 @@
                 self.square[a][b] += trust * share_a * share_b;
             }
         }
-        self.dirty = true;
+        self.fresh = true;
     }
 
     /// The weight of a column, if one was solved.
@@ -101,7 +101,7 @@
 
     /// Solves the system if samples were added; `prior` is the weight without samples.
     pub fn solve(&mut self, prior: f64) {
-        if !std::mem::take(&mut self.dirty) {
+        if !std::mem::take(&mut self.fresh) {
             return;
         }
         for row in &mut self.square {
