--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell::Cell,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     job::Id,
     std::sync::Arc,
@@ -65,7 +65,7 @@
 /// A run of a suspected task that has not been reported for long enough.
 #[derive(Debug)]
 pub(super) struct Trial {
-    key: Key,
+    key: TaskKey,
     run: u64,
     suspicion: Suspicion,
     /// When the start was decided, on the owner's clock.
@@ -116,7 +116,8 @@
     pub(crate) fn has_unpersisted_crashes(&self, id: &Id, place: usize) -> bool {
         self.jobs.get(id).is_some_and(|job| {
             let crashes = job.progress.tasks[place].crashes;
-            job.unkept && (crashes.early >= ISOLATE_AFTER_EARLY || crashes.all >= ISOLATE_AFTER)
+            job.crash_unpersisted
+                && (crashes.early >= ISOLATE_AFTER_EARLY || crashes.all >= ISOLATE_AFTER)
         })
     }
 
@@ -139,7 +140,7 @@
     /// rack may be gone for good.
     fn has_isolated_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            let mut places = job.suspects.difference(&job.stranded);
+            let mut places = job.suspects.difference(&job.untried);
             places.any(|&place| self.suspicion(id, place) == Suspicion::Alone)
         })
     }
@@ -147,7 +148,7 @@
     /// Notes that no worker can take a task that needs an isolated trial.
     pub(crate) fn mark_unplaceable(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.stranded.insert(place);
+            job.untried.insert(place);
         }
     }
 
@@ -163,7 +164,7 @@
     }
 
     /// Begins a trial if the task that starts on the worker is suspected.
-    pub(crate) fn begin_trial(&mut self, id: &Arc<str>, key: Key, run: u64, now: u64) {
+    pub(crate) fn begin_trial(&mut self, id: &Arc<str>, key: TaskKey, run: u64, now: u64) {
         let suspicion = self.suspicion(&key.job, key.place);
         if !suspicion.needs_trial() {
             return;
@@ -179,7 +180,7 @@
     }
 
     /// Ends the trial of a task on a worker. Returns false if there was none.
-    pub(super) fn end_trial(&mut self, id: &Arc<str>, key: &Key) -> bool {
+    pub(super) fn end_trial(&mut self, id: &Arc<str>, key: &TaskKey) -> bool {
         let trial = self.crashes.trials.get(id);
         if trial.is_none_or(|trial| trial.key != *key) {
             return false;
@@ -194,18 +195,18 @@
 
     /// Ends the trial of a task whose worker survived. Each such trial allows more trials of the
     /// job.
-    pub(crate) fn complete_trial(&mut self, id: &Arc<str>, key: &Key) {
+    pub(crate) fn complete_trial(&mut self, id: &Arc<str>, key: &TaskKey) {
         if !self.end_trial(id, key) {
             return;
         }
         if let Some(job) = self.jobs.get_mut(&key.job) {
-            job.survivors += 1;
+            job.passed_trials += 1;
         }
     }
 
     /// Maximum number of concurrent trials of a job.
     fn max_job_trials(&self, id: &Id) -> usize {
-        let survivors = self.jobs.get(id).map_or(0, |job| job.survivors);
+        let survivors = self.jobs.get(id).map_or(0, |job| job.passed_trials);
         JOB_TRIALS * (1 + survivors)
     }
 
@@ -229,5 +230,5 @@
 /// Cost of a crash of the worker, in millicores.
 pub(crate) fn crash_cost(worker: &Worker) -> u64 {
     let new_runs = worker.slots.values().filter(|slot| worker.is_early(slot));
-    worker.firm.cpu + worker.filling + new_runs.count() as u64 * NEW_RUN_COST
+    worker.reserved.cpu + worker.filling_cpu + new_runs.count() as u64 * NEW_RUN_COST
 }
--- a/components/cell/tests/decisions/best_effort.rs
+++ b/components/cell/tests/decisions/best_effort.rs
@@ -4,7 +4,7 @@
 use {
     crate::common::{JOB, World, end, entry, run, step, submission},
     job::Step,
-    magpie_cell::{How, Interference, Order, Outcome, Report},
+    magpie_cell::{EndCause, Interference, Order, Outcome, Report},
     std::sync::Arc,
     test_case::test_case,
 };
@@ -114,7 +114,9 @@
 #[test]
 fn harmless_task_is_placed_beside_interfering_one() {
     let mut world = shared_world(best_effort("f", 500));
-    world.cell.recall(trained_model(["f", "s", "g"]));
+    world
+        .cell
+        .restore_interference(trained_model(["f", "s", "g"]));
     report_tail(&mut world, 25);
     world.submit(OTHER, vec![best_effort("g", 500)]);
     assert_eq!(world.starts().len(), 1);
@@ -125,7 +127,9 @@
 #[test]
 fn harmless_task_is_placed_after_load_peak() {
     let mut world = shared_world(best_effort("g", 500));
-    world.cell.recall(trained_model(["g", "s", "f"]));
+    world
+        .cell
+        .restore_interference(trained_model(["g", "s", "f"]));
     for tail in [40, 60, 60, 60, 60, 60, 25, 13, 13, 13, 13, 13, 13] {
         world.now += 500;
         report_tail(&mut world, tail);
@@ -137,7 +141,9 @@
 #[test]
 fn interfering_task_waits_for_low_load() {
     let mut world = shared_world(best_effort("g", 500));
-    world.cell.recall(trained_model(["g", "s", "f"]));
+    world
+        .cell
+        .restore_interference(trained_model(["g", "s", "f"]));
     report_tail(&mut world, 25);
     world.submit(OTHER, vec![best_effort("f", 500)]);
     assert!(world.starts().is_empty());
@@ -154,7 +160,9 @@
 #[test_case(20, 1; "backlog exceeds running work")]
 fn interfering_task_is_placed_under_backlog(count: u32, least: usize) {
     let mut world = shared_world(best_effort("g", 500));
-    world.cell.recall(trained_model(["g", "s", "f"]));
+    world
+        .cell
+        .restore_interference(trained_model(["g", "s", "f"]));
     for _ in 0..8 {
         world.now += 500;
         report_tail(&mut world, 23);
@@ -190,7 +198,9 @@
 #[test]
 fn pace_follows_forecast() {
     let mut world = shared_world(best_effort("f", 1_500));
-    world.cell.recall(trained_model(["f", "s", "g"]));
+    world
+        .cell
+        .restore_interference(trained_model(["f", "s", "g"]));
     let mut paces = Vec::new();
     for tail in [20, 22, 25, 28, 32, 36] {
         world.now += 500;
@@ -235,15 +245,15 @@
     let mut world = World::new(&["w1", "w2"]);
     world.submit(JOB, vec![step(3, 4_000)]);
     assert_eq!(world.starts().len(), 2);
-    let before = world.cell.tried();
+    let before = world.cell.full_scans();
     world.now += 50;
     assert!(world.starts().is_empty());
-    assert_eq!(world.cell.tried(), before);
+    assert_eq!(world.cell.full_scans(), before);
     add_worker(&mut world);
     world.list(vec![entry("w3", 4)]);
     world.report("w3", vec![], vec![]);
     assert_eq!(world.starts().len(), 1);
-    assert_eq!(world.cell.tried(), before);
+    assert_eq!(world.cell.full_scans(), before);
 }
 
 /// A long-running job and two short ones, each of whose tasks needs a whole worker. A short task
@@ -268,7 +278,7 @@
 
 /// Ends the short task on a worker.
 fn end_short(world: &mut World, worker: &str, index: u32) {
-    let mut done = end(1, OTHER, 0, 1, How::Done);
+    let mut done = end(1, OTHER, 0, 1, EndCause::Done);
     done.address.index = index;
     world.report(worker, vec![], vec![done]);
 }
@@ -317,7 +327,7 @@
         world.answer(&worker, &start, Outcome::Done);
     }
     let ends = [0, 1].map(|index| {
-        let mut end = end(1 + u64::from(index), OTHER, 0, 1, How::Failed);
+        let mut end = end(1 + u64::from(index), OTHER, 0, 1, EndCause::Failed);
         end.address.index = index;
         end
     });
--- a/components/cell/tests/decisions/capacity.rs
+++ b/components/cell/tests/decisions/capacity.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, entry, run, step, with_ordered_start, with_running_task},
     job::{Address, Id, spec::Size},
-    magpie_cell::{End, Entry, How, Order, Outcome, Reason},
+    magpie_cell::{EndCause, Entry, Order, Outcome, Refusal, RunEnd},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -21,9 +21,9 @@
     world.list(vec![entry("w1", cores)]);
 }
 
-/// Declares that the workers of the pool do not enforce their capacity.
-fn disable_enforcement(world: &mut World) {
-    world.cell.set_unguarded(["pool".into()].into());
+/// Marks the pool as overcommitting: its workers start whatever is ordered.
+fn allow_overcommit(world: &mut World) {
+    world.cell.set_overcommitting(["pool".into()].into());
 }
 
 /// Reduced capacity accepts only what fits, and is used again once a listing shows it restored.
@@ -42,11 +42,11 @@
 /// Running tasks are not stopped when capacity shrinks below their usage: their work would be lost
 /// for no benefit.
 #[test_case(false; "enforced")]
-#[test_case(true; "not enforced")]
-fn shrinking_capacity_stops_no_run(is_unenforced: bool) {
+#[test_case(true; "overcommitted")]
+fn shrinking_capacity_stops_no_run(overcommits: bool) {
     let (mut world, _, _) = with_running_task(&["w1"], step(1, 3_000));
-    if is_unenforced {
-        disable_enforcement(&mut world);
+    if overcommits {
+        allow_overcommit(&mut world);
     }
     resize(&mut world, 2);
     assert!(world.stops().is_empty());
@@ -58,7 +58,7 @@
 #[test]
 fn shrinking_capacity_withdraws_pending_starts() {
     let mut world = World::new(&["w1"]);
-    disable_enforcement(&mut world);
+    allow_overcommit(&mut world);
     world.submit(JOB, vec![step(3, 1_000)]);
     let starts = world.starts();
     assert_eq!(starts.len(), 3);
@@ -94,7 +94,7 @@
 #[test_case(OTHER, 0; "of an unknown job")]
 fn stray_run_uses_capacity(job: &str, fits: usize) {
     let mut world = World::new(&["w1"]);
-    disable_enforcement(&mut world);
+    allow_overcommit(&mut world);
     world.submit(JOB, vec![step(1, 3_000)]);
     world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1);
     world.report("w1", vec![run(job, 0, 7)], vec![]);
@@ -102,14 +102,14 @@
     assert_eq!(world.starts().len(), fits);
 }
 
-/// For workers that do not enforce their capacity a listing is valid for some seconds; in a store
-/// outage nothing shows that the capacity has shrunk.
+/// For overcommitting pools the capacity in a listing is valid for some seconds; in a store outage
+/// nothing shows that it has shrunk.
 #[test_case(false, 1; "enforced")]
-#[test_case(true, 0; "not enforced")]
-fn unenforced_capacity_needs_recent_listing(is_unenforced: bool, fits: usize) {
+#[test_case(true, 0; "overcommitted")]
+fn overcommitted_capacity_needs_recent_listing(overcommits: bool, fits: usize) {
     let mut world = World::new(&["w1"]);
-    if is_unenforced {
-        disable_enforcement(&mut world);
+    if overcommits {
+        allow_overcommit(&mut world);
     }
     world.now += 5_000;
     world.report("w1", vec![], vec![]);
@@ -122,7 +122,7 @@
 /// With random capacity changes, late starts, lost answers and irregular reports, no start exceeds
 /// the smallest capacity that was known when it was sent.
 #[test]
-fn random_sequences_never_exceed_unenforced_capacity() {
+fn random_sequences_never_overcommit() {
     for seed in 0..200 {
         let mut scenario = Scenario::new(seed);
         for round in 0..80 {
@@ -139,7 +139,7 @@
 /// Offset of the workers' clock from the clock of the world; see [`World::report`].
 const CLOCK: u64 = 50_000;
 
-/// The actual state of a worker that does not enforce its capacity.
+/// The actual state of a worker that starts whatever is ordered.
 #[derive(Default)]
 struct ActualWorker {
     capacity: u64,
@@ -147,12 +147,12 @@
     runs: HashMap<(Id, usize), (u64, u64)>,
     /// The highest run that has ended or was barred, by task.
     over: HashMap<(Id, usize), u64>,
-    ended: Vec<End>,
+    ended: Vec<RunEnd>,
     count: u64,
 }
 
 impl ActualWorker {
-    fn end(&mut self, task: &(Id, usize), run: u64, how: How) {
+    fn end(&mut self, task: &(Id, usize), run: u64, how: EndCause) {
         self.runs.remove(task);
         self.over.insert(task.clone(), run);
         self.count += 1;
@@ -161,7 +161,7 @@
             step: 0,
             index: task.1 as u32,
         };
-        self.ended.push(End {
+        self.ended.push(RunEnd {
             number: self.count,
             job: task.0.clone(),
             address,
@@ -188,7 +188,7 @@
     fn new(seed: u64) -> Self {
         let ids = ["w1", "w2"];
         let mut world = World::new(&ids);
-        disable_enforcement(&mut world);
+        allow_overcommit(&mut world);
         let actual = |id: &str| {
             let capacity = 4_000;
             (
@@ -218,7 +218,7 @@
         let changes_capacity = self.rng.u8(0..4) == 0;
         self.list(changes_capacity);
         self.report();
-        self.world.cell.lapse(self.world.now);
+        self.world.cell.expire_leases(self.world.now);
         self.world.cell.place(self.world.now);
         self.in_transit.extend(self.world.cell.take_orders());
         while !self.in_transit.is_empty() && self.rng.u8(0..3) > 0 {
@@ -226,7 +226,7 @@
             let outcome = self.execute(&id, &order);
             self.world
                 .cell
-                .answered(&id, &order, outcome, self.world.now);
+                .handle_outcome(&id, &order, outcome, self.world.now);
         }
         self.world.persist();
     }
@@ -268,7 +268,7 @@
             .collect();
         for (task, run) in over {
             if self.rng.u8(0..3) == 0 {
-                actual.end(&task, run, How::Done);
+                actual.end(&task, run, EndCause::Done);
             }
         }
         let running = actual
@@ -294,17 +294,17 @@
                     other == id && *key == start.key && *run == start.run
                 });
                 if is_barred {
-                    return Outcome::Refused(Reason::NotSent);
+                    return Outcome::Refused(Refusal::NotSent);
                 }
                 let is_over = actual
                     .over
                     .get(&task)
                     .is_some_and(|over| start.run <= *over);
                 if is_over || actual.runs.contains_key(&task) {
-                    return Outcome::Refused(Reason::Old);
+                    return Outcome::Refused(Refusal::Old);
                 }
                 if now + CLOCK > start.deadline {
-                    return Outcome::Refused(Reason::Late);
+                    return Outcome::Refused(Refusal::Late);
                 }
                 let used: u64 = actual.runs.values().map(|(_, cpu)| cpu).sum();
                 let (cpu, capacity) = (self.cpu_by_job[&task.0], actual.capacity);
@@ -322,7 +322,7 @@
             Order::Stop { key, run, .. } => {
                 let task = (key.job.clone(), key.place);
                 if actual.runs.get(&task).is_some_and(|(own, _)| own == run) {
-                    actual.end(&task, *run, How::Stopped);
+                    actual.end(&task, *run, EndCause::Stopped);
                 }
                 let over = actual.over.entry(task).or_default();
                 *over = (*over).max(*run);
--- a/components/cell/tests/decisions/crashes.rs
+++ b/components/cell/tests/decisions/crashes.rs
@@ -62,9 +62,9 @@
 /// of step.
 #[test_case(step(1, 1_000), 0, CRASH_AFTER, 3; "alone")]
 #[test_case(step(6, 1_000), 4, CRASH_AFTER, 3; "one of a step")]
-#[test_case(Step { lasting: true, ..step(3, 1_000) }, 1, CRASH_AFTER, 3; "lasting")]
+#[test_case(Step { lasting: true, ..step(3, 1_000) }, 1, CRASH_AFTER, 3; "long-running")]
 #[test_case(Step { gang: true, ..step(3, 1_000) }, 2, CRASH_AFTER, 3; "member of a gang")]
-#[test_case(Step { fills: true, ..step(2, 1_000) }, 0, CRASH_AFTER, 3; "filling")]
+#[test_case(Step { fills: true, ..step(2, 1_000) }, 0, CRASH_AFTER, 3; "best-effort")]
 #[test_case(step(1, 1_000), 0, 700, 3; "within a second")]
 #[test_case(Step { lasting: true, ..step(1, 1_000) }, 0, 4_000, 5; "late")]
 fn crash_limit_fails_job_of_crashing_task(step: Step, place: usize, after: u64, most: u32) {
@@ -364,7 +364,7 @@
     assert_eq!(started, 6_000);
     world.now += 500;
     for id in worker_names(0..LOST) {
-        world.cell.unheard(&id, world.now);
+        world.cell.poll_failed(&id, world.now);
     }
     world
 }
@@ -390,7 +390,7 @@
         world.report(&id, vec![], vec![]);
     }
     let before = world.cell.loss_lookups();
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     let lookups = lookups_per_worker(&world, before);
     assert!((1..=8).contains(&lookups), "{lookups}");
 }
@@ -402,7 +402,9 @@
     world.now += 2_000;
     let before = world.cell.loss_lookups();
     for id in worker_names(0..LOST) {
-        world.cell.end_life(&id, "another life answers", world.now);
+        world
+            .cell
+            .end_incarnation(&id, "another life answers", world.now);
     }
     let lookups = lookups_per_worker(&world, before);
     assert!((1..=8).contains(&lookups), "{lookups}");
@@ -418,9 +420,9 @@
     for pair in worker_names(0..LOST).chunks(2) {
         world
             .cell
-            .end_life(&pair[0], "another life answers", world.now);
+            .end_incarnation(&pair[0], "another life answers", world.now);
         world.report(&pair[1], vec![], vec![]);
-        world.cell.unheard(&pair[1], world.now);
+        world.cell.poll_failed(&pair[1], world.now);
     }
     let lookups = lookups_per_worker(&world, before);
     assert!((1..=8).contains(&lookups), "{lookups}");
--- a/components/cell/tests/decisions/drain.rs
+++ b/components/cell/tests/decisions/drain.rs
@@ -9,7 +9,7 @@
     let mut leaving = entry("w1", 4);
     leaving.leaving = true;
     leaving.remaining = Some(2_000);
-    world.cell.list(vec![leaving], world.now);
+    world.cell.handle_listing(vec![leaving], world.now);
 }
 
 fn place_and_report(world: &mut World, steps: Vec<job::Step>, count: u32) {
@@ -56,7 +56,7 @@
     while world.now < until {
         world.now += 700;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
-        world.cell.list(vec![entry("w2", 4)], world.now);
+        world.cell.handle_listing(vec![entry("w2", 4)], world.now);
         stops.extend(world.stops());
     }
     stops
@@ -82,7 +82,7 @@
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
         world
             .cell
-            .list(vec![entry("w1", 4), entry("w2", 4)], world.now);
+            .handle_listing(vec![entry("w1", 4), entry("w2", 4)], world.now);
     }
     let until = world.now + 700;
     assert_eq!(list_only_second(&mut world, until), [("w1".into(), 1)]);
--- a/components/cell/tests/decisions/fault_regressions.rs
+++ b/components/cell/tests/decisions/fault_regressions.rs
@@ -7,7 +7,7 @@
         net_sim::{Event, NetSim},
     },
     job::{Id, State, Step},
-    magpie_cell::{How, Outcome, Reason},
+    magpie_cell::{EndCause, Outcome, Refusal},
 };
 
 /// A step of long-running tasks.
@@ -27,8 +27,8 @@
 
 /// Guards against a job that fails after losing a single run. One worker crashes while three idle
 /// ones are partitioned. The suspected task is tried on these one after the other, and each expiry
-/// of their leases counted as a crash under a start that was never answered, on a worker not heard
-/// since that start; the third one failed the job.
+/// of their leases counted as a crash under a start that was never answered, on a worker without a
+/// report since that start; the third one failed the job.
 #[test]
 fn crash_beside_partition_fails_no_job() {
     let mut sim = NetSim::new(16, 1_000);
@@ -65,9 +65,9 @@
 #[test]
 fn answer_of_other_incarnation_is_no_crash() {
     let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], long_running(1, 1_000, 0));
-    let outcome = Outcome::Refused(Reason::OtherLife);
+    let outcome = Outcome::Refused(Refusal::OtherLife);
     world.answer(&worker, &start, outcome);
-    let change = world.cell.take_change(100);
+    let change = world.cell.take_write_batch(100);
     let records = change.records.iter();
     let crashed: Vec<_> = records.flat_map(|(_, record)| &record.crashed).collect();
     assert!(crashed.is_empty(), "{crashed:?}");
@@ -133,9 +133,9 @@
 #[test]
 fn unreachable_worker_gets_no_start() {
     let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
-    world.cell.poll(&worker, world.now);
-    world.cell.unheard(&worker, world.now);
-    world.cell.poll(&worker, world.now + 10);
+    world.cell.next_poll(&worker, world.now);
+    world.cell.poll_failed(&worker, world.now);
+    world.cell.next_poll(&worker, world.now + 10);
     world.now += 600;
     world.submit("00000000000000b2", vec![long_running(1, 1_000, 0)]);
     let starts = world.starts();
@@ -147,26 +147,26 @@
 #[test]
 fn unreachable_worker_without_leases_gets_no_start() {
     let mut world = World::new(&["w1", "w2"]);
-    world.cell.unheard("w1", world.now);
+    world.cell.poll_failed("w1", world.now);
     world.now += 5_500;
     world.report("w2", vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     world.submit(JOB, vec![long_running(1, 1_000, 0)]);
     let starts = world.starts();
     assert_eq!(&*starts[0].0, "w2");
 }
 
-/// The count of lost placements ignores jobs that have ended. Their tasks keep their placement
+/// The count of misplaced tasks ignores jobs that have ended. Their tasks keep their placement
 /// until the end is persisted, so that cancelling a long-running job in a store outage was logged
 /// as an error.
 #[test]
-fn lost_placements_ignore_ended_job() {
+fn misplaced_tasks_ignore_ended_job() {
     let (mut world, worker, start) = with_running_task(&["w1"], long_running(1, 1_000, 0));
     assert!(world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1));
     world.report(
         &worker,
         vec![],
-        vec![end(1, JOB, 0, start.run, How::Stopped)],
+        vec![end(1, JOB, 0, start.run, EndCause::Stopped)],
     );
-    assert_eq!(world.cell.lost_places(), 0);
+    assert_eq!(world.cell.misplaced_tasks(), 0);
 }
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -5,7 +5,7 @@
 use {
     crate::common::{JOB, World, end, entry, run, step},
     job::{Id, Step},
-    magpie_cell::{Entry, How, Key, Order, Outcome, Reason},
+    magpie_cell::{EndCause, Entry, Order, Outcome, Refusal, TaskKey},
     std::{collections::HashSet, sync::Arc},
     test_case::test_case,
 };
@@ -60,7 +60,7 @@
 #[test_case(&["elsewhere"], 16; "hall without workers")]
 fn closed_halls_get_nothing(closed: &[&str], starts: usize) {
     let mut world = world();
-    world.cell.shut(hall_set(closed));
+    world.cell.set_closed_halls(hall_set(closed));
     world.submit(JOB, vec![step(20, 1_000)]);
     let placed = place(&mut world);
     assert_eq!(placed.len(), starts);
@@ -75,10 +75,10 @@
         gang: true,
         ..step(3, 3_000)
     };
-    world.cell.shut(hall_set(&["h1"]));
+    world.cell.set_closed_halls(hall_set(&["h1"]));
     world.submit(JOB, vec![gang]);
     assert!(place(&mut world).is_empty());
-    world.cell.shut(hall_set(&[]));
+    world.cell.set_closed_halls(hall_set(&[]));
     assert_eq!(place(&mut world).len(), 3);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn overdue_task_does_not_start_in_closed_hall() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h1", "h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![long_running(1)]);
     for _ in 0..100 {
         world.now += 100;
@@ -97,7 +97,7 @@
         world.cell.rerank(world.now, world.now);
         assert!(place(&mut world).is_empty());
     }
-    world.cell.shut(hall_set(&["h1", "h2"]));
+    world.cell.set_closed_halls(hall_set(&["h1", "h2"]));
     assert_eq!(place(&mut world), ["w4".into()]);
 }
 
@@ -105,7 +105,9 @@
 #[test]
 fn new_worker_in_closed_hall_gets_nothing() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h1", "h2", "h3", "h4"]));
+    world
+        .cell
+        .set_closed_halls(hall_set(&["h1", "h2", "h3", "h4"]));
     world.list(vec![entry_in_hall("w5", "h4")]);
     world.report("w5", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
@@ -117,15 +119,15 @@
 #[test]
 fn run_in_closed_hall_continues() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h2", "h3"]));
     world.submit(JOB, vec![step(1, 1_000)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(hall_set(&["h1"]));
+    world.cell.set_closed_halls(hall_set(&["h1"]));
     assert!(world.cell.take_orders().is_empty());
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
     assert!(world.cell.take_orders().is_empty());
-    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Done)]);
+    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, EndCause::Done)]);
     world.persist();
     assert_eq!(crate::common::state(&world), Some(job::State::Completed));
 }
@@ -134,7 +136,7 @@
 #[test]
 fn run_in_closed_hall_is_adopted() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h1"]));
+    world.cell.set_closed_halls(hall_set(&["h1"]));
     world.resume(JOB, vec![step(1, 1_000)]);
     world.report("w1", vec![run(JOB, 0, 2)], vec![]);
     assert!(place(&mut world).is_empty());
@@ -145,12 +147,12 @@
 #[test]
 fn ended_long_running_task_restarts_elsewhere() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h2", "h3"]));
     world.submit(JOB, vec![long_running(1)]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(hall_set(&["h1"]));
-    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
+    world.cell.set_closed_halls(hall_set(&["h1"]));
+    world.report(&worker, vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.persist();
     let placed = place(&mut world);
     assert!(placed.len() == 1 && hall_of(&placed[0]) != "h1");
@@ -161,15 +163,15 @@
 #[test]
 fn pending_start_is_withdrawn() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h2", "h3"]));
     world.submit(JOB, vec![long_running(2)]);
     let starts = world.starts();
     let (worker, confirmed) = starts[0].clone();
     world.answer(&worker, &confirmed, Outcome::Done);
-    world.cell.shut(hall_set(&["h1"]));
+    world.cell.set_closed_halls(hall_set(&["h1"]));
     let (other, waiting) = starts[1].clone();
     let withdrawal = Order::Withdraw {
-        key: Key {
+        key: TaskKey {
             job: Id::new(JOB).unwrap(),
             place: waiting.key.place,
         },
@@ -181,9 +183,9 @@
     );
     let told = world
         .cell
-        .answered(&other, &withdrawal, Outcome::Done, world.now);
+        .handle_outcome(&other, &withdrawal, Outcome::Done, world.now);
     assert!(!told);
-    world.answer(&other, &waiting, Outcome::Refused(Reason::NotSent));
+    world.answer(&other, &waiting, Outcome::Refused(Refusal::NotSent));
     let placed = place(&mut world);
     assert!(placed.len() == 1 && hall_of(&placed[0]) != "h1");
 }
@@ -192,13 +194,13 @@
 #[test]
 fn reopened_hall_gets_work_at_once() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h1", "h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h1", "h2", "h3"]));
     world.submit(JOB, vec![step(2, 1_000)]);
     assert!(place(&mut world).is_empty());
     world.now += 4;
     assert!(place(&mut world).is_empty());
     world.now += 4;
-    world.cell.shut(hall_set(&["h1", "h2"]));
+    world.cell.set_closed_halls(hall_set(&["h1", "h2"]));
     assert_eq!(place(&mut world).len(), 2);
 }
 
@@ -206,7 +208,7 @@
 #[test]
 fn drain_avoids_closed_hall() {
     let mut world = world();
-    world.cell.shut(hall_set(&["h2", "h3"]));
+    world.cell.set_closed_halls(hall_set(&["h2", "h3"]));
     let checkpointed = Step {
         checkpoints: true,
         ..step(1, 4_000)
@@ -214,15 +216,15 @@
     world.submit(JOB, vec![checkpointed]);
     let (worker, start) = world.starts()[0].clone();
     world.answer(&worker, &start, Outcome::Done);
-    world.cell.shut(hall_set(&["h1", "h2"]));
+    world.cell.set_closed_halls(hall_set(&["h1", "h2"]));
     let leaving = Entry {
         leaving: true,
         remaining: Some(2_000),
         ..entry_in_hall(&worker, "h1")
     };
-    world.cell.list(vec![leaving], world.now);
+    world.cell.handle_listing(vec![leaving], world.now);
     assert_eq!(world.stops().len(), 1);
-    let stopped = end(1, JOB, 0, 1, How::Stopped);
+    let stopped = end(1, JOB, 0, 1, EndCause::Stopped);
     world.report(&worker, vec![], vec![stopped]);
     let entries = WORKERS.iter().filter(|(id, _)| *id != &*worker);
     world.list(entries.map(|(id, hall)| entry_in_hall(id, hall)).collect());
@@ -245,7 +247,7 @@
                     .into_iter()
                     .filter(|_| random.bool())
                     .collect();
-                world.cell.shut(hall_set(&closed));
+                world.cell.set_closed_halls(hall_set(&closed));
             }
             let id = format!("{round:016x}");
             let step = Step {
@@ -262,13 +264,13 @@
                     "seed {seed}, round {round}"
                 );
                 let outcome = *random
-                    .choose_multiple([Outcome::Done, Outcome::Refused(Reason::Room)].iter(), 1)[0];
+                    .choose_multiple([Outcome::Done, Outcome::Refused(Refusal::Room)].iter(), 1)[0];
                 world.answer(&worker, &start, outcome);
                 if outcome == Outcome::Done && random.bool() {
                     numbers += 1;
-                    let ended = magpie_cell::End {
+                    let ended = magpie_cell::RunEnd {
                         address: start.address,
-                        ..end(numbers, &id, 0, start.run, How::Done)
+                        ..end(numbers, &id, 0, start.run, EndCause::Done)
                     };
                     world.report(&worker, vec![], vec![ended]);
                 }
--- a/components/cell/tests/decisions/incarnations.rs
+++ b/components/cell/tests/decisions/incarnations.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::common::{JOB, World, entry, run, step, with_ordered_start, with_running_task},
-    magpie_cell::{Cell, Entry, Listing, Order, Outcome, Reason, Report},
+    magpie_cell::{Cell, Entry, Listing, Order, Outcome, Refusal, Report},
     std::sync::Arc,
     test_case::test_case,
 };
@@ -29,7 +29,7 @@
 /// The worker's address answers an order as another incarnation.
 fn answer_as_other(cell: &mut Cell, worker: &str, now: u64) {
     let order = Order::Stop {
-        key: magpie_cell::Key {
+        key: magpie_cell::TaskKey {
             job: job::Id::new(JOB).unwrap(),
             place: 0,
         },
@@ -40,15 +40,15 @@
         },
         run: 1,
     };
-    let outcome = Outcome::Refused(Reason::OtherLife);
-    assert!(!cell.answered(&worker.into(), &order, outcome, now));
+    let outcome = Outcome::Refused(Refusal::OtherLife);
+    assert!(!cell.handle_outcome(&worker.into(), &order, outcome, now));
 }
 
 /// Guards against restarts of running tasks. Each listing re-added the crashed incarnation and
 /// removed the live one, whose tasks were started elsewhere while they ran.
 #[test_case("w1", "w2"; "previous listed first")]
 #[test_case("w2", "w1"; "previous listed last")]
-fn list_keeps_incarnation_beside_predecessor(previous: &str, new: &str) {
+fn listing_keeps_incarnation_beside_predecessor(previous: &str, new: &str) {
     let mut world = World::new(&[previous]);
     world.list(listing_of_both(previous, new));
     answer_as_other(&mut world.cell, previous, world.now);
@@ -60,7 +60,9 @@
     world.report("w9", vec![], vec![]);
     for _ in 0..4 {
         world.now += LIST_INTERVAL;
-        world.cell.list(listing_of_both(previous, new), world.now);
+        world
+            .cell
+            .handle_listing(listing_of_both(previous, new), world.now);
         answer_as_other(&mut world.cell, previous, world.now);
         assert!(world.starts().is_empty());
     }
@@ -68,17 +70,27 @@
 
 /// An incarnation that is proven over is not added again, however long it stays listed.
 #[test]
-fn list_ignores_ended_incarnation() {
+fn listing_ignores_ended_incarnation() {
     let mut world = World::new(&["w1"]);
     answer_as_other(&mut world.cell, "w1", world.now);
-    assert!(world.cell.list(vec![entry("w1", 4)], world.now).is_empty());
-    assert!(world.cell.list(Listing::default(), world.now).is_empty());
+    assert!(
+        world
+            .cell
+            .handle_listing(vec![entry("w1", 4)], world.now)
+            .is_empty()
+    );
+    assert!(
+        world
+            .cell
+            .handle_listing(Listing::default(), world.now)
+            .is_empty()
+    );
 }
 
 /// A listing is no proof: runs of a worker that has not answered are not restarted because another
 /// worker is listed at its address.
 #[test]
-fn list_frees_nothing_without_proof() {
+fn listing_frees_nothing_without_proof() {
     let (mut world, worker, start) = with_ordered_start(&["w1"], step(1, 1_000));
     world.answer(&worker, &start, Outcome::Done);
     world.list(listing_of_both("w1", "w2"));
@@ -114,13 +126,15 @@
 #[test]
 fn late_report_keeps_incarnation_that_answered_since() {
     let mut world = World::without_reports(&["w1"]);
-    world.cell.list(listing_of_both("w1", "w2"), world.now);
+    world
+        .cell
+        .handle_listing(listing_of_both("w1", "w2"), world.now);
     let sent = world.now;
     world.now += 1_000;
     world.report("w2", vec![], vec![]);
-    assert!(world.cell.knows("w1"));
+    assert!(world.cell.has_worker("w1"));
     report_sent(&mut world, "w1", sent);
-    assert!(world.cell.knows("w2"));
+    assert!(world.cell.has_worker("w2"));
 }
 
 /// Such a report does not end an incarnation that has not answered yet either, since that may be
@@ -130,73 +144,85 @@
     let mut world = World::without_reports(&["w1"]);
     let sent = world.now;
     world.now += 1_000;
-    world.cell.list(listing_of_both("w1", "w2"), world.now);
+    world
+        .cell
+        .handle_listing(listing_of_both("w1", "w2"), world.now);
     report_sent(&mut world, "w1", sent);
-    assert!(world.cell.knows("w2"));
+    assert!(world.cell.has_worker("w2"));
 }
 
 /// Within one millisecond the order of two answers is unknown.
 #[test]
 fn simultaneous_report_ends_nothing() {
     let mut world = World::new(&["w1"]);
-    world.cell.list(listing_of_both("w1", "w2"), world.now);
+    world
+        .cell
+        .handle_listing(listing_of_both("w1", "w2"), world.now);
     world.report("w2", vec![], vec![]);
-    assert!(world.cell.knows("w1"));
+    assert!(world.cell.has_worker("w1"));
 }
 
 #[test]
 fn report_ends_predecessor_of_inherited_worker() {
     let mut world = World::new(&["w1"]);
-    world.cell.inherit(vec![entry_at("w2", "w1")]);
+    world.cell.restore_workers(vec![entry_at("w2", "w1")]);
     world.now += 1;
     world.report("w2", vec![], vec![]);
-    assert!(!world.cell.knows("w1"));
+    assert!(!world.cell.has_worker("w1"));
 }
 
 /// Removed workers are reported once, so that their connections are closed.
 #[test]
 fn removed_workers_are_returned_once() {
     let mut world = World::new(&["w1"]);
-    world.cell.list(listing_of_both("w1", "w2"), world.now);
+    world
+        .cell
+        .handle_listing(listing_of_both("w1", "w2"), world.now);
     world.now += 1;
     world.report("w2", vec![], vec![]);
-    assert_eq!(world.cell.take_gone(), ["w1".into()]);
-    assert!(world.cell.take_gone().is_empty());
+    assert_eq!(world.cell.take_removed(), ["w1".into()]);
+    assert!(world.cell.take_removed().is_empty());
 }
 
 /// The proof that an incarnation is over is kept only while it is listed.
 #[test]
-fn list_forgets_unlisted_ended_incarnation() {
+fn unlisted_ended_incarnation_is_forgotten() {
     let mut world = World::new(&["w1"]);
     answer_as_other(&mut world.cell, "w1", world.now);
-    world.cell.list(Listing::default(), world.now);
-    assert_eq!(world.cell.list(vec![entry("w1", 4)], world.now).len(), 1);
+    world.cell.handle_listing(Listing::default(), world.now);
+    assert_eq!(
+        world
+            .cell
+            .handle_listing(vec![entry("w1", 4)], world.now)
+            .len(),
+        1
+    );
 }
 
 /// The persisted fleet may contain an incarnation whose entry expired during a store outage, while
 /// the listing has its predecessor at the same address: a takeover waits for both.
 #[test]
-fn inherit_keeps_incarnation_at_listed_address() {
+fn restored_incarnation_at_listed_address_is_kept() {
     let mut world = World::without_reports(&["w1", "w9"]);
     world.resume(JOB, vec![step(1, 1_000)]);
     let added = world
         .cell
-        .inherit(vec![entry_at("w2", "w1"), entry("w9", 4)]);
+        .restore_workers(vec![entry_at("w2", "w1"), entry("w9", 4)]);
     assert_eq!(added.len(), 1);
     world.cell.recover(world.now);
     answer_as_other(&mut world.cell, "w1", world.now);
     world.report("w9", vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert!(world.starts().is_empty());
     world.report("w2", vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
 /// A known worker whose entry is unreadable gets no work; its runs continue and are neither moved
 /// nor restarted.
 #[test]
-fn list_keeps_worker_with_unreadable_entry() {
+fn listing_keeps_worker_with_unreadable_entry() {
     let (mut world, worker, _) = with_running_task(&["w1"], step(1, 1_000));
     let garbled = || Listing {
         entries: vec![],
@@ -206,11 +232,11 @@
     for _ in 0..10 {
         world.now += LIST_INTERVAL;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
-        assert!(world.cell.list(garbled(), world.now).is_empty());
-        world.cell.lapse(world.now);
+        assert!(world.cell.handle_listing(garbled(), world.now).is_empty());
+        world.cell.expire_leases(world.now);
         assert!(world.starts().is_empty());
     }
-    assert!(world.cell.knows(&worker));
+    assert!(world.cell.has_worker(&worker));
     world.list(vec![entry("w1", 4)]);
     assert_eq!(world.starts().len(), 1);
 }
--- a/components/cell/tests/decisions/long_running_capacity.rs
+++ b/components/cell/tests/decisions/long_running_capacity.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, end, run, step, with_ordered_start},
     job::{Id, Step},
-    magpie_cell::{End, How, Outcome, Reason},
+    magpie_cell::{EndCause, Outcome, Refusal, RunEnd},
 };
 
 /// The job whose tasks fail.
@@ -16,7 +16,7 @@
     }
 }
 
-fn failing_end(index: u32, how: How) -> End {
+fn failing_end(index: u32, how: EndCause) -> RunEnd {
     let mut end = end(1 + u64::from(index), OTHER, 0, 1, how);
     end.address.index = index;
     end
@@ -32,7 +32,7 @@
     for (worker, start) in &starts {
         world.answer(worker, start, Outcome::Done);
     }
-    let failed = [0, 1].map(|index| failing_end(index, How::Failed));
+    let failed = [0, 1].map(|index| failing_end(index, EndCause::Failed));
     world.report("w1", vec![run(OTHER, 2, 1)], failed.to_vec());
     world.cell.cancel(&Id::new(OTHER).unwrap(), world.now, 1);
     world
@@ -47,7 +47,7 @@
     world.submit(JOB, vec![long_running(1, 3_000)]);
     world.cell.rerank(1_000, world.now);
     world.now += 100;
-    let done = failing_end(2, How::Done);
+    let done = failing_end(2, EndCause::Done);
     world.report("w1", vec![], vec![done]);
     world.now += 2_000;
     world.cell.rerank(3_100, world.now);
@@ -94,20 +94,20 @@
     let (mut world, worker, start) = with_ordered_start(&["w1"], step(1, 1_000));
     world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1);
     world.now += 50;
-    world.answer(&worker, &start, Outcome::Refused(Reason::NotSent));
+    world.answer(&worker, &start, Outcome::Refused(Refusal::NotSent));
     world.submit(OTHER, vec![long_running(1, 3_000)]);
     assert_eq!(world.starts().len(), 1, "no start with 4 free cores");
 }
 
-/// The stopped run of a cancelled job must not be logged as a lost placement, which indicates a
-/// bug. The job was cancelled 0.3 s before the end of its run was reported.
+/// The stopped run of a cancelled job must not count as a misplaced task, which indicates a bug.
+/// The job was cancelled 0.3 s before the end of its run was reported.
 #[test]
-fn cancelled_task_is_no_lost_placement() {
+fn cancelled_task_is_not_misplaced() {
     let (mut world, worker, start) = with_ordered_start(&["w1"], long_running(1, 1_000));
     world.answer(&worker, &start, Outcome::Done);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1);
     world.now += 300;
-    world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Stopped)]);
-    assert_eq!(world.cell.lost_places(), 0);
+    world.report("w1", vec![], vec![end(1, JOB, 0, 1, EndCause::Stopped)]);
+    assert_eq!(world.cell.misplaced_tasks(), 0);
 }
--- a/components/cell/tests/decisions/main.rs
+++ b/components/cell/tests/decisions/main.rs
@@ -2,17 +2,16 @@
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
+mod advice;
 mod best_effort;
 mod capacity;
 mod common;
 mod crashes;
 mod drain;
 mod ends;
-mod external_placement;
 mod fault_regressions;
 mod halls;
 mod incarnations;
-mod logging;
 mod long_running_capacity;
 mod maintenance;
 mod net_sim;
@@ -20,6 +19,7 @@
 mod random_faults;
 mod restart_times;
 mod reused_names;
+mod run_log;
 mod sim;
 mod starts;
 mod stuck_state;
--- a/components/cell/tests/decisions/net_sim.rs
+++ b/components/cell/tests/decisions/net_sim.rs
@@ -22,7 +22,7 @@
     },
     crate::common::{TIMING, submission},
     job::{Id, Record, State, Step, Submission},
-    magpie_cell::{Cell, Entry, Order, Outcome, Reason},
+    magpie_cell::{Cell, Entry, Order, Outcome, Refusal},
     std::{
         collections::{BTreeMap, HashMap, HashSet},
         hash::Hash,
@@ -43,7 +43,7 @@
 const START_TIME: u64 = 1_700_000_000_000;
 
 /// A task: its job and its place.
-pub type TaskKey = (Id, usize);
+pub type TaskId = (Id, usize);
 
 /// The id of a job by its number.
 pub fn id(number: u64) -> Id {
@@ -69,7 +69,7 @@
     /// Orders to machines get no answer for a time; they arrive with this delay, or never.
     DropAnswers(Range<usize>, u64, Option<u64>),
     /// Machines refuse starts for a time.
-    RefuseStarts(Range<usize>, u64, Reason),
+    RefuseStarts(Range<usize>, u64, Refusal),
     /// All runs that start on machines fail, for a time.
     FailRuns(Range<usize>, u64),
     /// The entries of machines are missing for a time.
@@ -87,21 +87,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
     /// A task runs twice.
-    DuplicateRun(u64, TaskKey),
+    DuplicateRun(u64, TaskId),
     /// A task is started after a success that was recorded.
-    RestartAfterSuccess(u64, TaskKey),
+    RestartAfterSuccess(u64, TaskId),
     /// The cell reports another owner although there is none.
     FalseOwnerChange(u64),
     /// A batch job does not progress beside free capacity.
     StuckJob(Id),
     /// A long-running job failed.
     JobFailed(u64, Id),
-    /// This many placements were lost.
-    LostPlacements(u64, usize),
+    /// This many tasks were misplaced.
+    MisplacedTasks(u64, usize),
     /// A trial has lasted for this long.
     LongTrial(u64),
     /// A long-running task waits beside free capacity.
-    StarvedTask(TaskKey),
+    StarvedTask(TaskId),
 }
 
 impl Violation {
@@ -135,13 +135,13 @@
     connected: HashSet<Arc<str>>,
     delayed: Vec<DelayedPoll>,
     /// Tasks whose success was recorded.
-    recorded: HashSet<TaskKey>,
+    recorded: HashSet<TaskId>,
     /// Workers restart under the same names.
     reuses_names: bool,
     next_polls: HashMap<Arc<str>, u64>,
     sent: Vec<OrderInTransit>,
     answers: Vec<(u64, Arc<str>, Order, Outcome)>,
-    crashing: HashMap<TaskKey, u64>,
+    crashing: HashMap<TaskId, u64>,
     incarnations: u32,
     task_ms: u64,
 }
@@ -187,7 +187,7 @@
         for machine in &mut sim.machines {
             machine.born = Some(START_TIME + 1_000);
             machine.start_times.extend(machine.born);
-            machine.id = Entry::life(&machine.name, machine.born);
+            machine.id = Entry::incarnation_id(&machine.name, machine.born);
         }
         sim.list();
         sim
@@ -312,16 +312,16 @@
         }
         self.poll();
         for (id, order, outcome) in self.answers_due() {
-            if self.cell.answered(&id, &order, outcome, now) {
+            if self.cell.handle_outcome(&id, &order, outcome, now) {
                 self.violation = Some(Violation::FalseOwnerChange(now));
             }
         }
         if now.is_multiple_of(PASS_INTERVAL) {
             self.cell.rerank(now, now);
-            self.cell.lapse(now);
+            self.cell.expire_leases(now);
         }
-        if self.cell.is_intake_due() {
-            self.cell.intake_read();
+        if self.cell.is_reread_due() {
+            self.cell.jobs_reread();
         }
         self.cell.place(now);
         for (id, order) in self.cell.take_orders() {
@@ -340,11 +340,11 @@
         self.sent.retain(|sent| !sent.is_answered);
         self.cell = Cell::new(TIMING);
         self.list();
-        self.cell.inherit(self.fleet.clone());
+        self.cell.restore_workers(self.fleet.clone());
         for job in &self.jobs {
             let record = self.persisted.get(&job.id).cloned().unwrap_or_default();
             if record.state.is_final() {
-                self.cell.close(job.id.clone(), &record);
+                self.cell.add_ended(job.id.clone(), &record);
             } else {
                 self.cell.resume(job.clone(), &record, self.now);
             }
@@ -368,7 +368,7 @@
                 entries.push(entry.clone());
             }
         }
-        self.cell.list(entries, now);
+        self.cell.handle_listing(entries, now);
     }
 
     /// The fence that an incarnation is shown.
@@ -380,8 +380,8 @@
         if self.now < self.writes_resume {
             return;
         }
-        let change = self.cell.take_change(100);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(100);
+        self.cell.batch_written(&change);
         self.persisted.extend(change.records);
         if let Some(fleet) = change.fleet {
             self.fleet = fleet;
@@ -435,7 +435,7 @@
                     born += 1;
                 }
                 machine.born = Some(born);
-                machine.id = Entry::life(&machine.name, machine.born);
+                machine.id = Entry::incarnation_id(&machine.name, machine.born);
                 machine.entry_hidden_until = self.now + machine.downtime.1;
             } else {
                 machine.id = format!("w{:04}", self.incarnations).into();
@@ -468,9 +468,9 @@
         if !self.now.is_multiple_of(PASS_INTERVAL) {
             return;
         }
-        let lost = self.cell.lost_places();
+        let lost = self.cell.misplaced_tasks();
         if lost > 0 {
-            self.violation = Some(Violation::LostPlacements(self.now, lost));
+            self.violation = Some(Violation::MisplacedTasks(self.now, lost));
         }
         let long_running = self.jobs.iter().filter(|job| job.spec.is_lasting());
         for Submission { id, .. } in long_running {
@@ -524,7 +524,7 @@
     }
 
     /// Long-running tasks that do not run although two workers have capacity for them.
-    pub fn waiting_tasks(&self) -> HashSet<TaskKey> {
+    pub fn waiting_tasks(&self) -> HashSet<TaskId> {
         let mut waiting_tasks = HashSet::new();
         for Submission { id, spec, .. } in &self.jobs {
             let is_over = self.cell.state(id).is_some_and(State::is_final);
@@ -548,7 +548,7 @@
 
     /// Long-running tasks that wait beside free capacity throughout the given time, in
     /// milliseconds.
-    pub fn starved_tasks(&mut self, time: u64) -> HashSet<TaskKey> {
+    pub fn starved_tasks(&mut self, time: u64) -> HashSet<TaskId> {
         self.persisting(time, NetSim::waiting_tasks)
     }
 }
--- a/components/cell/tests/decisions/net_sim/machine.rs
+++ b/components/cell/tests/decisions/net_sim/machine.rs
@@ -2,10 +2,10 @@
 //! protocol.
 
 use {
-    super::TaskKey,
+    super::TaskId,
     crate::common::{TIMING, build_report, entry, task_end},
     job::{Address, Id, Step},
-    magpie_cell::{End, Entry, How, Outcome, Poll, Reason, Report, Start},
+    magpie_cell::{EndCause, Entry, Outcome, Poll, Refusal, Report, RunEnd, Start},
     std::{
         collections::{BTreeMap, HashMap, HashSet},
         sync::Arc,
@@ -63,11 +63,11 @@
     pub hidden_until: u64,
     pub failing_until: u64,
     pub answers_dropped: (u64, Option<u64>),
-    pub refusing: (u64, Reason),
+    pub refusing: (u64, Refusal),
     pub runs: BTreeMap<(Id, Address), ActiveRun>,
     /// The highest run of each task that was stopped or ended.
     pub max_ended_run: HashMap<(Id, Address), u64>,
-    pub ended: Vec<End>,
+    pub ended: Vec<RunEnd>,
     /// End time of each unacknowledged end.
     pub ended_at: HashMap<u64, u64>,
     pub end_count: u64,
@@ -101,7 +101,7 @@
             hidden_until: 0,
             failing_until: 0,
             answers_dropped: (0, None),
-            refusing: (0, Reason::Room),
+            refusing: (0, Refusal::Room),
             runs: BTreeMap::new(),
             max_ended_run: HashMap::new(),
             ended: Vec::new(),
@@ -113,7 +113,7 @@
     pub fn entry(&self) -> Entry {
         Entry {
             id: self.id.clone(),
-            born: self.born,
+            started: self.born,
             address: self.address.clone(),
             leaving: self.is_leaving,
             labels: vec!["a".into(), format!("r{}", self.rack).into()],
@@ -123,12 +123,12 @@
 
     /// Processes a poll: drops acknowledged ends and extends the lease. Returns the tasks whose
     /// success is recorded thereby.
-    pub fn accept_poll(&mut self, poll: Poll, now: u64) -> Vec<TaskKey> {
+    pub fn accept_poll(&mut self, poll: Poll, now: u64) -> Vec<TaskId> {
         let acknowledged = self.ended.extract_if(.., |end| end.number <= poll.seen);
         let mut recorded = Vec::new();
         for end in acknowledged {
             let at = self.ended_at.remove(&end.number).unwrap_or_default();
-            if end.how == How::Done && at > self.lease_expired_at {
+            if end.how == EndCause::Done && at > self.lease_expired_at {
                 recorded.push((end.job, end.address.index as usize));
             }
         }
@@ -167,7 +167,7 @@
             return if active.run == start.run {
                 Outcome::Done
             } else {
-                Outcome::Refused(Reason::Old)
+                Outcome::Refused(Refusal::Old)
             };
         }
         if self
@@ -175,13 +175,13 @@
             .get(&task)
             .is_some_and(|&max| start.run <= max)
         {
-            return Outcome::Refused(Reason::Old);
+            return Outcome::Refused(Refusal::Old);
         }
         if start.deadline < self.clock(now) {
-            return Outcome::Refused(Reason::Late);
+            return Outcome::Refused(Refusal::Late);
         }
         if self.used_cpu() + step.size.cpu > CAPACITY {
-            return Outcome::Refused(Reason::Room);
+            return Outcome::Refused(Refusal::Room);
         }
         let most = self.clock(now) + TIMING.lease;
         self.lease = self.lease.max(start.deadline.min(most));
@@ -204,13 +204,13 @@
     pub fn stop(&mut self, job: &Id, address: Address, run: u64) {
         let task = (job.clone(), address);
         if self.runs.get(&task).is_some_and(|active| active.run == run) {
-            self.end(task.clone(), run, How::Stopped);
+            self.end(task.clone(), run, EndCause::Stopped);
         }
         let max_ended = self.max_ended_run.entry(task).or_default();
         *max_ended = run.max(*max_ended);
     }
 
-    pub fn end(&mut self, task: (Id, Address), run: u64, how: How) {
+    pub fn end(&mut self, task: (Id, Address), run: u64, how: EndCause) {
         self.runs.remove(&task);
         let max_ended = self.max_ended_run.entry(task.clone()).or_default();
         *max_ended = run.max(*max_ended);
@@ -227,9 +227,9 @@
             .collect();
         for (task, active) in due {
             let how = match (active.until <= now, active.fails) {
-                (false, _) => How::Lapsed,
-                (true, true) => How::Failed,
-                (true, false) => How::Done,
+                (false, _) => EndCause::Lapsed,
+                (true, true) => EndCause::Failed,
+                (true, false) => EndCause::Done,
             };
             self.end(task, active.run, how);
             self.ended_at.insert(self.end_count, now);
--- a/components/cell/tests/decisions/net_sim/network.rs
+++ b/components/cell/tests/decisions/net_sim/network.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{NetSim, Violation},
-    magpie_cell::{Entry, Order, Outcome, Poll, Reason, Report},
+    magpie_cell::{Entry, Order, Outcome, Poll, Refusal, Report},
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -66,14 +66,14 @@
 
     fn may_poll(&self, id: &Arc<str>) -> bool {
         let next = self.next_polls.get(id).copied().unwrap_or_default();
-        let is_written = !self.cell.is_unwritten(id) || self.now >= next + UNWRITTEN_PAUSE;
+        let is_written = !self.cell.has_unwritten_ends(id) || self.now >= next + UNWRITTEN_PAUSE;
         self.now >= next && is_written
     }
 
     /// Sends a poll.
     fn send_poll(&mut self, entry: &Entry) {
         let (now, fence) = (self.now, self.fence_of(entry.generation));
-        let Some(mut poll) = self.cell.poll(&entry.id, now) else {
+        let Some(mut poll) = self.cell.next_poll(&entry.id, now) else {
             return;
         };
         let is_bound = !self.reuses_names || self.connected.contains(&entry.id);
@@ -94,7 +94,7 @@
         if !is_partitioned && machine.id != entry.id {
             if machine.name != entry.name {
                 let cause = "another life answers";
-                self.cell.end_life(&entry.id, cause, now);
+                self.cell.end_incarnation(&entry.id, cause, now);
                 return;
             }
             if fence < machine.fence {
@@ -104,7 +104,7 @@
             // A poll that is not binding, but shows its fence.
             machine.fence = fence;
             let born = machine.born.unwrap();
-            self.cell.follow(&entry.id, born, now, now);
+            self.cell.handle_successor(&entry.id, born, now, now);
             if self.cell.is_polled(&entry.id) {
                 self.fail_poll(&entry.id);
             }
@@ -140,7 +140,7 @@
 
     /// A worker has seen a higher fence: that of a later incarnation or of another owner.
     fn refuse_poll(&mut self, entry: &Entry) {
-        if !self.cell.is_past(&entry.id) {
+        if !self.cell.is_superseded(&entry.id) {
             self.violation = Some(Violation::FalseOwnerChange(self.now));
         }
         self.fail_poll(&entry.id);
@@ -150,7 +150,7 @@
         self.polls.remove(id);
         self.connected.remove(id);
         self.next_polls.insert(id.clone(), self.now + POLL_RETRY);
-        self.cell.unheard(id, self.now);
+        self.cell.poll_failed(id, self.now);
     }
 
     /// Receives the answer to a poll, if there is one.
@@ -275,25 +275,25 @@
         let now = self.now;
         let mut machines = self.machines.iter_mut();
         let Some(machine) = machines.find(|machine| machine.name == sent.name) else {
-            return Outcome::Refused(Reason::OtherLife);
+            return Outcome::Refused(Refusal::OtherLife);
         };
         let is_other_incarnation = machine.id != sent.id;
         if is_other_incarnation && !self.reuses_names {
-            return Outcome::Refused(Reason::OtherLife);
+            return Outcome::Refused(Refusal::OtherLife);
         }
         // A message on a connection reaches the incarnation it is meant for or none. One that had
         // already arrived and is executed late reaches the current incarnation.
         if machine.returns_at.is_some() || (is_other_incarnation && sent.is_answered) {
-            return Outcome::Refused(Reason::NotSent);
+            return Outcome::Refused(Refusal::NotSent);
         }
         if is_other_incarnation && sent.expires < now && !machine.has_bound_poll {
-            return Outcome::Refused(Reason::Late);
+            return Outcome::Refused(Refusal::Late);
         }
         if now < machine.partitioned_until {
             return Outcome::Unknown;
         }
         if sent.fence < machine.fence {
-            return Outcome::Refused(Reason::Fence);
+            return Outcome::Refused(Refusal::Fence);
         }
         machine.fence = sent.fence;
         match &sent.order {
--- a/components/cell/tests/decisions/random_faults.rs
+++ b/components/cell/tests/decisions/random_faults.rs
@@ -11,7 +11,7 @@
     },
     fastrand::Rng,
     job::Step,
-    magpie_cell::Reason,
+    magpie_cell::Refusal,
     std::{collections::BTreeSet, ops::Range},
     test_case::test_case,
 };
@@ -447,7 +447,7 @@
         9 => Event::DropAnswers(range, time / 2, Some(rng.u64(10..=500) * 10)),
         10 => Event::DropAnswers(range, time / 2, None),
         11 => {
-            let reasons = [Reason::Room, Reason::Unwell, Reason::NotSent];
+            let reasons = [Refusal::Room, Refusal::Unwell, Refusal::NotSent];
             Event::RefuseStarts(range, time, reasons[rng.usize(0..3)])
         }
         12 => match rng.bool() {
@@ -464,7 +464,7 @@
 }
 
 /// After 12 s without events each long-running task runs or has no capacity. No task runs twice, no
-/// long-running job fails, no placement is lost, and no trial takes too long.
+/// long-running job fails, no task is misplaced, and no trial takes too long.
 #[test]
 fn long_running_tasks_recover() {
     run_cases(Case::random);
--- a/components/cell/tests/decisions/restart_times.rs
+++ b/components/cell/tests/decisions/restart_times.rs
@@ -306,7 +306,7 @@
     }
     assert!(sim.cell.summary(sim.now).waiting > 0);
     sim.advance(200);
-    assert_eq!(sim.cell.tell_waits(sim.now, sim.now), 0);
+    assert_eq!(sim.cell.log_overdue(sim.now, sim.now), 0);
 }
 
 /// Short suspects of a job restart together: a run that succeeds within its first second counts as
--- a/components/cell/tests/decisions/reused_names.rs
+++ b/components/cell/tests/decisions/reused_names.rs
@@ -3,7 +3,8 @@
 use {
     crate::common::{JOB, World, end, entry, run, step, submission},
     magpie_cell::{
-        Cell, End, Entry, How, Listing, Machine, Order, Outcome, Reason, Report, Start, Wave,
+        Cell, EndCause, Entry, Listing, Machine, Order, Outcome, Refusal, Report, RunEnd, Start,
+        Wave,
     },
     std::{slice::from_ref, sync::Arc},
     test_case::test_case,
@@ -16,14 +17,14 @@
 /// The entry of a worker of 4 cores whose incarnation started at `born`.
 fn incarnation(name: &str, born: u64) -> Entry {
     Entry {
-        id: Entry::life(name, Some(born)),
-        born: Some(born),
+        id: Entry::incarnation_id(name, Some(born)),
+        started: Some(born),
         ..entry(name, 4)
     }
 }
 
 fn id(name: &str, born: u64) -> Arc<str> {
-    Entry::life(name, Some(born))
+    Entry::incarnation_id(name, Some(born))
 }
 
 /// Creates a world in which `w1` and `w2` are listed and have reported.
@@ -59,7 +60,7 @@
 /// Lets the second incarnation answer a poll of the first.
 fn answer_as_next(world: &mut World, worker: &Arc<str>) -> Entry {
     let now = world.now + 1;
-    let added = world.cell.follow(worker, SECOND_START, now, now);
+    let added = world.cell.handle_successor(worker, SECOND_START, now, now);
     assert!(!world.cell.is_polled(worker));
     added.unwrap()
 }
@@ -73,7 +74,7 @@
     sent: u64,
 ) -> (Option<Arc<str>>, bool) {
     let now = world.now.max(sent);
-    let later = world.cell.follow(asked, born, sent, now);
+    let later = world.cell.handle_successor(asked, born, sent, now);
     (later.map(|own| own.id), world.cell.is_polled(asked))
 }
 
@@ -91,7 +92,7 @@
     assert!(world.starts().is_empty());
     world.now += 10;
     world.report(&next, vec![], vec![]);
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     let starts = world.starts();
     assert_eq!(starts.len(), 1);
     assert!(
@@ -110,7 +111,11 @@
     world.report(&next, vec![run(JOB, 0, start.run)], vec![]);
     assert!(world.starts().is_empty());
     world.now += 1_000;
-    world.report(&next, vec![], vec![end(1, JOB, 0, start.run, How::Done)]);
+    world.report(
+        &next,
+        vec![],
+        vec![end(1, JOB, 0, start.run, EndCause::Done)],
+    );
     world.persist();
     assert_eq!(crate::common::state(&world), Some(job::State::Completed));
 }
@@ -121,8 +126,8 @@
 fn ends_of_successor_count_from_one() {
     let mut world = world();
     let worker = id("w1", FIRST_START);
-    let previous: Vec<End> = (1..=9)
-        .map(|number| end(number, "00000000000000ff", 0, 1, How::Done))
+    let previous: Vec<RunEnd> = (1..=9)
+        .map(|number| end(number, "00000000000000ff", 0, 1, EndCause::Done))
         .collect();
     world.report(&worker, vec![], previous);
     let next = answer_as_next(&mut world, &worker).id;
@@ -138,18 +143,18 @@
     let start = start.clone();
     world.answer(&next, &start, Outcome::Done);
     world.now += 100;
-    let mut done = end(1, JOB, 0, start.run, How::Done);
+    let mut done = end(1, JOB, 0, start.run, EndCause::Done);
     done.address = start.address;
     world.report(&next, vec![], vec![done]);
     assert!(world.starts().is_empty());
-    let poll = world.cell.poll(&next, world.now).unwrap();
+    let poll = world.cell.next_poll(&next, world.now).unwrap();
     assert!(poll.seen <= 1, "{poll:?}");
 }
 
 /// A listing only tells which address to poll. It may be outdated or written by another client;
 /// polls to the worker's address show which incarnation is there.
 #[test]
-fn list_of_successor_ends_nothing() {
+fn listing_of_successor_ends_nothing() {
     let (mut world, worker, start) = world_with_start(Some(Outcome::Done));
     let (name, next) = successor_of(&worker);
     let entries = ["w1", "w2"].map(|own| {
@@ -164,20 +169,20 @@
     });
     for is_heard in [true, false] {
         if !is_heard {
-            world.cell.unheard(&worker, world.now);
+            world.cell.poll_failed(&worker, world.now);
         }
         assert!(world.list(entries.to_vec()).is_empty());
-        assert!(world.starts().is_empty() && world.cell.knows(&worker));
+        assert!(world.starts().is_empty() && world.cell.has_worker(&worker));
     }
     world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
-    assert!(!world.cell.knows(&next));
+    assert!(!world.cell.has_worker(&next));
     assert!(world.starts().is_empty());
 }
 
 /// An incarnation at another address that is known only from a listing is dropped when it
 /// disappears from the listing.
 #[test]
-fn list_forgets_incarnation_that_never_answered() {
+fn listing_forgets_incarnation_that_never_answered() {
     let (mut world, worker, start) = world_with_start(Some(Outcome::Done));
     let (name, next) = successor_of(&worker);
     let entries = ["w1", "w2"].map(|own| match own == name {
@@ -189,12 +194,12 @@
     });
     let added = world.list(entries.to_vec());
     assert_eq!((added.len(), added[0].generation), (1, 1));
-    assert!(world.cell.knows(&next) && world.cell.knows(&worker));
+    assert!(world.cell.has_worker(&next) && world.cell.has_worker(&worker));
     world.list(vec![
         incarnation("w1", FIRST_START),
         incarnation("w2", FIRST_START),
     ]);
-    assert!(!world.cell.knows(&next));
+    assert!(!world.cell.has_worker(&next));
     let sent = world.now - 200;
     assert_eq!(
         answered_by(&mut world, &worker, FIRST_START - 1, sent),
@@ -207,7 +212,7 @@
 /// An outdated store may still list the previous incarnation, whose capacity may differ from that
 /// of its successor.
 #[test]
-fn outdated_list_gives_successor_no_work() {
+fn outdated_listing_gives_successor_no_work() {
     let mut world = world();
     let worker = id("w1", FIRST_START);
     let next = answer_as_next(&mut world, &worker).id;
@@ -222,7 +227,7 @@
         world.report(&next, vec![], vec![]);
         assert!(world.list(behind()).is_empty());
     }
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     world.submit(JOB, vec![step(6, 1_000)]);
     assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
     world.list(vec![
@@ -239,7 +244,7 @@
     world.list(vec![entry("w1", 4), incarnation("w2", FIRST_START)]);
     world.submit(JOB, vec![step(6, 1_000)]);
     assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
-    assert!(world.cell.knows(&id("w1", FIRST_START)));
+    assert!(world.cell.has_worker(&id("w1", FIRST_START)));
 }
 
 /// A successor refuses orders for its predecessor because of their fence. This does not mean that
@@ -249,12 +254,12 @@
     let (mut world, worker, start) = world_with_start(None);
     answer_as_next(&mut world, &worker);
     let order = Order::Start(start);
-    let fence = Outcome::Refused(Reason::Fence);
-    assert!(world.cell.is_past(&worker));
-    assert!(!world.cell.answered(&worker, &order, fence, world.now));
+    let fence = Outcome::Refused(Refusal::Fence);
+    assert!(world.cell.is_superseded(&worker));
+    assert!(!world.cell.handle_outcome(&worker, &order, fence, world.now));
     let (_, next) = successor_of(&worker);
-    assert!(!world.cell.is_past(&next));
-    assert!(world.cell.answered(&next, &order, fence, world.now));
+    assert!(!world.cell.is_superseded(&next));
+    assert!(world.cell.handle_outcome(&next, &order, fence, world.now));
 }
 
 /// An answer from an earlier incarnation proves nothing about the one that was polled.
@@ -273,7 +278,7 @@
         answered_by(&mut world, &worker, SECOND_START, after),
         (None, false)
     );
-    assert!(world.cell.knows(&next));
+    assert!(world.cell.has_worker(&next));
 }
 
 /// Each later incarnation of a name gets a higher fence, in whatever order listings and answers
@@ -287,11 +292,13 @@
     let now = world.now + 1;
     let third = world
         .cell
-        .follow(&second.id, THIRD_START, now, now)
+        .handle_successor(&second.id, THIRD_START, now, now)
         .unwrap();
     assert_eq!((second.generation, third.generation), (1, 2));
     // A previous owner knew the first incarnation.
-    let inherited = world.cell.inherit(vec![incarnation("w1", FIRST_START)]);
+    let inherited = world
+        .cell
+        .restore_workers(vec![incarnation("w1", FIRST_START)]);
     assert!(inherited.iter().all(|own| own.generation <= 2));
 }
 
@@ -299,8 +306,8 @@
 /// worker.
 fn world_after_takeover(listed: u64, recorded: u64) -> World {
     let mut cell = Cell::new(crate::common::TIMING);
-    cell.list(vec![incarnation("w1", listed)], 1_000);
-    cell.inherit(vec![incarnation("w1", recorded)]);
+    cell.handle_listing(vec![incarnation("w1", listed)], 1_000);
+    cell.restore_workers(vec![incarnation("w1", recorded)]);
     let mut world = World { cell, now: 1_000 };
     world.resume(JOB, vec![step(1, 1_000)]);
     world.cell.recover(world.now);
@@ -322,8 +329,8 @@
     assert!(world.starts().is_empty());
     world.now += 50;
     world.report(&id("w1", SECOND_START), vec![], vec![]);
-    world.cell.lapse(world.now);
-    assert!(!world.cell.knows(&id("w1", FIRST_START)));
+    world.cell.expire_leases(world.now);
+    assert!(!world.cell.has_worker(&id("w1", FIRST_START)));
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -341,7 +348,7 @@
         address: "10.0.0.9:1".into(),
         ..incarnation(name, SECOND_START)
     });
-    world.cell.unheard(&worker, world.now);
+    world.cell.poll_failed(&worker, world.now);
     world.list(entries);
     assert!(world.starts().is_empty());
     world.report(&next, vec![], vec![]);
@@ -359,8 +366,8 @@
     for _ in 0..80 {
         world.now += 100;
         world.report(&id(other, FIRST_START), runs.clone(), vec![]);
-        world.cell.unheard(&successor_of(&worker).1, world.now);
-        world.cell.lapse(world.now);
+        world.cell.poll_failed(&successor_of(&worker).1, world.now);
+        world.cell.expire_leases(world.now);
         for (own, start) in world.starts() {
             world.answer(&own, &start, Outcome::Done);
             runs.push(run(JOB, 0, start.run));
@@ -384,7 +391,7 @@
     Machine {
         name: "m1".into(),
         up,
-        upkeep: !up,
+        in_maintenance: !up,
         worker: up.then(|| "w1".into()),
     }
 }
@@ -397,12 +404,12 @@
     let wave = wave();
     let orders = world
         .cell
-        .upkeep(from_ref(&wave), &[machine(true)], world.now);
+        .plan_maintenance(from_ref(&wave), &[machine(true)], world.now);
     assert_eq!(orders.len(), 1);
     if sees {
         world
             .cell
-            .upkeep(from_ref(&wave), &[machine(false)], world.now);
+            .plan_maintenance(from_ref(&wave), &[machine(false)], world.now);
     }
     if lists {
         answer_as_next(&mut world, &id("w1", FIRST_START));
@@ -413,8 +420,8 @@
     }
     world
         .cell
-        .upkeep(from_ref(&wave), &[machine(true)], world.now);
-    assert!(world.cell.standings(from_ref(&wave))[0].complete);
+        .plan_maintenance(from_ref(&wave), &[machine(true)], world.now);
+    assert!(world.cell.wave_statuses(from_ref(&wave))[0].complete);
 }
 
 /// If the machine was never seen down, an order alone does not complete the wave.
@@ -425,9 +432,9 @@
     for _ in 0..3 {
         world
             .cell
-            .upkeep(from_ref(&wave), &[machine(true)], world.now);
+            .plan_maintenance(from_ref(&wave), &[machine(true)], world.now);
     }
-    assert!(!world.cell.standings(from_ref(&wave))[0].complete);
+    assert!(!world.cell.wave_statuses(from_ref(&wave))[0].complete);
 }
 
 /// While its entry is unreadable, neither incarnation gets work, and neither is removed.
@@ -440,14 +447,14 @@
         entries: vec![incarnation("w2", FIRST_START)],
         unreadable: vec!["w1".into()],
     };
-    world.cell.list(listing, world.now);
-    assert!(world.cell.knows(&worker) && world.cell.knows(&next));
+    world.cell.handle_listing(listing, world.now);
+    assert!(world.cell.has_worker(&worker) && world.cell.has_worker(&next));
     let report = Report {
         clock: 10,
         ..Report::default()
     };
     world.cell.report(&next, report, world.now, world.now, 1);
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     assert!(world.cell.admit(submission(JOB, vec![step(6, 1_000)]), 1));
     assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
 }
@@ -477,7 +484,7 @@
     world.now += 10;
     world.report(&back, vec![], vec![]);
     world.list(entries.to_vec());
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     assert_eq!(world.starts().len(), 1);
     world.submit("00000000000000a2", vec![step(7, 1_000)]);
     assert!(world.starts().iter().any(|(own, _)| *own == back));
@@ -502,8 +509,8 @@
         answered_by(&mut world, &previous, FIRST_START, now),
         (None, false)
     );
-    assert!(!world.cell.knows(&previous));
-    world.cell.lapse(world.now);
+    assert!(!world.cell.has_worker(&previous));
+    world.cell.expire_leases(world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -516,8 +523,8 @@
     answer_as_next(&mut world, &worker);
     let other = if name == "w1" { "w2" } else { "w1" };
     world.list(vec![incarnation(other, FIRST_START)]);
-    world.cell.lapse(world.now);
-    assert!(!world.cell.knows(&next));
+    world.cell.expire_leases(world.now);
+    assert!(!world.cell.has_worker(&next));
     let added = world.list(vec![
         incarnation(name, THIRD_START),
         incarnation(other, FIRST_START),
@@ -525,6 +532,6 @@
     assert_eq!(added.len(), 1);
     assert!(world.starts().is_empty());
     world.report(&added[0].id, vec![], vec![]);
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     assert_eq!(world.starts().len(), 1);
 }
--- a/components/cell/tests/decisions/logging.rs
+++ b/components/cell/tests/decisions/run_log.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{JOB, World, end, step, with_ordered_start},
     log::{LevelFilter, Log, Metadata, Record, kv::Key},
-    magpie_cell::{End, How, Order, Outcome},
+    magpie_cell::{EndCause, Order, Outcome, RunEnd},
     std::{cell::RefCell, mem},
     test_case::test_case,
 };
@@ -57,7 +57,7 @@
 }
 
 /// The end of the first run of a task.
-fn task_end(index: u32, how: How) -> End {
+fn task_end(index: u32, how: EndCause) -> RunEnd {
     let mut end = end(u64::from(index) + 1, JOB, 0, 1, how);
     end.address.index = index;
     end
@@ -70,23 +70,23 @@
     world.report(
         "w1",
         vec![],
-        vec![task_end(0, How::Done), task_end(1, How::Done)],
+        vec![task_end(0, EndCause::Done), task_end(1, EndCause::Done)],
     );
     world.now += 40;
-    world.report("w1", vec![], vec![task_end(2, How::Done)]);
+    world.report("w1", vec![], vec![task_end(2, EndCause::Done)]);
     assert!(lines("Runs are done.").is_empty());
     world.now += 7;
-    world.cell.tell_done(world.now);
+    world.cell.log_done(world.now);
     let expected = format!("Runs are done. 3 {JOB}/0.1@w1:47 {JOB}/1.1@w1:47 {JOB}/2.1@w1:7");
     assert_eq!(lines("Runs are done."), [expected]);
-    world.cell.tell_done(world.now);
+    world.cell.log_done(world.now);
     assert!(lines("Runs are done.").is_empty());
 }
 
-#[test_case(How::Failed)]
-#[test_case(How::Stopped)]
-#[test_case(How::Lapsed)]
-fn unsuccessful_end_is_logged_at_once(how: How) {
+#[test_case(EndCause::Failed)]
+#[test_case(EndCause::Stopped)]
+#[test_case(EndCause::Lapsed)]
+fn unsuccessful_end_is_logged_at_once(how: EndCause) {
     let mut world = world_with_log(2);
     world.report("w1", vec![], vec![task_end(1, how)]);
     let expected = format!("A run has ended. {JOB} 1 w1 1 {how:?}");
@@ -98,9 +98,11 @@
 fn batched_lines_are_bounded() {
     let mut world = world_with_log(150);
     let placed = lines("Tasks are placed.");
-    let ends = (0..150).map(|index| task_end(index, How::Done)).collect();
+    let ends = (0..150)
+        .map(|index| task_end(index, EndCause::Done))
+        .collect();
     world.report("w1", vec![], ends);
-    world.cell.tell_done(world.now);
+    world.cell.log_done(world.now);
     let done = lines("Runs are done.");
     for lines in [&placed, &done] {
         assert_eq!(lines.len(), 2);
--- a/components/cell/tests/decisions/sim.rs
+++ b/components/cell/tests/decisions/sim.rs
@@ -4,7 +4,7 @@
 use {
     crate::common::{TIMING, build_report, entry, submission, task_end},
     job::{Address, Id, Record, State, Step, Submission},
-    magpie_cell::{Cell, End, Entry, How, Order, Outcome, Reason, Report, Start},
+    magpie_cell::{Cell, EndCause, Entry, Order, Outcome, Refusal, Report, RunEnd, Start},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -25,7 +25,7 @@
 const DOWNTIME: u64 = 2_000;
 
 /// A task: its job and its place.
-type TaskKey = (Id, usize);
+type TaskId = (Id, usize);
 
 /// A run on a worker.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     /// When the worker crashes.
     crashes_at: Option<u64>,
     runs: BTreeMap<(Id, Address), ActiveRun>,
-    ended: Vec<End>,
+    ended: Vec<RunEnd>,
     end_count: u64,
     /// The held poll: when it was sent, until when it is held, and the last acknowledged end.
     held_poll: Option<(u64, u64, u64)>,
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub struct Stats {
     /// Number of starts, by task.
-    pub starts: HashMap<TaskKey, u32>,
+    pub starts: HashMap<TaskId, u32>,
     /// Number of crashed workers.
     pub crashes: u32,
     /// Number of runs lost with them, without those of crashing tasks.
@@ -80,7 +80,7 @@
     /// Entries of crashed incarnations, and when they expire.
     stale_entries: Vec<(Entry, u64)>,
     /// Tasks that crash every worker that starts them, and the delay of the crash.
-    crashing: HashMap<TaskKey, u64>,
+    crashing: HashMap<TaskId, u64>,
     submitted: Vec<Submission>,
     persisted: HashMap<Id, Record>,
     writes_suspended: bool,
@@ -233,7 +233,7 @@
         std::mem::swap(&mut next, &mut self.cell);
         for (id, record) in records {
             if record.state.is_final() {
-                self.cell.close(id.clone(), record);
+                self.cell.add_ended(id.clone(), record);
                 continue;
             }
             let of_job = self
@@ -268,12 +268,12 @@
             if self.now.is_multiple_of(POLL_INTERVAL) {
                 self.poll();
                 self.cell.rerank(self.now, self.now);
-                self.cell.lapse(self.now);
+                self.cell.expire_leases(self.now);
             }
             self.cell.place(self.now);
             for (id, order) in self.cell.take_orders() {
                 let outcome = self.execute(&id, &order);
-                self.cell.answered(&id, &order, outcome, self.now);
+                self.cell.handle_outcome(&id, &order, outcome, self.now);
             }
             self.persist();
             self.record_ended();
@@ -323,7 +323,7 @@
                 continue;
             }
             for (task, active) in std::mem::take(&mut machine.runs) {
-                machine.end(task, active.run, How::Lapsed);
+                machine.end(task, active.run, EndCause::Lapsed);
             }
         }
     }
@@ -346,7 +346,7 @@
                 let of_gang = machine.runs.extract_if(.., |(id, _), _| id == job);
                 let of_gang: Vec<_> = of_gang.collect();
                 for (task, active) in of_gang {
-                    machine.end(task, active.run, How::Broken);
+                    machine.end(task, active.run, EndCause::Broken);
                 }
             }
         }
@@ -377,7 +377,7 @@
             .filter(|machine| machine.returns_at.is_none());
         let mut entries: Vec<Entry> = up.map(Machine::entry).collect();
         entries.extend(self.stale_entries.iter().map(|(entry, _)| entry.clone()));
-        self.cell.list(entries, now);
+        self.cell.handle_listing(entries, now);
         self.persist();
     }
 
@@ -385,8 +385,8 @@
         if self.writes_suspended {
             return;
         }
-        let change = self.cell.take_change(100);
-        self.cell.written(&change);
+        let change = self.cell.take_write_batch(100);
+        self.cell.batch_written(&change);
         self.persisted.extend(change.records);
     }
 
@@ -399,12 +399,12 @@
             };
             if machine.returns_at.is_some() || machine.is_partitioned {
                 machine.held_poll = None;
-                self.cell.unheard(&entry.id, self.now);
+                self.cell.poll_failed(&entry.id, self.now);
                 continue;
             }
             if machine.id != entry.id {
                 self.cell
-                    .end_life(&entry.id, "another life answers", self.now);
+                    .end_incarnation(&entry.id, "another life answers", self.now);
                 continue;
             }
             let now = self.now;
@@ -412,7 +412,7 @@
                 self.poll_with_hold(&entry);
                 continue;
             }
-            if let Some(poll) = self.cell.poll(&entry.id, now)
+            if let Some(poll) = self.cell.next_poll(&entry.id, now)
                 && let Some(machine) = self.machine_at(&entry)
             {
                 machine.lease = machine.lease.max(poll.deadline);
@@ -438,7 +438,7 @@
             self.cell.report(&entry.id, report, sent, now, now);
             self.persist();
         }
-        let Some(poll) = self.cell.poll(&entry.id, now) else {
+        let Some(poll) = self.cell.next_poll(&entry.id, now) else {
             return;
         };
         let Some(machine) = self.machine_at(entry) else {
@@ -464,10 +464,10 @@
             Order::Stop { .. } | Order::Pace { .. } | Order::Withdraw { .. } => (None, false),
         };
         let Some(machine) = self.machines.iter_mut().find(|machine| machine.id == *id) else {
-            return Outcome::Refused(Reason::OtherLife);
+            return Outcome::Refused(Refusal::OtherLife);
         };
         if machine.returns_at.is_some() || machine.is_partitioned {
-            return Outcome::Refused(Reason::NotSent);
+            return Outcome::Refused(Refusal::NotSent);
         }
         match order {
             Order::Start(start) => {
@@ -516,11 +516,11 @@
         let task = (job.clone(), address);
         if self.runs.get(&task).is_some_and(|active| active.run == run) {
             self.runs.remove(&task);
-            self.end(task, run, How::Stopped);
+            self.end(task, run, EndCause::Stopped);
         }
     }
 
-    fn end(&mut self, task: (Id, Address), run: u64, how: How) {
+    fn end(&mut self, task: (Id, Address), run: u64, how: EndCause) {
         self.end_count += 1;
         self.ended.push(task_end(self.end_count, task, run, how));
     }
@@ -530,7 +530,7 @@
         let over = self.runs.extract_if(.., |_, active| active.until <= now);
         let over: Vec<_> = over.collect();
         for (task, active) in over {
-            self.end(task, active.run, How::Done);
+            self.end(task, active.run, EndCause::Done);
         }
         let runs = self.runs.iter().map(|(task, active)| (task, active.run));
         build_report(self.clock(now), runs, &self.ended)
--- a/components/cell/tests/decisions/stuck_state.rs
+++ b/components/cell/tests/decisions/stuck_state.rs
@@ -4,7 +4,10 @@
 use {
     crate::common::{JOB, World, end, entry, other_worker, run, step, submission},
     job::Step,
-    magpie_cell::{Advice, End, How, Machine, Order, Outcome, Reason, Run, Start, Upkeep, Wave},
+    magpie_cell::{
+        Advice, EndCause, Machine, MaintenanceOrder, Order, Outcome, Refusal, Run, RunEnd, Start,
+        Wave,
+    },
     std::{collections::BTreeMap, sync::Arc},
     test_case::test_case,
 };
@@ -28,7 +31,7 @@
         self.now += TICK;
         self.cell.rerank(self.now, self.now);
         self.cell.expire_tickets(self.now);
-        self.cell.lapse(self.now);
+        self.cell.expire_leases(self.now);
         let starts = self.starts();
         self.persist();
         starts
@@ -59,7 +62,7 @@
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world
         .cell
-        .end_life(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another life answers", world.now);
     world.list(vec![entry("w2", 4)]);
     let mut restarts = Vec::new();
     for _ in 0..RESTART_LIMIT / TICK {
@@ -82,7 +85,7 @@
     let (worker, start) = &first[0];
     world.answer(worker, start, Outcome::Done);
     world.now += 10;
-    world.report("w1", vec![], vec![end(1, JOB, 0, 1, How::Failed)]);
+    world.report("w1", vec![], vec![end(1, JOB, 0, 1, EndCause::Failed)]);
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
     let mut restarts = Vec::new();
     for _ in 0..200 {
@@ -97,15 +100,15 @@
 /// Grants tickets for all workers that were asked about. Returns the resulting starts.
 fn grant_tickets(world: &mut World) -> Vec<(Arc<str>, Start)> {
     let mut starts = world.starts();
-    for question in world.cell.take_questions() {
+    for question in world.cell.take_advice_queries() {
         let good = question.workers.iter().cloned();
         let advice = Advice {
-            good: good
+            tickets: good
                 .map(|candidate| (candidate.id, "ticket".into()))
                 .collect(),
-            valid: 3_000,
+            valid_for: 3_000,
         };
-        world.cell.advised(&question, Some(advice), world.now);
+        world.cell.handle_advice(&question, Some(advice), world.now);
     }
     starts.extend(world.starts());
     starts
@@ -125,8 +128,8 @@
     /// Passes failed polls and timed-out starts to the cell.
     fn apply_failures(&mut self, world: &mut World) {
         if world.now >= self.fails_at {
-            world.cell.unheard(&self.id, world.now);
-            world.cell.poll(&self.id, world.now);
+            world.cell.poll_failed(&self.id, world.now);
+            world.cell.next_poll(&self.id, world.now);
             self.fails_at = world.now + 1_100;
         }
         let due = self.unanswered.extract_if(.., |(at, _)| world.now >= *at);
@@ -214,7 +217,7 @@
     for tick in 1..=200 {
         world.now += TICK;
         world.cell.rerank(world.now, world.now);
-        world.cell.lapse(world.now);
+        world.cell.expire_leases(world.now);
         world.cell.place(world.now);
         for (id, order) in world.cell.take_orders() {
             if let Order::Start(start) = &order {
@@ -223,7 +226,9 @@
             if &*id == "w1" {
                 due.push((world.now + 750, order));
             } else {
-                world.cell.answered(&id, &order, Outcome::Done, world.now);
+                world
+                    .cell
+                    .handle_outcome(&id, &order, Outcome::Done, world.now);
             }
         }
         let now = world.now;
@@ -231,7 +236,7 @@
             if let OrderFate::Unanswered = fate {
                 world
                     .cell
-                    .answered(&"w1".into(), &order, Outcome::Unknown, now);
+                    .handle_outcome(&"w1".into(), &order, Outcome::Unknown, now);
             }
         }
         if tick % 5 == 0 {
@@ -263,18 +268,18 @@
     world.report("w2", vec![], vec![]);
     world.now += 1_000;
     world.list(vec![entry("w2", 4)]);
-    world.cell.unheard("w1", world.now);
+    world.cell.poll_failed("w1", world.now);
     for _ in 0..60 {
         world.report("w2", vec![], vec![]);
         assert!(world.tick().is_empty());
     }
-    assert!(!world.cell.knows("w1"));
+    assert!(!world.cell.has_worker("w1"));
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
     world.submit(JOB, vec![long_running(1_000)]);
-    world.cell.intake_read();
+    world.cell.jobs_reread();
     let mut restarts = Vec::new();
     for _ in 0..300 {
-        world.cell.unheard("w1", world.now);
+        world.cell.poll_failed("w1", world.now);
         world.report("w2", vec![], vec![]);
         restarts.extend(world.tick());
         if !restarts.is_empty() {
@@ -297,7 +302,7 @@
     let machine = |name: &&str| Machine {
         name: (*name).into(),
         up: true,
-        upkeep: false,
+        in_maintenance: false,
         worker: Some(name.replace('m', "w").as_str().into()),
     };
     names.iter().map(machine).collect()
@@ -317,10 +322,15 @@
 #[test]
 fn withdrawn_wave_reopens_worker() {
     let mut world = World::new(&["w1"]);
-    let orders: Vec<Upkeep> = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
+    let orders: Vec<MaintenanceOrder> =
+        world
+            .cell
+            .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
     assert_eq!(orders.len(), 1);
-    world.cell.upkeep_refused(&orders[0]);
-    world.cell.upkeep(&[], &machines(&["m1"]), world.now);
+    world.cell.maintenance_refused(&orders[0]);
+    world
+        .cell
+        .plan_maintenance(&[], &machines(&["m1"]), world.now);
     assert!(gets_work(&mut world), "the worker stays closed");
 }
 
@@ -330,10 +340,16 @@
 #[test]
 fn machine_missing_once_reopens_worker() {
     let mut world = World::new(&["w1"]);
-    let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
-    world.cell.upkeep_refused(&orders[0]);
-    world.cell.upkeep(&[wave()], &machines(&[]), world.now);
-    let orders = world.cell.upkeep(&[wave()], &machines(&["m1"]), world.now);
+    let orders = world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
+    world.cell.maintenance_refused(&orders[0]);
+    world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&[]), world.now);
+    let orders = world
+        .cell
+        .plan_maintenance(&[wave()], &machines(&["m1"]), world.now);
     assert!(
         !orders.is_empty() || gets_work(&mut world),
         "the worker stays closed and gets no maintenance"
@@ -350,7 +366,7 @@
     world.submit(JOB, vec![long_running(1_000)]);
     world
         .cell
-        .end_life(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another life answers", world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -368,7 +384,7 @@
         assert!(!world.stops().is_empty());
         world.now += TICK;
     }
-    let stopped = end(1, JOB, 0, 7, How::Stopped);
+    let stopped = end(1, JOB, 0, 7, EndCause::Stopped);
     world.report("w1", vec![], vec![stopped]);
     assert_eq!(world.tick().len(), 1);
 }
@@ -403,12 +419,12 @@
         let dirty = run(JOB, 1, 1);
         world.report("w1", vec![dirty], vec![]);
         world.now += 10;
-        let lapsed = End {
+        let lapsed = RunEnd {
             address: run(JOB, 1, 1).address,
-            ..end(1, JOB, 0, 1, How::Lapsed)
+            ..end(1, JOB, 0, 1, EndCause::Lapsed)
         };
         world.report("w1", vec![], vec![lapsed]);
-        let change = world.cell.take_change(100);
+        let change = world.cell.take_write_batch(100);
         record = change.records[0].1.clone();
     }
     let mut world = resumed(&record);
@@ -436,9 +452,9 @@
     for number in 1..=65 {
         let (worker, start) = world.starts()[0].clone();
         assert_eq!(start.run, number);
-        let refused = Outcome::Refused(Reason::Room);
+        let refused = Outcome::Refused(Refusal::Room);
         world.answer(&worker, &start, refused);
-        assert!(world.cell.take_change(100).records.is_empty());
+        assert!(world.cell.take_write_batch(100).records.is_empty());
         world.now += 600;
         world.report("w1", vec![], vec![]);
     }
--- a/components/cell/tests/decisions/unreachable.rs
+++ b/components/cell/tests/decisions/unreachable.rs
@@ -6,22 +6,22 @@
         with_running_task,
     },
     job::{State, Step},
-    magpie_cell::{How, Order, Outcome, Reach, Reason, Report},
+    magpie_cell::{EndCause, Order, Outcome, Reachability, Refusal, Report},
     std::sync::Arc,
 };
 
 #[test]
 fn unreachable_worker_frees_tasks_after_lease() {
     let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
-    world.cell.poll(&worker, world.now);
+    world.cell.next_poll(&worker, world.now);
     let other = other_worker(&worker);
     world.now += 4_800;
-    world.cell.unheard(&worker, world.now);
+    world.cell.poll_failed(&worker, world.now);
     world.report(other, vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert!(world.starts().is_empty());
     world.now += 200;
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -31,11 +31,11 @@
     let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
     let other = other_worker(&worker);
     for _ in 0..12 {
-        world.cell.poll(&worker, world.now);
-        world.cell.unheard(&worker, world.now);
+        world.cell.next_poll(&worker, world.now);
+        world.cell.poll_failed(&worker, world.now);
         world.now += 420;
         world.report(other, vec![], vec![]);
-        world.cell.lapse(world.now);
+        world.cell.expire_leases(world.now);
     }
     assert_eq!(world.starts().len(), 1);
 }
@@ -46,14 +46,14 @@
 fn poll_after_lost_answer_is_not_held() {
     let mut world = World::new(&["w1"]);
     world.report("w1", vec![], vec![]);
-    assert_eq!(world.cell.poll("w1", world.now).unwrap().wait, 0);
+    assert_eq!(world.cell.next_poll("w1", world.now).unwrap().wait, 0);
     let report = Report {
         clock: world.now + 50_000,
         ..Report::default()
     };
     let id: Arc<str> = "w1".into();
     world.cell.report(&id, report, world.now, world.now, 1);
-    assert_eq!(world.cell.poll("w1", world.now).unwrap().wait, 2_000);
+    assert_eq!(world.cell.next_poll("w1", world.now).unwrap().wait, 2_000);
 }
 
 /// Guards against a duplicate run. An overloaded owner had not polled a worker for 5 s, considered
@@ -64,9 +64,9 @@
     let other = other_worker(&worker);
     world.now += 5_200;
     world.report(other, vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert!(world.starts().is_empty());
-    let done = end(1, JOB, 0, start.run, How::Done);
+    let done = end(1, JOB, 0, start.run, EndCause::Done);
     world.report(&worker, vec![], vec![done]);
     world.persist();
     assert_eq!(state(&world), Some(State::Completed));
@@ -77,9 +77,9 @@
     let (mut world, worker, _) = with_running_task(&["w1", "w2"], step(1, 1_000));
     let other = other_worker(&worker);
     world.now += 5_200;
-    world.cell.unheard(&worker, world.now);
+    world.cell.poll_failed(&worker, world.now);
     world.report(other, vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -92,7 +92,7 @@
     let other = other_worker(&worker);
     world.now += 5_200;
     world.report(other, vec![], vec![]);
-    world.cell.lapse(world.now);
+    world.cell.expire_leases(world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -100,9 +100,13 @@
 fn answer_of_other_incarnation_frees_tasks() {
     let (mut world, worker, start) = with_ordered_start(&["w1", "w2"], step(1, 1_000));
     let order = Order::Start(start);
-    let outcome = Outcome::Refused(Reason::OtherLife);
-    assert!(!world.cell.answered(&worker, &order, outcome, world.now));
-    assert!(!world.cell.knows(&worker));
+    let outcome = Outcome::Refused(Refusal::OtherLife);
+    assert!(
+        !world
+            .cell
+            .handle_outcome(&worker, &order, outcome, world.now)
+    );
+    assert!(!world.cell.has_worker(&worker));
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -112,11 +116,13 @@
     let mut new = entry("w9", 4);
     new.address = entry(&worker, 4).address;
     let other = other_worker(&worker);
-    let added = world.cell.list(vec![new, entry(other, 4)], world.now);
+    let added = world
+        .cell
+        .handle_listing(vec![new, entry(other, 4)], world.now);
     assert_eq!(added.len(), 1);
     world.now += 1;
     world.report("w9", vec![], vec![]);
-    assert!(!world.cell.knows(&worker));
+    assert!(!world.cell.has_worker(&worker));
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -145,18 +151,21 @@
 fn partitioned_workers_are_unreachable_before_next_claim() {
     let mut world = serving_workers(&["w1", "w2", "w3", "w4"]);
     let partitioned_at = world.now;
-    let reach = |heard, silent| Reach { heard, silent };
-    assert_eq!(world.cell.reach(partitioned_at + 1_000), reach(4, 0));
+    let reach = |heard, silent| Reachability {
+        reachable: heard,
+        unreachable: silent,
+    };
+    assert_eq!(world.cell.reachability(partitioned_at + 1_000), reach(4, 0));
     for _ in 0..3 {
         world.now += 500;
         world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     }
     world.cell.take_orders();
-    assert_eq!(world.cell.reach(partitioned_at + 1_500), reach(4, 0));
-    assert_eq!(world.cell.reach(partitioned_at + 1_501), reach(1, 3));
+    assert_eq!(world.cell.reachability(partitioned_at + 1_500), reach(4, 0));
+    assert_eq!(world.cell.reachability(partitioned_at + 1_501), reach(1, 3));
     // Failed polls show it earlier.
-    world.cell.unheard("w1", world.now);
-    assert_eq!(world.cell.reach(partitioned_at + 1_501), reach(0, 4));
+    world.cell.poll_failed("w1", world.now);
+    assert_eq!(world.cell.reachability(partitioned_at + 1_501), reach(0, 4));
 }
 
 /// Idle workers, whose polls are held long, do not count as unreachable. Nor does a store outage
@@ -165,6 +174,6 @@
 fn idle_workers_are_reachable() {
     let world = World::new(&["w1", "w2"]);
     for after in [0, 1_500, 2_900] {
-        assert_eq!(world.cell.reach(world.now + after).silent, 0);
+        assert_eq!(world.cell.reachability(world.now + after).unreachable, 0);
     }
 }
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         accept, cancel,
-        comeback::SOONEST,
         core::Node,
-        kept, keys,
-        message::{Ask, Told},
+        decode, keys,
+        message::{PeerRequest, PeerResponse},
         peer,
+        retry_after::MIN_RETRY_AFTER,
     },
     job::{Id, Queue, Spec, State, Submission},
     kernel::{Failure, wall},
@@ -83,21 +83,23 @@
         if let Ok(Some(state)) = self.remote.ask(move |core, _| core.state(&own)) {
             return Reply::State(state);
         }
-        if let Some(Told::State(Some(state))) = peer::ask_owner(self, &Ask::State(id.clone())) {
+        if let Some(PeerResponse::State(Some(state))) =
+            peer::call_owner(self, &PeerRequest::State(id.clone()))
+        {
             return Reply::State(state);
         }
         self.kept_state(id).unwrap_or_else(|failure| {
             log::info!(target: "callers", job = id.as_str(), error:% = failure; "The state of a job cannot be read.");
-            Reply::Busy(SOONEST)
+            Reply::Busy(MIN_RETRY_AFTER)
         })
     }
 
     /// The state as the store has it, for when there is no owner or it does not know the job yet.
     fn kept_state(&self, id: &Id) -> Result<Reply, Failure> {
-        let store = &self.outside.store;
+        let store = &self.external.store;
         let record = store.get(&keys::state(id))?;
         if let Some(item) = &record {
-            let record = kept::record(item)?;
+            let record = decode::record(item)?;
             if record.state.is_final() {
                 return Ok(Reply::State(record.state));
             }
@@ -115,16 +117,16 @@
         let Some(item) = store.get(&keys::state(id))? else {
             return Ok(Reply::Gone);
         };
-        Ok(Reply::State(kept::record(&item)?.state))
+        Ok(Reply::State(decode::record(&item)?.state))
     }
 
     fn waiting(&self, queue: &Arc<Queue>) -> Reply {
-        if let Ok(Some(waiting)) = peer::waiting(self, queue.name.clone()) {
+        if let Ok(Some(waiting)) = peer::queue_length(self, queue.name.clone()) {
             return Reply::Waiting(waiting);
         }
-        match peer::ask_owner(self, &Ask::Waiting(queue.name.clone())) {
-            Some(Told::Waiting(Some(waiting))) => Reply::Waiting(waiting),
-            _ => Reply::Busy(SOONEST),
+        match peer::call_owner(self, &PeerRequest::Waiting(queue.name.clone())) {
+            Some(PeerResponse::Waiting(Some(waiting))) => Reply::Waiting(waiting),
+            _ => Reply::Busy(MIN_RETRY_AFTER),
         }
     }
 }
