--- a/components/cell/src/crashes/losses.rs
+++ b/components/cell/src/crashes/losses.rs
@@ -110,8 +110,7 @@
         }
     }
 
-    /// Adds a new worker. A worker that was declared lost leaves the losses' count and counts as
-    /// known again.
+    /// Adds a new worker. A worker whose loss is still kept is not counted twice.
     pub fn add_worker(&mut self, worker: &Worker) {
         let Some(index) = &mut self.index else {
             return;
--- a/components/cell/src/crashes/mod.rs
+++ b/components/cell/src/crashes/mod.rs
@@ -108,38 +108,38 @@
         }
         let losses = &mut self.crashes.losses;
         let correlation = losses.correlated_with(&self.workers, worker, now);
-        let mut held = Vec::new();
+        let mut tasks = Vec::new();
         for (key, slot) in &worker.slots {
             let is_early = worker.is_early(slot) && !correlation.rules_out(&key.job);
-            held.push((key.clone(), is_early));
+            tasks.push((key.clone(), is_early));
         }
         losses.record(worker, now);
         if worker.left_cleanly() {
             return Vec::new();
         }
-        held.sort();
-        self.retain_likely_causes(&mut held);
-        held.retain(|(key, is_early)| self.count_crash(key, *is_early));
-        held
+        tasks.sort();
+        self.retain_likely_causes(&mut tasks);
+        tasks.retain(|(key, is_early)| self.count_crash(key, *is_early));
+        tasks
     }
 
-    /// Removes the tasks that probably did not cause the crash. `held` has the tasks of the worker,
+    /// Removes the tasks that probably did not cause the crash. `tasks` has the tasks of the worker,
     /// and for each whether the crash was early.
-    fn retain_likely_causes(&self, held: &mut Vec<(TaskKey, bool)>) {
+    fn retain_likely_causes(&self, tasks: &mut Vec<(TaskKey, bool)>) {
         let is_isolated = |(key, is_early): &(TaskKey, bool)| {
             *is_early && self.suspicion(&key.job, key.place) == Suspicion::Alone
         };
         let explains = |(key, is_early): &(TaskKey, bool)| *is_early && self.is_suspect(key);
-        if held.iter().any(is_isolated) {
+        if tasks.iter().any(is_isolated) {
             // A task in an isolated trial explains the crash, even for runs that started a moment
             // earlier. Without this rule, and with workers that report every 2 s, a long-running
             // task on one of two workers failed after five crashes caused by other suspects.
-            held.retain(is_isolated);
-        } else if held.iter().any(explains) {
+            tasks.retain(is_isolated);
+        } else if tasks.iter().any(explains) {
             // A suspect that has just started explains the crash; older runs on the worker are not
             // counted. Without this rule a task of several seconds failed after five crashes caused
             // by other suspects, within 23 s.
-            held.retain(|(_, is_early)| *is_early);
+            tasks.retain(|(_, is_early)| *is_early);
         }
     }
 
@@ -322,16 +322,16 @@
         if worker.slots.is_empty() {
             return;
         }
-        let heard = worker.clock.map(|clock| now.saturating_sub(clock.at));
-        let mut held: Vec<String> = worker
+        let report_age = worker.clock.map(|clock| now.saturating_sub(clock.at));
+        let mut runs: Vec<String> = worker
             .slots
             .iter()
             .map(|(key, slot)| format_run(worker, key, slot))
             .collect();
-        held.sort();
-        held.truncate(RUNS_PER_LINE);
-        let tasks = held.join(" ");
-        log::warn!(target: "cell", worker = &**id, cause, heard:? = heard, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_unreachable(), count = worker.slots.len(), tasks = tasks.as_str(); "Worker was lost with its tasks.");
+        runs.sort();
+        runs.truncate(RUNS_PER_LINE);
+        let tasks = runs.join(" ");
+        log::warn!(target: "cell", worker = &**id, cause, heard:? = report_age, leaving = worker.entry.leaving, listed = worker.listed, failing = worker.is_unreachable(), count = worker.slots.len(), tasks = tasks.as_str(); "Worker was lost with its tasks.");
     }
 }
 
@@ -349,10 +349,10 @@
     /// How long a run was known to run at the worker's last report, in milliseconds; `None` if no
     /// report listed it.
     fn confirmed_runtime(&self, slot: &Slot) -> Option<u64> {
-        let heard = self.clock?.at;
+        let last_report = self.clock?.at;
         match slot.stage {
             Stage::Sent { .. } => None,
-            Stage::Running { at } => heard.checked_sub(at).filter(|&age| age > 0),
+            Stage::Running { at } => last_report.checked_sub(at).filter(|&age| age > 0),
         }
     }
 
--- a/components/cell/src/crashes/outage.rs
+++ b/components/cell/src/crashes/outage.rs
@@ -54,9 +54,9 @@
     /// Counts the outages that overlap with the given one: all except those that start after it and
     /// those that end before it.
     pub fn count_overlapping(&self, outage: Outage) -> usize {
-        let begun = self.from.partition_point(|&from| from <= outage.until);
+        let started = self.from.partition_point(|&from| from <= outage.until);
         let ended = self.until.partition_point(|&until| until < outage.from);
-        begun - ended
+        started - ended
     }
 }
 
--- a/components/cell/src/interference/forecast.rs
+++ b/components/cell/src/interference/forecast.rs
@@ -133,13 +133,13 @@
             model.add_sample(image, load - job_load.observed.value, &shares, trust);
         }
         job_load.add_observed(load, row, keep);
-        let mut own = load - model.added_load(image, row);
+        let mut own_load = load - model.added_load(image, row);
         if others >= MIN_READINGS {
             let current = job_load.fast.value;
-            own = own.clamp(current - MAX_DEVIATION, current + MAX_DEVIATION);
+            own_load = own_load.clamp(current - MAX_DEVIATION, current + MAX_DEVIATION);
         }
-        job_load.fast.add(own, keep);
-        job_load.slow.add(own, (-elapsed / SLOW_WINDOW).exp());
+        job_load.fast.add(own_load, keep);
+        job_load.slow.add(own_load, (-elapsed / SLOW_WINDOW).exp());
         if now >= job_load.first_at + WARM_UP {
             job_load.peak = job_load.peak.max(job_load.fast.value);
         }
--- a/components/cell/tests/decisions/advice.rs
+++ b/components/cell/tests/decisions/advice.rs
@@ -21,7 +21,11 @@
 }
 
 fn asked_ids(question: &AdviceQuery) -> Vec<&str> {
-    question.workers.iter().map(|own| &*own.id).collect()
+    question
+        .workers
+        .iter()
+        .map(|candidate| &*candidate.id)
+        .collect()
 }
 
 fn advice(worker: &str) -> Advice {
@@ -69,8 +73,8 @@
     world.cell.expire_tickets(world.now);
     world.report("w1", vec![], vec![]);
     world.report("w2", vec![], vec![]);
-    let again = question(&mut world);
-    assert_eq!(asked_ids(&again), ["w2"]);
+    let repeated = question(&mut world);
+    assert_eq!(asked_ids(&repeated), ["w2"]);
 }
 
 #[test]
--- a/components/cell/tests/decisions/best_effort.rs
+++ b/components/cell/tests/decisions/best_effort.rs
@@ -158,7 +158,7 @@
 /// If more best-effort work waits than runs, the margin kept for interference is reduced.
 #[test_case(1, 0; "small backlog")]
 #[test_case(20, 1; "backlog exceeds running work")]
-fn interfering_task_is_placed_under_backlog(count: u32, least: usize) {
+fn interfering_task_is_placed_under_backlog(count: u32, expected: usize) {
     let mut world = shared_world(best_effort("g", 500));
     world
         .cell
@@ -173,7 +173,7 @@
     };
     world.submit(OTHER, vec![steps]);
     world.cell.rerank(1, world.now);
-    assert_eq!(world.starts().len().min(1), least);
+    assert_eq!(world.starts().len().min(1), expected);
 }
 
 /// Unlike serving images share workers, which leaves more workers where a given best-effort image
@@ -227,12 +227,12 @@
 #[test]
 fn job_that_misses_objective_has_low_rank() {
     let mut world = World::new(&["w1"]);
-    let mut long = submission(JOB, vec![step(1, 4_000)]);
-    long.spec.steps[0].estimate = 10_000;
+    let mut late_job = submission(JOB, vec![step(1, 4_000)]);
+    late_job.spec.steps[0].estimate = 10_000;
     let mut short = submission(OTHER, vec![step(1, 4_000)]);
     short.spec.steps[0].estimate = 3_000;
     short.accepted = 15_900;
-    assert!(world.cell.admit(long, 16_000));
+    assert!(world.cell.admit(late_job, 16_000));
     assert!(world.cell.admit(short, 16_000));
     world.cell.rerank(16_000, world.now);
     let starts = world.starts();
--- a/components/cell/tests/decisions/capacity.rs
+++ b/components/cell/tests/decisions/capacity.rs
@@ -92,21 +92,21 @@
 /// A stray run uses capacity until its end is reported; one of an unknown job may use all of it.
 #[test_case(JOB, 1; "of a known job")]
 #[test_case(OTHER, 0; "of an unknown job")]
-fn stray_run_uses_capacity(job: &str, fits: usize) {
+fn stray_run_uses_capacity(job: &str, expected: usize) {
     let mut world = World::new(&["w1"]);
     allow_overcommit(&mut world);
     world.submit(JOB, vec![step(1, 3_000)]);
     world.cell.cancel(&Id::new(JOB).unwrap(), world.now, 1);
     world.report("w1", vec![run(job, 0, 7)], vec![]);
     world.submit("00000000000000c3", vec![step(2, 1_000)]);
-    assert_eq!(world.starts().len(), fits);
+    assert_eq!(world.starts().len(), expected);
 }
 
 /// For overcommitting pools the capacity in a listing is valid for some seconds; in a store outage
 /// nothing shows that it has shrunk.
 #[test_case(false, 1; "enforced")]
 #[test_case(true, 0; "overcommitted")]
-fn overcommitted_capacity_needs_recent_listing(overcommits: bool, fits: usize) {
+fn overcommitted_capacity_needs_recent_listing(overcommits: bool, expected: usize) {
     let mut world = World::new(&["w1"]);
     if overcommits {
         allow_overcommit(&mut world);
@@ -114,9 +114,9 @@
     world.now += 5_000;
     world.report("w1", vec![], vec![]);
     world.submit(JOB, vec![step(1, 1_000)]);
-    assert_eq!(world.starts().len(), fits);
+    assert_eq!(world.starts().len(), expected);
     world.list(vec![entry("w1", 4)]);
-    assert_eq!(world.starts().len(), 1 - fits);
+    assert_eq!(world.starts().len(), 1 - expected);
 }
 
 /// With random capacity changes, late starts, lost answers and irregular reports, no start exceeds
@@ -146,7 +146,7 @@
     /// Runs: run number and millicores, by task.
     runs: HashMap<(Id, usize), (u64, u64)>,
     /// The highest run that has ended or was barred, by task.
-    over: HashMap<(Id, usize), u64>,
+    last_ended: HashMap<(Id, usize), u64>,
     ended: Vec<RunEnd>,
     count: u64,
 }
@@ -154,7 +154,7 @@
 impl ActualWorker {
     fn end(&mut self, task: &(Id, usize), run: u64, how: EndCause) {
         self.runs.remove(task);
-        self.over.insert(task.clone(), run);
+        self.last_ended.insert(task.clone(), run);
         self.count += 1;
         let address = Address {
             time: 0,
@@ -261,12 +261,12 @@
     fn report(&mut self) {
         let id: Arc<str> = if self.rng.bool() { "w1" } else { "w2" }.into();
         let actual = self.actual.get_mut(&id).unwrap();
-        let over: Vec<_> = actual
+        let last_ended: Vec<_> = actual
             .runs
             .iter()
             .map(|(task, (run, _))| (task.clone(), *run))
             .collect();
-        for (task, run) in over {
+        for (task, run) in last_ended {
             if self.rng.u8(0..3) == 0 {
                 actual.end(&task, run, EndCause::Done);
             }
@@ -296,11 +296,11 @@
                 if is_barred {
                     return Outcome::Refused(Refusal::NotSent);
                 }
-                let is_over = actual
-                    .over
+                let has_ended = actual
+                    .last_ended
                     .get(&task)
-                    .is_some_and(|over| start.run <= *over);
-                if is_over || actual.runs.contains_key(&task) {
+                    .is_some_and(|last_ended| start.run <= *last_ended);
+                if has_ended || actual.runs.contains_key(&task) {
                     return Outcome::Refused(Refusal::Old);
                 }
                 if now + CLOCK > start.deadline {
@@ -321,11 +321,15 @@
             }
             Order::Stop { key, run, .. } => {
                 let task = (key.job.clone(), key.place);
-                if actual.runs.get(&task).is_some_and(|(own, _)| own == run) {
+                if actual
+                    .runs
+                    .get(&task)
+                    .is_some_and(|(current, _)| current == run)
+                {
                     actual.end(&task, *run, EndCause::Stopped);
                 }
-                let over = actual.over.entry(task).or_default();
-                *over = (*over).max(*run);
+                let last_ended = actual.last_ended.entry(task).or_default();
+                *last_ended = (*last_ended).max(*run);
             }
             Order::Pace { .. } | Order::Withdraw { .. } => {}
         }
--- a/components/cell/tests/decisions/crashes.rs
+++ b/components/cell/tests/decisions/crashes.rs
@@ -67,7 +67,7 @@
 #[test_case(Step { fills: true, ..step(2, 1_000) }, 0, CRASH_AFTER, 3; "best-effort")]
 #[test_case(step(1, 1_000), 0, 700, 3; "within a second")]
 #[test_case(Step { lasting: true, ..step(1, 1_000) }, 0, 4_000, 5; "late")]
-fn crash_limit_fails_job_of_crashing_task(step: Step, place: usize, after: u64, most: u32) {
+fn crash_limit_fails_job_of_crashing_task(step: Step, place: usize, after: u64, expected: u32) {
     let mut sim = Sim::new(12, 1_500);
     sim.submit(
         OTHER,
@@ -82,8 +82,8 @@
     sim.submit(JOB, step);
     sim.crash_on_start(JOB, place, after);
     sim.advance(60_000);
-    assert_eq!(sim.start_count(JOB, place), most, "{:?}", sim.stats);
-    assert_eq!(sim.stats.crashes, most);
+    assert_eq!(sim.start_count(JOB, place), expected, "{:?}", sim.stats);
+    assert_eq!(sim.stats.crashes, expected);
     assert_eq!(sim.state(JOB), Some(State::Failed));
     assert_eq!(sim.state(OTHER), Some(State::Running));
     for number in 0..6 {
@@ -117,12 +117,12 @@
 #[test_case(4_300; "short terms")]
 #[test_case(5_900; "medium terms")]
 #[test_case(7_300; "long terms")]
-fn crash_counts_survive_takeover(tenure: u64) {
+fn crash_counts_survive_takeover(term: u64) {
     let mut sim = Sim::new(8, 1_000);
     sim.submit(JOB, step(1, 1_000));
     sim.crash_on_start(JOB, 0, CRASH_AFTER);
     for _ in 0..20 {
-        sim.advance(tenure);
+        sim.advance(term);
         let records = sim.records();
         sim.take_over(&records);
     }
@@ -246,11 +246,11 @@
     for id in &others {
         assert_eq!(sim.state(id), Some(State::Completed));
     }
-    let took = others
+    let durations = others
         .iter()
         .zip(0..)
         .map(|(id, number)| sim.ended_after(id) - number * 250);
-    let mean = took.sum::<u64>() / others.len() as u64;
+    let mean = durations.sum::<u64>() / others.len() as u64;
     let notified = crashing.iter().map(|id| sim.ended_after(id)).max().unwrap();
     let Stats {
         crashes, lost_runs, ..
@@ -404,7 +404,7 @@
     for id in worker_names(0..LOST) {
         world
             .cell
-            .end_incarnation(&id, "another life answers", world.now);
+            .end_incarnation(&id, "another incarnation answers", world.now);
     }
     let lookups = lookups_per_worker(&world, before);
     assert!((1..=8).contains(&lookups), "{lookups}");
@@ -420,7 +420,7 @@
     for pair in worker_names(0..LOST).chunks(2) {
         world
             .cell
-            .end_incarnation(&pair[0], "another life answers", world.now);
+            .end_incarnation(&pair[0], "another incarnation answers", world.now);
         world.report(&pair[1], vec![], vec![]);
         world.cell.poll_failed(&pair[1], world.now);
     }
--- a/components/cell/tests/decisions/halls.rs
+++ b/components/cell/tests/decisions/halls.rs
@@ -42,7 +42,7 @@
 }
 
 fn hall_of(id: &str) -> &'static str {
-    let (_, hall) = WORKERS.iter().find(|(own, _)| *own == id).unwrap();
+    let (_, hall) = WORKERS.iter().find(|(worker, _)| *worker == id).unwrap();
     hall
 }
 
@@ -181,10 +181,10 @@
         world.cell.take_orders(),
         [(other.clone(), withdrawal.clone())]
     );
-    let told = world
+    let is_deposed = world
         .cell
         .handle_outcome(&other, &withdrawal, Outcome::Done, world.now);
-    assert!(!told);
+    assert!(!is_deposed);
     world.answer(&other, &waiting, Outcome::Refused(Refusal::NotSent));
     let placed = place(&mut world);
     assert!(placed.len() == 1 && hall_of(&placed[0]) != "h1");
--- a/components/cell/tests/decisions/long_running_capacity.rs
+++ b/components/cell/tests/decisions/long_running_capacity.rs
@@ -73,12 +73,12 @@
     let (worker, start) = probe[0].clone();
     world.answer(&worker, &start, Outcome::Done);
     // Reported by the next poll and then every 0.5 s.
-    for tick in 1..6 {
+    for poll in 1..6 {
         world.now += 500;
-        world.cell.rerank(3_100 + tick * 500, world.now);
-        let mut own = run(JOB, 0, 1);
-        own.address = start.address;
-        world.report("w1", vec![own], vec![]);
+        world.cell.rerank(3_100 + poll * 500, world.now);
+        let mut reported = run(JOB, 0, 1);
+        reported.address = start.address;
+        world.report("w1", vec![reported], vec![]);
         if !world.starts().is_empty() {
             return;
         }
--- a/components/cell/tests/decisions/maintenance.rs
+++ b/components/cell/tests/decisions/maintenance.rs
@@ -116,8 +116,8 @@
     let mut world = World::new(&["w1", "w2"]);
     let orders = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
     world.cell.maintenance_refused(&orders[0]);
-    let again = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
-    assert_eq!(again, orders);
+    let repeated = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
+    assert_eq!(repeated, orders);
 }
 
 /// Guards against a worker that stays closed when its wave, or its machine's part in it, is
@@ -179,9 +179,9 @@
     let mut listed = HashMap::new();
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
-        let mut own = run(JOB, 0, start.run);
-        own.address = start.address;
-        listed.insert(worker, own);
+        let mut reported = run(JOB, 0, start.run);
+        reported.address = start.address;
+        listed.insert(worker, reported);
     }
     world.now += 100;
     let orders = world
@@ -191,7 +191,7 @@
     // Another incarnation of the worker replaces the first.
     world
         .cell
-        .end_incarnation(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another incarnation answers", world.now);
     world.list(vec![entry("w3", 4), entry("w2", 4)]);
     let mut orders_to_next = Vec::new();
     let mut moved_job: Option<Id> = None;
@@ -199,8 +199,8 @@
     let mut on_next: Vec<Run> = Vec::new();
     for _ in 0..300 {
         world.now += 100;
-        let kept = listed.get("w2").cloned().into_iter().collect();
-        world.report("w2", kept, vec![]);
+        let running = listed.get("w2").cloned().into_iter().collect();
+        world.report("w2", running, vec![]);
         world.report("w3", on_next.clone(), vec![]);
         world.cell.rerank(world.now, world.now);
         world.cell.place(world.now);
@@ -210,9 +210,9 @@
                     world
                         .cell
                         .handle_outcome(&worker, &order, Outcome::Done, world.now);
-                    let mut own = run(JOB, 0, start.run);
-                    own.address = start.address;
-                    on_next.push(own);
+                    let mut reported = run(JOB, 0, start.run);
+                    reported.address = start.address;
+                    on_next.push(reported);
                     moved_job = Some(start.key.job.clone());
                 }
                 Order::Stop { run, address, .. } if &*worker == "w3" => {
--- a/components/cell/tests/decisions/net_sim.rs
+++ b/components/cell/tests/decisions/net_sim.rs
@@ -9,7 +9,7 @@
 //! the owner reaches the incarnation it is meant for or none, and the first poll on a new
 //! connection is not binding. Orders that a worker executes late reach its current incarnation,
 //! except for starts that expired before the crash: the next incarnation cannot tell this by its
-//! clock, only by its fence, so they are executed only after the owner has shown its fence there. A
+//! clock, only by its fence, so they are delivered only after the owner has shown its fence there. A
 //! crash closes the connections that could carry such a start.
 
 mod machine;
@@ -241,9 +241,9 @@
                 machine.removed_at = Some(now + after);
             }),
             Event::SuspendWrites(time) => self.writes_resume = self.writes_resume.max(now + time),
-            Event::Takeover(held, away) => {
-                self.writes_resume = self.writes_resume.max(now + held);
-                self.owner_dies = Some((now + held, *away));
+            Event::Takeover(suspended, gap) => {
+                self.writes_resume = self.writes_resume.max(now + suspended);
+                self.owner_dies = Some((now + suspended, *gap));
             }
             Event::DropAnswers(range, time, late) => self.for_each_up(range, |machine| {
                 machine.answers_dropped = (now + time, *late)
@@ -297,9 +297,9 @@
     fn run_owner(&mut self) {
         let now = self.now;
         if self.owner_dies.is_some_and(|(at, _)| at <= now)
-            && let Some((_, away)) = self.owner_dies.take()
+            && let Some((_, gap)) = self.owner_dies.take()
         {
-            self.takeover_at = Some(now + away);
+            self.takeover_at = Some(now + gap);
         }
         if let Some(takeover_at) = self.takeover_at {
             if now < takeover_at {
--- a/components/cell/tests/decisions/net_sim/network.rs
+++ b/components/cell/tests/decisions/net_sim/network.rs
@@ -93,7 +93,7 @@
         let is_partitioned = now < machine.partitioned_until;
         if !is_partitioned && machine.id != entry.id {
             if machine.name != entry.name {
-                let cause = "another life answers";
+                let cause = "another incarnation answers";
                 self.cell.end_incarnation(&entry.id, cause, now);
                 return;
             }
--- a/components/cell/tests/decisions/placement.rs
+++ b/components/cell/tests/decisions/placement.rs
@@ -58,9 +58,9 @@
     near.labels = vec!["a".into(), "r7".into()];
     world.list(vec![entry("w1", 4), entry("w2", 4), near]);
     world.report("w3", vec![], vec![]);
-    let mut bound = step(2, 1_000);
-    bound.rack = Some("r7".into());
-    world.submit(JOB, vec![bound]);
+    let mut data_bound = step(2, 1_000);
+    data_bound.rack = Some("r7".into());
+    world.submit(JOB, vec![data_bound]);
     assert_eq!(place(&mut world), ["w3".into(), "w3".into()]);
 }
 
@@ -298,25 +298,25 @@
     best_effort.image = Some("f".into());
     world.submit(JOB, vec![serving]);
     world.submit("00000000000000b2", vec![best_effort]);
-    let mut held = Vec::new();
+    let mut placed = Vec::new();
     for (worker, start) in world.starts() {
         world.answer(&worker, &start, Outcome::Done);
-        held.push((worker, start));
+        placed.push((worker, start));
     }
-    let is_filling = |(_, start): &&(Arc<str>, Start)| start.key.job.as_str() != JOB;
-    let beside = held.iter().find(is_filling).unwrap().0.clone();
+    let is_best_effort = |(_, start): &&(Arc<str>, Start)| start.key.job.as_str() != JOB;
+    let shared_worker = placed.iter().find(is_best_effort).unwrap().0.clone();
     for round in 0..8 {
         world.now += 500;
         for name in names {
             let mut running = Vec::new();
-            for (worker, start) in held.iter().filter(|(worker, _)| &**worker == name) {
+            for (worker, start) in placed.iter().filter(|(worker, _)| &**worker == name) {
                 let mut run = run(start.key.job.as_str(), start.address.index, 1);
-                let is_beside = *worker == beside;
+                let is_shared = *worker == shared_worker;
                 run.figure = if start.key.job.as_str() != JOB {
                     1_500
-                } else if is_beside && round == 6 {
+                } else if is_shared && round == 6 {
                     46
-                } else if is_beside {
+                } else if is_shared {
                     25
                 } else {
                     15
@@ -368,9 +368,9 @@
     world.answer(&worker, &start, Outcome::Done);
     let failed = end(1, JOB, 0, start.run, EndCause::Failed);
     world.report(&worker, vec![], vec![failed]);
-    let again = world.starts();
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].0, worker);
+    let restarts = world.starts();
+    assert_eq!(restarts.len(), 1);
+    assert_ne!(restarts[0].0, worker);
 }
 
 #[test]
@@ -405,9 +405,9 @@
     assert_eq!(probe.len(), 1);
     world.answer(&probe[0].0, &probe[0].1, Outcome::Done);
     let probed = || {
-        let mut own = run(long_running, 0, 1);
-        own.address = probe[0].1.address;
-        vec![own]
+        let mut reported = run(long_running, 0, 1);
+        reported.address = probe[0].1.address;
+        vec![reported]
     };
     world.now += 2_900;
     world.report("w1", probed(), vec![]);
@@ -467,9 +467,9 @@
         }
         for (worker, start) in world.starts() {
             world.answer(&worker, &start, Outcome::Done);
-            let mut own = run(long_running, 0, start.run);
-            own.address = start.address;
-            listed.push(own);
+            let mut reported = run(long_running, 0, start.run);
+            reported.address = start.address;
+            listed.push(reported);
             started_at.push(world.now - 4_000);
         }
         world.now += 100;
--- a/components/cell/tests/decisions/random_faults.rs
+++ b/components/cell/tests/decisions/random_faults.rs
@@ -130,8 +130,8 @@
             0 => (LONG_EVENT_SPAN, 3..=9),
             _ => (EVENT_SPAN, 1..=4),
         };
-        let most = if rng.bool() { 24 } else { 66 };
-        let workers = rng.usize(16..=most);
+        let max_workers = if rng.bool() { 24 } else { 66 };
+        let workers = rng.usize(16..=max_workers);
         let count = rng.usize(2..=6);
         let long_running = (0..count).map(|number| LongRunning {
             at: if number < 3 {
@@ -253,8 +253,8 @@
 
     fn submit_short(&self, sim: &mut NetSim, id: u64, rng: &mut Rng) {
         let (cpu, priority) = (rng.u64(1..=4) * 500, rng.u32(0..=4) / 4);
-        let all = self.workers as u64 * 4_000 * self.load * SHORT_INTERVAL;
-        let tasks = all / (100 * cpu * self.task_ms);
+        let short_load = self.workers as u64 * 4_000 * self.load * SHORT_INTERVAL;
+        let tasks = short_load / (100 * cpu * self.task_ms);
         if tasks > 0 {
             let id = sim.submit(id, step(tasks as u32, cpu), priority);
             if let Some(after) = self.crash_delay.filter(|_| sim.now == 1_000) {
@@ -345,7 +345,7 @@
             | Event::FailRuns(_, time)
             | Event::HideEntry(_, time)
             | Event::DropReports(_, time) => *time,
-            Event::Takeover(held, away) => held + away,
+            Event::Takeover(suspended, gap) => suspended + gap,
             Event::Restart(_, down, behind, _) => down + behind,
             Event::DelayPolls(_, time, late) => time + late,
             Event::DropAnswers(_, time, late) => time + late.unwrap_or_default(),
@@ -354,19 +354,19 @@
 
     /// The same event for a single machine.
     fn for_machine(&self, machine: usize) -> Event {
-        let one = machine..machine + 1;
+        let single = machine..machine + 1;
         match self.clone() {
-            Event::Partition(_, time) => Event::Partition(one, time),
-            Event::Crash(_) => Event::Crash(one),
+            Event::Partition(_, time) => Event::Partition(single, time),
+            Event::Crash(_) => Event::Crash(single),
             Event::Remove(_) => Event::Remove(machine),
             Event::Leave(_, time) => Event::Leave(machine, time),
-            Event::DropAnswers(_, time, late) => Event::DropAnswers(one, time, late),
-            Event::RefuseStarts(_, time, reason) => Event::RefuseStarts(one, time, reason),
-            Event::FailRuns(_, time) => Event::FailRuns(one, time),
-            Event::HideEntry(_, time) => Event::HideEntry(one, time),
-            Event::DropReports(_, time) => Event::DropReports(one, time),
-            Event::Restart(_, down, behind, back) => Event::Restart(one, down, behind, back),
-            Event::DelayPolls(_, time, late) => Event::DelayPolls(one, time, late),
+            Event::DropAnswers(_, time, late) => Event::DropAnswers(single, time, late),
+            Event::RefuseStarts(_, time, reason) => Event::RefuseStarts(single, time, reason),
+            Event::FailRuns(_, time) => Event::FailRuns(single, time),
+            Event::HideEntry(_, time) => Event::HideEntry(single, time),
+            Event::DropReports(_, time) => Event::DropReports(single, time),
+            Event::Restart(_, down, behind, back) => Event::Restart(single, down, behind, back),
+            Event::DelayPolls(_, time, late) => Event::DelayPolls(single, time, late),
             other @ (Event::SuspendWrites(_) | Event::Takeover(..)) => other,
         }
     }
--- a/components/cell/tests/decisions/reused_names.rs
+++ b/components/cell/tests/decisions/reused_names.rs
@@ -75,7 +75,7 @@
 ) -> (Option<Arc<str>>, bool) {
     let now = world.now.max(sent);
     let later = world.cell.handle_successor(asked, born, sent, now);
-    (later.map(|own| own.id), world.cell.is_polled(asked))
+    (later.map(|entry| entry.id), world.cell.is_polled(asked))
 }
 
 /// An order to the previous incarnation may have been executed by its successor: the task is not
@@ -139,7 +139,10 @@
     world.persist();
     world.submit(JOB, vec![step(4, 2_000)]);
     let starts = world.starts();
-    let (_, start) = starts.iter().find(|(own, _)| *own == next).unwrap();
+    let (_, start) = starts
+        .iter()
+        .find(|(assigned, _)| *assigned == next)
+        .unwrap();
     let start = start.clone();
     world.answer(&next, &start, Outcome::Done);
     world.now += 100;
@@ -157,10 +160,10 @@
 fn listing_of_successor_ends_nothing() {
     let (mut world, worker, start) = world_with_start(Some(Outcome::Done));
     let (name, next) = successor_of(&worker);
-    let entries = ["w1", "w2"].map(|own| {
+    let entries = ["w1", "w2"].map(|listed_name| {
         incarnation(
-            own,
-            if own == name {
+            listed_name,
+            if listed_name == name {
                 SECOND_START
             } else {
                 FIRST_START
@@ -185,12 +188,12 @@
 fn listing_forgets_incarnation_that_never_answered() {
     let (mut world, worker, start) = world_with_start(Some(Outcome::Done));
     let (name, next) = successor_of(&worker);
-    let entries = ["w1", "w2"].map(|own| match own == name {
+    let entries = ["w1", "w2"].map(|listed_name| match listed_name == name {
         true => Entry {
             address: "10.0.0.9:1".into(),
-            ..incarnation(own, SECOND_START)
+            ..incarnation(listed_name, SECOND_START)
         },
-        false => incarnation(own, FIRST_START),
+        false => incarnation(listed_name, FIRST_START),
     });
     let added = world.list(entries.to_vec());
     assert_eq!((added.len(), added[0].generation), (1, 1));
@@ -229,12 +232,17 @@
     }
     assert!(!world.cell.has_worker(&worker));
     world.submit(JOB, vec![step(6, 1_000)]);
-    assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
+    assert!(
+        world
+            .starts()
+            .iter()
+            .all(|(assigned, _)| assigned.starts_with("w2"))
+    );
     world.list(vec![
         incarnation("w1", SECOND_START),
         incarnation("w2", FIRST_START),
     ]);
-    assert!(world.starts().iter().any(|(own, _)| *own == next));
+    assert!(world.starts().iter().any(|(assigned, _)| *assigned == next));
 }
 
 /// An entry without a start time was not written by a worker that reports one.
@@ -243,7 +251,12 @@
     let mut world = world();
     world.list(vec![entry("w1", 4), incarnation("w2", FIRST_START)]);
     world.submit(JOB, vec![step(6, 1_000)]);
-    assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
+    assert!(
+        world
+            .starts()
+            .iter()
+            .all(|(assigned, _)| assigned.starts_with("w2"))
+    );
     assert!(world.cell.has_worker(&id("w1", FIRST_START)));
 }
 
@@ -299,7 +312,7 @@
     let inherited = world
         .cell
         .restore_workers(vec![incarnation("w1", FIRST_START)]);
-    assert!(inherited.iter().all(|own| own.generation <= 2));
+    assert!(inherited.iter().all(|entry| entry.generation <= 2));
 }
 
 /// The cell of a new owner, whose listing and persisted fleet contain different incarnations of the
@@ -343,7 +356,7 @@
         incarnation("w1", FIRST_START),
         incarnation("w2", FIRST_START),
     ];
-    entries.retain(|own| &*own.name != name);
+    entries.retain(|entry| &*entry.name != name);
     entries.push(Entry {
         address: "10.0.0.9:1".into(),
         ..incarnation(name, SECOND_START)
@@ -368,8 +381,8 @@
         world.report(&id(other, FIRST_START), runs.clone(), vec![]);
         world.cell.poll_failed(&successor_of(&worker).1, world.now);
         world.cell.expire_leases(world.now);
-        for (own, start) in world.starts() {
-            world.answer(&own, &start, Outcome::Done);
+        for (assigned, start) in world.starts() {
+            world.answer(&assigned, &start, Outcome::Done);
             runs.push(run(JOB, 0, start.run));
         }
     }
@@ -456,7 +469,12 @@
     world.cell.report(&next, report, world.now, world.now, 1);
     assert!(!world.cell.has_worker(&worker));
     assert!(world.cell.admit(submission(JOB, vec![step(6, 1_000)]), 1));
-    assert!(world.starts().iter().all(|(own, _)| own.starts_with("w2")));
+    assert!(
+        world
+            .starts()
+            .iter()
+            .all(|(assigned, _)| assigned.starts_with("w2"))
+    );
 }
 
 /// The worker's wall clock stepped back during its restart: the start time of the successor is
@@ -465,29 +483,34 @@
 fn successor_with_clock_that_stepped_back() {
     let (mut world, worker, _) = world_with_start(Some(Outcome::Done));
     let (name, _) = successor_of(&worker);
-    let back = id(name, FIRST_START - 60_000);
-    let entries = ["w1", "w2"].map(|own| {
-        let born = if own == name {
+    let successor = id(name, FIRST_START - 60_000);
+    let entries = ["w1", "w2"].map(|listed_name| {
+        let born = if listed_name == name {
             FIRST_START - 60_000
         } else {
             FIRST_START
         };
-        incarnation(own, born)
+        incarnation(listed_name, born)
     });
     // By the start times the store is merely outdated.
     assert!(world.list(entries.to_vec()).is_empty());
     world.now += 10;
     let now = world.now;
     let followed = answered_by(&mut world, &worker, FIRST_START - 60_000, now);
-    assert_eq!(followed, (Some(back.clone()), false));
+    assert_eq!(followed, (Some(successor.clone()), false));
     assert!(world.starts().is_empty());
     world.now += 10;
-    world.report(&back, vec![], vec![]);
+    world.report(&successor, vec![], vec![]);
     world.list(entries.to_vec());
     assert!(!world.cell.has_worker(&worker));
     assert_eq!(world.starts().len(), 1);
     world.submit("00000000000000a2", vec![step(7, 1_000)]);
-    assert!(world.starts().iter().any(|(own, _)| *own == back));
+    assert!(
+        world
+            .starts()
+            .iter()
+            .any(|(assigned, _)| *assigned == successor)
+    );
 }
 
 /// A new owner sees both incarnations at once, the later one with a clock that stepped back.
--- a/components/cell/tests/decisions/sim.rs
+++ b/components/cell/tests/decisions/sim.rs
@@ -404,7 +404,7 @@
             }
             if machine.id != entry.id {
                 self.cell
-                    .end_incarnation(&entry.id, "another life answers", self.now);
+                    .end_incarnation(&entry.id, "another incarnation answers", self.now);
                 continue;
             }
             let now = self.now;
--- a/components/cell/tests/decisions/stuck_state.rs
+++ b/components/cell/tests/decisions/stuck_state.rs
@@ -13,7 +13,7 @@
 };
 
 /// Interval of the owner's passes, in milliseconds.
-const TICK: u64 = 100;
+const PASS_INTERVAL: u64 = 100;
 /// Time from the last report of its worker until a long-running task must restart, in milliseconds:
 /// 4.9 s until all leases expire, plus some passes.
 const RESTART_LIMIT: u64 = 6_000;
@@ -27,8 +27,8 @@
 
 impl World {
     /// Runs one pass of the owner, except for polls. Returns the ordered starts.
-    fn tick(&mut self) -> Vec<(Arc<str>, Start)> {
-        self.now += TICK;
+    fn run_pass(&mut self) -> Vec<(Arc<str>, Start)> {
+        self.now += PASS_INTERVAL;
         self.cell.rerank(self.now, self.now);
         self.cell.expire_tickets(self.now);
         self.cell.expire_leases(self.now);
@@ -62,12 +62,12 @@
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world
         .cell
-        .end_incarnation(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another incarnation answers", world.now);
     world.list(vec![entry("w2", 4)]);
     let mut restarts = Vec::new();
-    for _ in 0..RESTART_LIMIT / TICK {
+    for _ in 0..RESTART_LIMIT / PASS_INTERVAL {
         world.report("w2", vec![], vec![]);
-        restarts.extend(world.tick());
+        restarts.extend(world.run_pass());
         restarts.extend(grant_tickets(&mut world));
     }
     assert!(!restarts.is_empty(), "the task does not restart");
@@ -91,7 +91,7 @@
     for _ in 0..200 {
         world.report("w1", vec![], vec![]);
         world.report("w2", vec![], vec![]);
-        restarts.extend(world.tick());
+        restarts.extend(world.run_pass());
         restarts.extend(grant_tickets(&mut world));
     }
     assert!(!restarts.is_empty(), "the task does not restart");
@@ -101,9 +101,9 @@
 fn grant_tickets(world: &mut World) -> Vec<(Arc<str>, Start)> {
     let mut starts = world.starts();
     for question in world.cell.take_advice_queries() {
-        let good = question.workers.iter().cloned();
+        let candidates = question.workers.iter().cloned();
         let advice = Advice {
-            tickets: good
+            tickets: candidates
                 .map(|candidate| (candidate.id, "ticket".into()))
                 .collect(),
             valid_for: 3_000,
@@ -157,7 +157,7 @@
     for _ in 0..20 {
         world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
         world.report(other, vec![], vec![]);
-        world.tick();
+        world.run_pass();
     }
     world.report(&worker, vec![run(JOB, 0, 1)], vec![]);
     let partitioned_at = world.now;
@@ -168,11 +168,11 @@
     };
     let mut runs = BTreeMap::new();
     let mut restarts = None;
-    for tick in 1..=400 {
-        if short_interval > 0 && tick % short_interval == 0 {
-            world.submit(&format!("{tick:016x}"), vec![step(1, 50)]);
+    for pass in 1..=400 {
+        if short_interval > 0 && pass % short_interval == 0 {
+            world.submit(&format!("{pass:016x}"), vec![step(1, 50)]);
         }
-        let starts = world.tick();
+        let starts = world.run_pass();
         partition.apply_failures(&mut world);
         for (id, start) in starts {
             if start.key.job.as_str() == JOB {
@@ -185,7 +185,7 @@
             runs.insert(start.key.job.as_str().to_owned(), start.run);
             world.answer(&id, &start, Outcome::Done);
         }
-        if tick % 5 == 0 {
+        if pass % 5 == 0 {
             world.report(other, runs_of(&runs), vec![]);
         }
     }
@@ -214,8 +214,8 @@
     world.submit(JOB, vec![long_running(1_000)]);
     let mut attempts = Vec::new();
     let mut due: Vec<(u64, Order)> = Vec::new();
-    for tick in 1..=200 {
-        world.now += TICK;
+    for pass in 1..=200 {
+        world.now += PASS_INTERVAL;
         world.cell.rerank(world.now, world.now);
         world.cell.expire_leases(world.now);
         world.cell.place(world.now);
@@ -239,7 +239,7 @@
                     .handle_outcome(&"w1".into(), &order, Outcome::Unknown, now);
             }
         }
-        if tick % 5 == 0 {
+        if pass % 5 == 0 {
             world.report("w1", vec![], vec![]);
             let started = attempts.iter().rev().find(|(_, id, _)| id == "w2");
             let runs: Vec<Run> = started
@@ -271,7 +271,7 @@
     world.cell.poll_failed("w1", world.now);
     for _ in 0..60 {
         world.report("w2", vec![], vec![]);
-        assert!(world.tick().is_empty());
+        assert!(world.run_pass().is_empty());
     }
     assert!(!world.cell.has_worker("w1"));
     world.list(vec![entry("w1", 4), entry("w2", 4)]);
@@ -281,7 +281,7 @@
     for _ in 0..300 {
         world.cell.poll_failed("w1", world.now);
         world.report("w2", vec![], vec![]);
-        restarts.extend(world.tick());
+        restarts.extend(world.run_pass());
         if !restarts.is_empty() {
             break;
         }
@@ -313,7 +313,7 @@
     world.submit(JOB, vec![long_running(1_000)]);
     (0..200).any(|_| {
         world.report("w1", vec![], vec![]);
-        !world.tick().is_empty()
+        !world.run_pass().is_empty()
     })
 }
 
@@ -366,7 +366,7 @@
     world.submit(JOB, vec![long_running(1_000)]);
     world
         .cell
-        .end_incarnation(&"w1".into(), "another life answers", world.now);
+        .end_incarnation(&"w1".into(), "another incarnation answers", world.now);
     assert_eq!(world.starts().len(), 1);
 }
 
@@ -382,11 +382,11 @@
     for _ in 0..9 {
         world.report("w1", vec![run(JOB, 0, 7)], vec![]);
         assert!(!world.stops().is_empty());
-        world.now += TICK;
+        world.now += PASS_INTERVAL;
     }
     let stopped = end(1, JOB, 0, 7, EndCause::Stopped);
     world.report("w1", vec![], vec![stopped]);
-    assert_eq!(world.tick().len(), 1);
+    assert_eq!(world.run_pass().len(), 1);
 }
 
 /// Actions of the second of three owners of a job.
--- a/components/cell/tests/decisions/unreachable.rs
+++ b/components/cell/tests/decisions/unreachable.rs
@@ -151,9 +151,9 @@
 fn partitioned_workers_are_unreachable_before_next_claim() {
     let mut world = serving_workers(&["w1", "w2", "w3", "w4"]);
     let partitioned_at = world.now;
-    let reach = |heard, silent| Reachability {
-        reachable: heard,
-        unreachable: silent,
+    let reach = |reachable, unreachable| Reachability {
+        reachable,
+        unreachable,
     };
     assert_eq!(world.cell.reachability(partitioned_at + 1_000), reach(4, 0));
     for _ in 0..3 {
