--- a/components/cell/tests/decisions/net_sim.rs
+++ b/components/cell/tests/decisions/net_sim.rs
@@ -147,7 +147,8 @@
 }
 
 impl NetSim {
-    /// Creates workers of 4 cores, 8 per rack, whose tasks run for `work` milliseconds.
+    /// Creates workers of 4 cores, 8 per rack, whose tasks run for `task_ms`
+    /// milliseconds.
     pub fn new(workers: usize, task_ms: u64) -> Self {
         let mut sim = NetSim {
             cell: Cell::new(TIMING),
@@ -185,9 +186,9 @@
         sim.reuses_names = true;
         sim.machines = NetSim::new(workers, task_ms).machines;
         for machine in &mut sim.machines {
-            machine.born = Some(START_TIME + 1_000);
-            machine.start_times.extend(machine.born);
-            machine.id = Entry::incarnation_id(&machine.name, machine.born);
+            machine.start_time = Some(START_TIME + 1_000);
+            machine.start_times.extend(machine.start_time);
+            machine.id = Entry::incarnation_id(&machine.name, machine.start_time);
         }
         sim.list();
         sim
@@ -430,12 +431,12 @@
             if self.reuses_names {
                 // No two incarnations of a worker have the same start time, however its clock
                 // steps.
-                let mut born = START_TIME + self.now - machine.clock_back;
-                while !machine.start_times.insert(born) {
-                    born += 1;
+                let mut start_time = START_TIME + self.now - machine.clock_back;
+                while !machine.start_times.insert(start_time) {
+                    start_time += 1;
                 }
-                machine.born = Some(born);
-                machine.id = Entry::incarnation_id(&machine.name, machine.born);
+                machine.start_time = Some(start_time);
+                machine.id = Entry::incarnation_id(&machine.name, machine.start_time);
                 machine.entry_hidden_until = self.now + machine.downtime.1;
             } else {
                 machine.id = format!("w{:04}", self.incarnations).into();
@@ -446,7 +447,7 @@
             machine.crashes_at = None;
             machine.started_at = self.now;
             machine.fence = 0;
-            machine.has_bound_poll = false;
+            machine.was_polled = false;
             machine.lease = 0;
             machine.max_ended_run.clear();
             machine.end_count = 0;
--- a/components/cell/tests/decisions/net_sim/machine.rs
+++ b/components/cell/tests/decisions/net_sim/machine.rs
@@ -31,7 +31,7 @@
     pub id: Arc<str>,
     pub name: Arc<str>,
     /// When the incarnation started, if workers report that.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     /// Start times of all incarnations.
     pub start_times: HashSet<u64>,
     pub address: Arc<str>,
@@ -40,7 +40,7 @@
     pub started_at: u64,
     pub fence: u64,
     /// A poll meant for this incarnation has arrived.
-    pub has_bound_poll: bool,
+    pub was_polled: bool,
     /// Expiry of the lease on the worker's own clock; all runs end then.
     pub lease: u64,
     /// When the worker returns, if it is down.
@@ -79,14 +79,14 @@
         Machine {
             id: format!("w{number:04}").into(),
             name: format!("w{number:04}").into(),
-            born: None,
+            start_time: None,
             start_times: HashSet::new(),
             address: format!("10.0.0.{number}:80").into(),
             rack: number / 8,
             is_leaving: false,
             started_at: 1_000,
             fence: 0,
-            has_bound_poll: false,
+            was_polled: false,
             lease: 0,
             returns_at: None,
             downtime: (DOWNTIME, 0),
@@ -113,7 +113,7 @@
     pub fn entry(&self) -> Entry {
         Entry {
             id: self.id.clone(),
-            started: self.born,
+            started: self.start_time,
             address: self.address.clone(),
             leaving: self.is_leaving,
             labels: vec!["a".into(), format!("r{}", self.rack).into()],
--- a/components/cell/tests/decisions/net_sim/network.rs
+++ b/components/cell/tests/decisions/net_sim/network.rs
@@ -76,8 +76,8 @@
         let Some(mut poll) = self.cell.next_poll(&entry.id, now) else {
             return;
         };
-        let is_bound = !self.reuses_names || self.connected.contains(&entry.id);
-        if !is_bound {
+        let is_binding = !self.reuses_names || self.connected.contains(&entry.id);
+        if !is_binding {
             poll = Poll {
                 deadline: 0,
                 seen: 0,
@@ -103,8 +103,8 @@
             }
             // A poll that is not binding, but shows its fence.
             machine.fence = fence;
-            let born = machine.born.unwrap();
-            self.cell.handle_successor(&entry.id, born, now, now);
+            let start_time = machine.start_time.unwrap();
+            self.cell.handle_successor(&entry.id, start_time, now, now);
             if self.cell.is_polled(&entry.id) {
                 self.fail_poll(&entry.id);
             }
@@ -114,8 +114,8 @@
             self.refuse_poll(entry);
             return;
         }
-        machine.has_bound_poll |= !is_partitioned;
-        let is_delayed = !is_partitioned && is_bound && now < machine.delayed.0;
+        machine.was_polled |= !is_partitioned;
+        let is_delayed = !is_partitioned && is_binding && now < machine.delayed.0;
         if is_delayed {
             self.delayed.push(DelayedPoll {
                 at: now + machine.delayed.1,
@@ -286,7 +286,7 @@
         if machine.returns_at.is_some() || (is_other_incarnation && sent.is_answered) {
             return Outcome::Refused(Refusal::NotSent);
         }
-        if is_other_incarnation && sent.expires < now && !machine.has_bound_poll {
+        if is_other_incarnation && sent.expires < now && !machine.was_polled {
             return Outcome::Refused(Refusal::Late);
         }
         if now < machine.partitioned_until {
@@ -302,12 +302,12 @@
                 let step = &of_job.unwrap().spec.steps[0];
                 let runs_before = machine.runs.len();
                 let outcome = machine.start(start, step, self.task_ms, now);
-                let name = (start.key.job.clone(), start.key.place);
-                if machine.runs.len() > runs_before && self.recorded.contains(&name) {
-                    self.violation = Some(Violation::RestartAfterSuccess(now, name.clone()));
+                let task = (start.key.job.clone(), start.key.place);
+                if machine.runs.len() > runs_before && self.recorded.contains(&task) {
+                    self.violation = Some(Violation::RestartAfterSuccess(now, task.clone()));
                 }
                 if outcome == Outcome::Done
-                    && let Some(after) = self.crashing.get(&name)
+                    && let Some(after) = self.crashing.get(&task)
                 {
                     machine.crashes_at.get_or_insert(now + after);
                     self.last_crash = now + after;
--- a/components/cell/tests/decisions/reused_names.rs
+++ b/components/cell/tests/decisions/reused_names.rs
@@ -14,17 +14,17 @@
 const SECOND_START: u64 = FIRST_START + 4_000;
 const THIRD_START: u64 = FIRST_START + 9_000;
 
-/// The entry of a worker of 4 cores whose incarnation started at `born`.
-fn incarnation(name: &str, born: u64) -> Entry {
+/// The entry of a worker of 4 cores whose incarnation started at `start_time`.
+fn incarnation(name: &str, start_time: u64) -> Entry {
     Entry {
-        id: Entry::incarnation_id(name, Some(born)),
-        started: Some(born),
+        id: Entry::incarnation_id(name, Some(start_time)),
+        started: Some(start_time),
         ..entry(name, 4)
     }
 }
 
-fn id(name: &str, born: u64) -> Arc<str> {
-    Entry::incarnation_id(name, Some(born))
+fn id(name: &str, start_time: u64) -> Arc<str> {
+    Entry::incarnation_id(name, Some(start_time))
 }
 
 /// Creates a world in which `w1` and `w2` are listed and have reported.
@@ -65,16 +65,16 @@
     added.unwrap()
 }
 
-/// A poll of the incarnation `asked`, sent at `sent`, is answered by one that started at `born`.
+/// A poll of the incarnation `asked`, sent at `sent`, is answered by one that started at `start_time`.
 /// Returns the answering one if it is new, and whether `asked` is still polled.
 fn answered_by(
     world: &mut World,
     asked: &Arc<str>,
-    born: u64,
+    start_time: u64,
     sent: u64,
 ) -> (Option<Arc<str>>, bool) {
     let now = world.now.max(sent);
-    let later = world.cell.handle_successor(asked, born, sent, now);
+    let later = world.cell.handle_successor(asked, start_time, sent, now);
     (later.map(|entry| entry.id), world.cell.is_polled(asked))
 }
 
@@ -412,19 +412,19 @@
 /// A machine is done when its worker has returned after maintenance under the same name.
 #[test_case(true, false; "a later incarnation is listed")]
 #[test_case(false, true; "the machine was seen down")]
-fn wave_completes_under_same_name(lists: bool, sees: bool) {
+fn wave_completes_under_same_name(is_listed: bool, is_seen_down: bool) {
     let mut world = world();
     let wave = wave();
     let orders = world
         .cell
         .plan_maintenance(from_ref(&wave), &[machine(true)], world.now);
     assert_eq!(orders.len(), 1);
-    if sees {
+    if is_seen_down {
         world
             .cell
             .plan_maintenance(from_ref(&wave), &[machine(false)], world.now);
     }
-    if lists {
+    if is_listed {
         answer_as_next(&mut world, &id("w1", FIRST_START));
         world.list(vec![
             incarnation("w1", SECOND_START),
@@ -485,12 +485,12 @@
     let (name, _) = successor_of(&worker);
     let successor = id(name, FIRST_START - 60_000);
     let entries = ["w1", "w2"].map(|listed_name| {
-        let born = if listed_name == name {
+        let start_time = if listed_name == name {
             FIRST_START - 60_000
         } else {
             FIRST_START
         };
-        incarnation(listed_name, born)
+        incarnation(listed_name, start_time)
     });
     // By the start times the store is merely outdated.
     assert!(world.list(entries.to_vec()).is_empty());
--- a/components/cell/tests/decisions/sim.rs
+++ b/components/cell/tests/decisions/sim.rs
@@ -92,7 +92,8 @@
 }
 
 impl Sim {
-    /// Creates workers of 4 cores, 8 per rack, whose tasks run for `work` milliseconds.
+    /// Creates workers of 4 cores, 8 per rack, whose tasks run for `task_ms`
+    /// milliseconds.
     pub fn new(workers: usize, task_ms: u64) -> Self {
         let mut sim = Sim {
             cell: Cell::new(TIMING),
