--- a/components/cell/src/crashes/trial.rs
+++ b/components/cell/src/crashes/trial.rs
@@ -140,7 +140,7 @@
     /// rack may be gone for good.
     fn has_isolated_suspect(&self, id: &Id) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            let mut places = job.suspects.difference(&job.untried);
+            let mut places = job.suspects.difference(&job.unplaceable);
             places.any(|&place| self.suspicion(id, place) == Suspicion::Alone)
         })
     }
@@ -148,7 +148,7 @@
     /// Notes that no worker can take a task that needs an isolated trial.
     pub(crate) fn mark_unplaceable(&mut self, id: &Id, place: usize) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.untried.insert(place);
+            job.unplaceable.insert(place);
         }
     }
 
@@ -230,5 +230,5 @@
 /// Cost of a crash of the worker, in millicores.
 pub(crate) fn crash_cost(worker: &Worker) -> u64 {
     let new_runs = worker.slots.values().filter(|slot| worker.is_early(slot));
-    worker.reserved.cpu + worker.filling_cpu + new_runs.count() as u64 * NEW_RUN_COST
+    worker.reserved.cpu + worker.best_effort_cpu + new_runs.count() as u64 * NEW_RUN_COST
 }
