--- a/components/kernel/src/lib.rs
+++ b/components/kernel/src/lib.rs
@@ -1,35 +1,35 @@
-//! Kernel of magpiesaddle: what every part needs and no part should write twice.
+//! Infrastructure shared by all crates of magpiesaddle.
 //!
-//! Settings, logs, metrics, verdicts, the registry of plug-ins, actors on their threads, and
-//! HTTP in both directions. Nothing in here knows what is scheduled.
+//! Settings, logging, metrics, request verdicts, the plug-in registry, actors on their own threads,
+//! and an HTTP client and server. It contains no scheduling logic.
 
+pub mod actor;
 pub mod client;
 pub mod clock;
 pub mod daemon;
-pub mod edge;
-pub mod host;
-mod line;
+mod json_log;
 pub mod logs;
-pub mod net;
 pub mod ops;
 pub mod plugin;
+pub mod public_server;
+mod reuse;
+pub mod runtime;
 pub mod server;
 pub mod settings;
-pub mod stop;
+pub mod shutdown;
 pub mod sync;
 pub mod task;
-mod time;
+mod timeout;
 pub mod token;
 pub mod traffic;
-mod trust;
 pub mod verdict;
-pub mod wall;
+pub mod wall_clock;
 pub mod wire;
 
-pub use client::{Answer, Call, Client};
-pub use host::{Host, Remote};
+pub use actor::{ActorRef, ActorThread};
+pub use client::{Call, Client, HttpResponse};
 pub use server::{Reply, Request, Server};
 pub use verdict::{Failure, Verdict};
 
-// Parts that hold actors name the runtime through the kernel, so that one version is used.
+// Re-exported so that all crates with actors use the same version of the runtime.
 pub use stakker;
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -145,7 +145,7 @@
         crate::store::MAX_ENTRIES,
         cell::{Cell, Timing},
         job::{Queue, Spec, Step, Submission, spec::Size},
-        kernel::host::Answerer,
+        kernel::actor::Responder,
         std::time::Duration,
     };
 
@@ -217,7 +217,7 @@
     #[test]
     fn build_release_with_pending_records() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
-        let (handover, _released) = Answerer::pair();
+        let (handover, _released) = Responder::channel();
         ownership.handover = Some(handover);
         let group = Group::build(&settings(), &mut ownership, 0);
         assert!(group.is_release && !group.cell_change.records.is_empty());
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -22,9 +22,9 @@
     },
     cell::{AdviceQuery, Cell, Entry, Poll},
     kernel::{
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::{
         collections::{HashMap, HashSet},
@@ -57,7 +57,7 @@
     /// The next group has to write the owner's key again.
     pub republish: bool,
     /// Set when the next group has to release the cell; is sent true once that is done.
-    pub handover: Option<Answerer<bool>>,
+    pub handover: Option<Responder<bool>>,
     /// Connections, by worker.
     links: HashMap<Arc<str>, Link>,
     /// The relays, which connect to workers on behalf of this box.
@@ -65,11 +65,11 @@
     /// Sender for questions to the placement advisor; set with the first question.
     questions: Option<Sender<AdviceQuery>>,
     /// Local worker tasks that wait for their next poll.
-    pending_polls: HashMap<Arc<str>, Answerer<Option<Poll>>>,
+    pending_polls: HashMap<Arc<str>, Responder<Option<Poll>>>,
     /// Workers whose next poll waits until the ends of their tasks are stored.
     unwritten: HashSet<Arc<str>>,
     /// The writer thread, while it waits for the next group.
-    writer: Option<Answerer<Option<Group>>>,
+    writer: Option<Responder<Option<Group>>>,
     /// Time of the last tick.
     last_tick: u64,
     /// When the store last confirmed the ownership, by a lease renewal or a write.
@@ -231,7 +231,9 @@
         metrics::gauge!("magpie_cell_cores_filling_waiting")
             .set(summary.waiting_best_effort as f64 / 1e3);
         metrics::gauge!("magpie_cell_trials").set(summary.trials as f64);
-        let long_waits = ownership.cell.log_overdue(wall::millis(), time::now());
+        let long_waits = ownership
+            .cell
+            .log_overdue(wall_clock::millis(), time::now());
         metrics::gauge!("magpie_cell_lasting_overdue").set(long_waits as f64);
         metrics::gauge!("magpie_cell_places_lost").set(ownership.cell.misplaced_tasks() as f64);
         after!(SUMMARY_INTERVAL, [cx], |this, cx| this
@@ -255,7 +257,7 @@
 
     /// Releases the cell with the next group; answers true once that is done, or false if this box
     /// does not own the cell.
-    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Answerer<bool>) {
+    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Responder<bool>) {
         let Some(ownership) = &mut self.ownership else {
             answerer.send(false);
             return;
@@ -271,8 +273,8 @@
         ownership.last_tick = time::now();
         ownership.check_isolation();
         ownership.cell.log_done(time::now());
-        ownership.cell.activate_due_steps(wall::millis());
-        ownership.cell.rerank(wall::millis(), time::now());
+        ownership.cell.activate_due_steps(wall_clock::millis());
+        ownership.cell.rerank(wall_clock::millis(), time::now());
         ownership.cell.expire_tickets(time::now());
         ownership.cell.relocate(time::now());
         ownership.cell.expire_leases(time::now());
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -10,7 +10,7 @@
         message::{ClosedHall, PeerRequest, PeerResponse, RelayRequest},
         settings::{PEER_RETRY, PEER_TIMEOUT},
     },
-    kernel::{Failure, Request, client::Time, server},
+    kernel::{Failure, Request, client::Timeout, server},
     std::sync::Arc,
 };
 
@@ -27,7 +27,7 @@
     let time = match request {
         // These calls are not retried: the refusal of a retry would not show whether the first
         // attempt took effect.
-        PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Time::from(PEER_TIMEOUT),
+        PeerRequest::Submit(_) | PeerRequest::Cancel(_) => Timeout::from(PEER_TIMEOUT),
         _ => PEER_RETRY,
     };
     node.client.post(&url, request, time)
@@ -85,7 +85,7 @@
     node.remote.tell(move |core, cx| {
         let response = Ok(core.handle_exchange(cx, exchange));
         request.respond(if has_narrow_link {
-            server::Reply::packed(&response)
+            server::Reply::compressed(&response)
         } else {
             server::Reply::compact(&response)
         });
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -10,7 +10,7 @@
         time,
     },
     cell::{Entry, Order, Outcome, Refusal},
-    kernel::{Failure, net, verdict::Cause},
+    kernel::{Failure, runtime, verdict::Cause},
 };
 
 /// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the
@@ -19,7 +19,7 @@
     let (sender, orders) = order_queue::channel();
     let poll_task = poll(node.clone(), fence, entry.clone());
     let send_task = send(node.clone(), fence, entry, orders);
-    match net::spawn(poll_task).and_then(|()| net::spawn(send_task)) {
+    match runtime::spawn(poll_task).and_then(|()| runtime::spawn(send_task)) {
         Ok(()) => Some(sender),
         Err(error) => {
             log::error!(target: "owner", error:% = error; "The tasks that connect to a worker could not be started.");
@@ -30,7 +30,7 @@
 
 async fn poll(node: Node, fence: u64, entry: Entry) {
     let id = entry.id.clone();
-    let first = node.remote.answered(move |core, _, answerer| {
+    let first = node.remote.ask_async(move |core, _, answerer| {
         answerer.send(core.first_poll(fence, &id));
     });
     let Ok(mut next) = first.await else {
@@ -41,10 +41,10 @@
         let result = node.external.workers.poll(&entry, fence, poll).await;
         if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_RETRY_PAUSE).await;
+            runtime::sleep(POLL_RETRY_PAUSE).await;
         }
         let id = entry.id.clone();
-        let answer = node.remote.answered(move |core, cx, answerer| {
+        let answer = node.remote.ask_async(move |core, cx, answerer| {
             core.handle_poll(cx, fence, &id, sent, result, answerer);
         });
         next = answer.await.unwrap_or_default();
@@ -90,7 +90,7 @@
     {
         let (own, job) = (node.clone(), start.key.job.clone());
         let read = move || own.specs.text(&*own.external.store, &job);
-        match net::blocking(read)
+        match runtime::spawn_blocking(read)
             .await
             .unwrap_or_else(|| Err(read_panicked()))
         {
--- a/programs/box/src/ports.rs
+++ b/programs/box/src/ports.rs
@@ -4,7 +4,7 @@
     crate::cli::Setup,
     kernel::{
         Request, Server, ops,
-        server::{Bounds, INSIDE, Reply, Service},
+        server::{Bounds, INTERNAL, Reply, Service},
     },
     node::{Node, message::ClosedHall, peer},
     platform::callers,
@@ -21,7 +21,7 @@
 
 /// Limits of the port for callers. A box has 3,900 file descriptors for sockets.
 const CALLER_BOUNDS: Bounds = Bounds {
-    connections: 800,
+    max_connections: 800,
     idle: Duration::from_secs(60),
 };
 /// Maximum number of concurrent requests of callers. Each one occupies a thread while it waits for
@@ -77,11 +77,11 @@
 ) -> io::Result<Server> {
     let (first, second) = (node.clone(), node.clone());
     let service = Service {
-        quick: Arc::new(move |request| quick(&first, request)),
+        fast: Arc::new(move |request| quick(&first, request)),
         handler: Arc::new(move |request| handler(&second, request)),
-        tasks,
+        concurrency: tasks,
     };
-    Server::open_within(address, INSIDE, None, service)
+    Server::open_with_bounds(address, INTERNAL, None, service)
 }
 
 fn open_callers(
@@ -91,7 +91,7 @@
 ) -> io::Result<Server> {
     let (node, count) = (node.clone(), in_progress.clone());
     let service = Service {
-        quick: Arc::new(move |request| {
+        fast: Arc::new(move |request| {
             count.fetch_add(1, Ordering::AcqRel);
             Some(request)
         }),
@@ -100,9 +100,9 @@
             request.respond(reply);
             in_progress.fetch_sub(1, Ordering::AcqRel);
         }),
-        tasks: CALLER_TASKS,
+        concurrency: CALLER_TASKS,
     };
-    Server::open_within(address, CALLER_BOUNDS, None, service)
+    Server::open_with_bounds(address, CALLER_BOUNDS, None, service)
 }
 
 fn handle_ready(node: &Node, request: Request) -> Option<Request> {
