--- a/components/kernel/src/token.rs
+++ b/components/kernel/src/token.rs
@@ -42,10 +42,13 @@
 ///
 /// # Errors
 ///
-/// A message that does not contain the secret, if the file cannot be read or the token is empty.
+/// A description of the expected setting, without the secret, if the file cannot be read or the token
+/// is empty.
 pub fn load(file: Option<&str>) -> Result<Option<Token>, String> {
     let text = match file {
-        Some(path) => fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?,
+        Some(path) => {
+            fs::read_to_string(path).map_err(|e| format!("a readable file ({path}: {e})"))?
+        }
         None => match env::var(VARIABLE) {
             Ok(text) => text,
             Err(_) => return Ok(None),
@@ -53,7 +56,7 @@
     };
     let token = Token::new(&text);
     if token.0.is_empty() {
-        return Err("the token is empty".to_owned());
+        return Err("a non-empty token".to_owned());
     }
     Ok(Some(token))
 }
