--- a/components/cell/tests/decisions/restart_times.rs
+++ b/components/cell/tests/decisions/restart_times.rs
@@ -300,11 +300,11 @@
     sim.remove(0);
     for _ in 0..1_000 {
         sim.advance(10);
-        if sim.cell.summary(sim.now).waiting > 0 {
+        if sim.cell.summary(sim.now).waiting_cpu > 0 {
             break;
         }
     }
-    assert!(sim.cell.summary(sim.now).waiting > 0);
+    assert!(sim.cell.summary(sim.now).waiting_cpu > 0);
     sim.advance(200);
     assert_eq!(sim.cell.log_overdue(sim.now, sim.now), 0);
 }
