--- a/components/burn/examples/report.rs
+++ b/components/burn/examples/report.rs
@@ -28,6 +28,6 @@
     let silent = vec![Arc::from("b3")];
     print!(
         "{}",
-        report::text(&report::build(&samples, silent, 0.99, 86_405))
+        report::render(&report::build(&samples, silent, 0.99, 86_405))
     );
 }
--- a/components/burn/src/lib.rs
+++ b/components/burn/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod report;
 pub mod series;
 
-pub use report::{Line, Report};
+pub use report::{Report, ServiceReport};
 pub use series::{Bucket, Series};
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -35,7 +35,7 @@
 
 /// One service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ServiceReport {
     /// The class.
     pub class: Arc<str>,
     /// The latency target, in milliseconds.
@@ -56,7 +56,7 @@
     /// The gates that did not answer.
     pub silent: Vec<Arc<str>>,
     /// The services.
-    pub lines: Vec<Line>,
+    pub lines: Vec<ServiceReport>,
 }
 
 /// Works the report out from what the gates told.
@@ -76,13 +76,19 @@
     }
 }
 
-fn line(samples: &[Sample], class: &Arc<str>, target: u32, objective: f64, now: u64) -> Line {
+fn line(
+    samples: &[Sample],
+    class: &Arc<str>,
+    target: u32,
+    objective: f64,
+    now: u64,
+) -> ServiceReport {
     let mut windows = Vec::new();
     for (seconds, name) in WINDOWS {
         let mut counts = Bucket::default();
         for sample in samples {
             if let Some(series) = sample.series.get(class) {
-                counts.add(series.last(now, seconds));
+                counts.add(series.window(now, seconds));
             }
         }
         let missed = if counts.total == 0 {
@@ -99,7 +105,7 @@
         });
     }
     let left = 1.0 - windows.last().map_or(0.0, |window| window.rate);
-    Line {
+    ServiceReport {
         class: class.clone(),
         target,
         left,
@@ -108,7 +114,7 @@
 }
 
 /// Writes the report for a terminal.
-pub fn text(report: &Report) -> String {
+pub fn render(report: &Report) -> String {
     let mut out = String::new();
     let objective = report.objective * 100.0;
     let _ = writeln!(
@@ -186,6 +192,6 @@
     #[test]
     fn text_names_silent() {
         let report = build(&[], vec![Arc::from("b3")], 0.99, 0);
-        assert!(text(&report).contains("Gate b3 does not answer"));
+        assert!(render(&report).contains("Gate b3 does not answer"));
     }
 }
--- a/components/burn/src/series.rs
+++ b/components/burn/src/series.rs
@@ -6,13 +6,13 @@
 };
 
 /// The length of a fine bucket, in seconds.
-pub const FINE: u64 = 10;
+pub const FINE_SECONDS: u64 = 10;
 
 /// Fine buckets kept: one hour and some room.
 const FINE_KEPT: u64 = 370;
 
 /// The length of a coarse bucket, in seconds.
-pub const COARSE: u64 = 300;
+pub const COARSE_SECONDS: u64 = 300;
 
 /// Coarse buckets kept: three days.
 const COARSE_KEPT: u64 = 864;
@@ -85,16 +85,16 @@
 impl Series {
     /// Adds counts at a time in seconds since 1970.
     pub fn add(&mut self, now: u64, counts: Bucket) {
-        self.fine.add(now / FINE, FINE_KEPT, counts);
-        self.coarse.add(now / COARSE, COARSE_KEPT, counts);
+        self.fine.add(now / FINE_SECONDS, FINE_KEPT, counts);
+        self.coarse.add(now / COARSE_SECONDS, COARSE_KEPT, counts);
     }
 
     /// The counts of the last seconds before `now`.
-    pub fn last(&self, now: u64, seconds: u64) -> Bucket {
+    pub fn window(&self, now: u64, seconds: u64) -> Bucket {
         let (ring, step) = if seconds <= 3600 {
-            (&self.fine, FINE)
+            (&self.fine, FINE_SECONDS)
         } else {
-            (&self.coarse, COARSE)
+            (&self.coarse, COARSE_SECONDS)
         };
         ring.sum((now / step + 1).saturating_sub(seconds.div_ceil(step)))
     }
@@ -121,7 +121,7 @@
                 },
             );
         }
-        assert_eq!(series.last(25_199, seconds).total, expected);
+        assert_eq!(series.window(25_199, seconds).total, expected);
     }
 
     #[test]
--- a/components/cell/src/gang.rs
+++ b/components/cell/src/gang.rs
@@ -32,10 +32,9 @@
         step: &Step,
         now: u64,
     ) {
-        let left = self
-            .jobs
-            .get(&rank.id)
-            .map_or(0, |job| job.progress.left(address.time, address.step));
+        let left = self.jobs.get(&rank.id).map_or(0, |job| {
+            job.progress.remaining_tasks(address.time, address.step)
+        });
         let has_unpersisted_crashes =
             |&place: &usize| self.has_unpersisted_crashes(&rank.id, place);
         let is_blocked =
@@ -64,9 +63,11 @@
             return;
         };
         let tasks = &mut job.progress.tasks;
-        let saved = places.iter().find_map(|&place| tasks[place].saved.clone());
+        let saved = places
+            .iter()
+            .find_map(|&place| tasks[place].checkpoint.clone());
         for &place in places {
-            tasks[place].saved = saved.clone();
+            tasks[place].checkpoint = saved.clone();
         }
     }
 
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -96,7 +96,9 @@
         let steps = spec.steps.len();
         for number in 0..job.steps_ready.len() {
             let (time, step) = ((number / steps) as u32, (number % steps) as u16);
-            if job.steps_ready[number] || wall < spec.due(time) || !job.progress.is_open(time, step)
+            if job.steps_ready[number]
+                || wall < spec.due(time)
+                || !job.progress.is_ready(time, step)
             {
                 continue;
             }
@@ -139,7 +141,7 @@
                 continue;
             };
             job.urgent |= is_urgent;
-            if job.progress.submission.spec.is_lasting() {
+            if job.progress.submission.spec.is_long_running() {
                 let since = *job.waiting_since.get_or_insert(wall);
                 job.overdue = wall > since + OVERDUE_AFTER;
                 if job.overdue {
@@ -147,7 +149,7 @@
                 }
                 continue;
             }
-            let min_rest = job.progress.rest() * MIN_ESTIMATE / 100;
+            let min_rest = job.progress.remaining_path() * MIN_ESTIMATE / 100;
             if !rank.late && wall + min_rest > rank.objective {
                 late.push(rank.clone());
             }
@@ -206,7 +208,7 @@
         if job.progress.state.is_final() {
             return;
         }
-        log::info!(target: "cell", job = id.as_str(), state = state.word(); "Job ended.");
+        log::info!(target: "cell", job = id.as_str(), state = state.as_str(); "Job ended.");
         job.progress.state = state;
         job.progress.ended = wall;
         job.ready.clear();
@@ -235,7 +237,7 @@
     let span = (queue.stretch * chain as f64) as u64 + queue.target;
     Rank {
         priority: queue.priority,
-        lasting: submission.spec.is_lasting(),
+        lasting: submission.spec.is_long_running(),
         late: false,
         objective: submission.accepted.max(submission.spec.due(0)) + span,
         span,
--- a/components/cell/src/overdue.rs
+++ b/components/cell/src/overdue.rs
@@ -58,7 +58,7 @@
             let Some(since) = job.waiting_since.filter(|since| wall > since + LOG_AFTER) else {
                 continue;
             };
-            if !job.progress.submission.spec.is_lasting() {
+            if !job.progress.submission.spec.is_long_running() {
                 continue;
             }
             for &place in &job.ready {
@@ -122,7 +122,7 @@
         let mut count = 0;
         for (id, job) in &self.jobs {
             let is_over = job.progress.state.is_final();
-            if is_over || !job.progress.submission.spec.is_lasting() {
+            if is_over || !job.progress.submission.spec.is_long_running() {
                 continue;
             }
             for (place, task) in job.progress.tasks.iter().enumerate() {
--- a/components/cell/src/persistence.rs
+++ b/components/cell/src/persistence.rs
@@ -129,7 +129,7 @@
             return;
         };
         if job.written_state != record.state {
-            log::info!(target: "cell", job = id.as_str(), state = record.state.word(); "State of a job persisted.");
+            log::info!(target: "cell", job = id.as_str(), state = record.state.as_str(); "State of a job persisted.");
         }
         job.written_state = record.state;
         if job.crash_unpersisted && record.crashed == job.progress.crashed() {
--- a/components/cell/src/place.rs
+++ b/components/cell/src/place.rs
@@ -324,7 +324,7 @@
     pub(crate) fn reset_waiting(&mut self) {
         self.waiting_since = None;
         self.overdue = false;
-        self.rank.lasting = self.progress.submission.spec.is_lasting();
+        self.rank.lasting = self.progress.submission.spec.is_long_running();
     }
 
     /// Marks a ready task as placed on a worker. Returns the order to start it.
@@ -335,7 +335,7 @@
         task.phase = Phase::Placed(id.clone());
         self.ready.remove(&place);
         self.unplaceable.remove(&place);
-        let saved = task.saved.clone();
+        let saved = task.checkpoint.clone();
         let spec = &self.progress.submission.spec;
         let address = spec.address(place);
         Start {
--- a/components/cell/src/report.rs
+++ b/components/cell/src/report.rs
@@ -291,8 +291,8 @@
             return;
         };
         let task = &mut job.progress.tasks[key.place];
-        if task.phase != Phase::Done && task.saved.as_ref() != Some(saved) {
-            task.saved = Some(saved.clone());
+        if task.phase != Phase::Done && task.checkpoint.as_ref() != Some(saved) {
+            task.checkpoint = Some(saved.clone());
         }
     }
 
--- a/components/cell/src/run_end.rs
+++ b/components/cell/src/run_end.rs
@@ -170,7 +170,7 @@
                 duplicates.push((worker.clone(), place));
             }
             job.ready.remove(&place);
-            job.progress.finish(place);
+            job.progress.mark_done(place);
         }
         if job.ready.is_empty() {
             self.ready_jobs.remove(&job.rank);
@@ -193,7 +193,7 @@
         let is_done = job.progress.tasks[key.place].phase == Phase::Done;
         // Long-running tasks may fail any number of times. A previous owner may have recorded this
         // failure already.
-        if is_done || is_lasting || !job.progress.fail(key.place, run) {
+        if is_done || is_lasting || !job.progress.record_failure(key.place, run) {
             if was_held {
                 self.requeue_if_unplaced(key);
             }
--- a/components/cell/tests/decisions/yard.rs
+++ b/components/cell/tests/decisions/yard.rs
@@ -447,7 +447,7 @@
         if lost > 0 {
             self.fault = Some(Fault::Lost(self.now, lost));
         }
-        let lasting = self.jobs.iter().filter(|own| own.spec.is_lasting());
+        let lasting = self.jobs.iter().filter(|own| own.spec.is_long_running());
         for Submission { id, .. } in lasting {
             let is_poisoned = self.crashing.keys().any(|(job, _)| job == id);
             if self.cell.state(id) == Some(State::Failed) && !is_poisoned {
@@ -479,7 +479,7 @@
         for Submission { id, spec, .. } in &self.jobs {
             let is_over = self.cell.state(id).is_some_and(State::is_final);
             let is_poisoned = self.crashing.keys().any(|(job, _)| job == id);
-            if spec.is_lasting() || is_over || is_poisoned {
+            if spec.is_long_running() || is_over || is_poisoned {
                 continue;
             }
             let mut names = self.machines.iter().flat_map(|own| own.runs.keys());
@@ -497,7 +497,7 @@
         let mut waiting = HashSet::new();
         for Submission { id, spec, .. } in &self.jobs {
             let is_over = self.cell.state(id).is_some_and(State::is_final);
-            if !spec.is_lasting() || is_over {
+            if !spec.is_long_running() || is_over {
                 continue;
             }
             let step = &spec.steps[0];
--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -16,7 +16,7 @@
         task::Signal,
         token::Token,
     },
-    members::roster::Roster,
+    members::watcher::BoxWatcher,
     std::{
         io,
         net::SocketAddr,
@@ -69,7 +69,7 @@
     ready: Readiness,
     server: Server,
     host: Host<Gate>,
-    _roster: Roster,
+    _roster: BoxWatcher,
     follower: Follower,
 }
 
@@ -106,7 +106,7 @@
             let list = list.clone();
             on_list.tell(move |gate, cx| gate.set_list(&list, cx.now()));
         });
-        let roster = Roster::start(settings.boxes, LIST_EVERY, changed)?;
+        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, changed)?;
         let follower = Follower::start(
             settings.name,
             roster.view().clone(),
--- a/components/infra/examples/settle.rs
+++ b/components/infra/examples/read_back.rs
@@ -1,9 +1,9 @@
 //! A write whose reply is lost, and what is known of it afterwards:
-//! `cargo run -p magpie-infra --example settle`.
+//! `cargo run -p magpie-infra --example read_back`.
 
 use {
     kernel::{Failure, verdict::Cause},
-    magpie_infra::{Store, Swap, Versioned, settle},
+    magpie_infra::{Store, Swap, Versioned, read_back},
     std::{sync::Mutex, time::Duration},
 };
 
@@ -35,5 +35,5 @@
     let store = Lossy {
         value: Mutex::new(None),
     };
-    println!("{}", settle::swap(&store, "key", 0, b"mine"));
+    println!("{}", read_back::swap(&store, "key", 0, b"mine"));
 }
--- a/components/infra/src/budget.rs
+++ b/components/infra/src/budget.rs
@@ -7,7 +7,7 @@
 
 /// How urgent a call is; the less urgent leave room for the more urgent, which come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum Priority {
     /// Raising a cell's epoch.
     Takeover,
     /// Writing down what must last.
@@ -16,30 +16,30 @@
     Read,
 }
 
-impl Rank {
+impl Priority {
     /// The share of the burst that a call of this rank must leave untouched, in percent.
     const fn reserve(self) -> f64 {
         match self {
-            Rank::Takeover => 0.0,
-            Rank::Durable => 0.2,
-            Rank::Read => 0.5,
+            Priority::Takeover => 0.0,
+            Priority::Durable => 0.2,
+            Priority::Read => 0.5,
         }
     }
 }
 
 /// A token bucket with reserves by rank.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
     filled: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `burst` calls that regains `rate` calls a second.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
-        Bucket {
+        TokenBucket {
             rate,
             burst,
             tokens: burst,
@@ -48,7 +48,7 @@
     }
 
     /// Takes one call if the rank may have it now.
-    pub fn take(&mut self, rank: Rank, now: Instant) -> bool {
+    pub fn try_take(&mut self, rank: Priority, now: Instant) -> bool {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         self.tokens = (self.tokens + passed * self.rate).min(self.burst);
         self.filled = self.filled.max(now);
@@ -60,9 +60,9 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     /// How long until a call of this rank may be made; zero when it may now.
-    pub fn until(&self, rank: Rank, now: Instant) -> Duration {
+    pub fn wait_time(&self, rank: Priority, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         let tokens = (self.tokens + passed * self.rate).min(self.burst);
         let lacking = self.burst * rank.reserve() + 1.0 - tokens;
@@ -83,26 +83,26 @@
 mod tests {
     use {super::*, test_case::test_case};
 
-    #[test_case(Rank::Takeover, 10; "takeover may empty it")]
-    #[test_case(Rank::Durable, 8; "durable leaves a fifth")]
-    #[test_case(Rank::Read, 5; "read leaves half")]
-    fn take_by_rank(rank: Rank, expected: usize) {
+    #[test_case(Priority::Takeover, 10; "takeover may empty it")]
+    #[test_case(Priority::Durable, 8; "durable leaves a fifth")]
+    #[test_case(Priority::Read, 5; "read leaves half")]
+    fn take_by_rank(rank: Priority, expected: usize) {
         let now = Instant::now();
-        let mut bucket = Bucket::new(1.0, 10.0, now);
-        let taken = (0..100).filter(|_| bucket.take(rank, now)).count();
+        let mut bucket = TokenBucket::new(1.0, 10.0, now);
+        let taken = (0..100).filter(|_| bucket.try_take(rank, now)).count();
         assert_eq!(taken, expected);
-        assert!(bucket.take(rank, now + Duration::from_millis(1001)));
+        assert!(bucket.try_take(rank, now + Duration::from_millis(1001)));
     }
 
     #[test]
     fn until_then_take() {
         let now = Instant::now();
-        let mut bucket = Bucket::new(2.0, 4.0, now);
-        while bucket.take(Rank::Durable, now) {}
-        let wait = bucket.until(Rank::Durable, now);
+        let mut bucket = TokenBucket::new(2.0, 4.0, now);
+        while bucket.try_take(Priority::Durable, now) {}
+        let wait = bucket.wait_time(Priority::Durable, now);
         assert!(!wait.is_zero());
-        assert!(bucket.take(Rank::Durable, now + wait + Duration::from_millis(1)));
-        assert!(bucket.until(Rank::Read, now) > wait);
+        assert!(bucket.try_take(Priority::Durable, now + wait + Duration::from_millis(1)));
+        assert!(bucket.wait_time(Priority::Read, now) > wait);
     }
 
     #[test]
--- a/components/infra/src/lib.rs
+++ b/components/infra/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod boxes;
 pub mod budget;
-pub mod settle;
+pub mod read_back;
 pub mod size;
 pub mod store;
 pub mod worker;
--- a/components/infra/src/settle.rs
+++ b/components/infra/src/read_back.rs
@@ -8,13 +8,13 @@
 
 /// What is known of a write after it was settled.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum Settled {
+pub enum WriteOutcome {
     /// written as version {0}
-    Done(u64),
+    Written(u64),
     /// this try was not written: the key has version {0}
-    Lost(u64),
+    Conflict(u64),
     /// the key went on to version {0}, and the value must tell whether this write was among them
-    Overtaken(u64),
+    Superseded(u64),
     /// not written, the service refused it: {0}
     NotRun(Failure),
     /// the outcome is not known: {0}
@@ -27,11 +27,11 @@
 /// into them. While the key still has the expected version, a write whose reply was lost may
 /// still arrive, so the outcome stays `Unknown`: the same write may then be tried again, for only
 /// one of the two can take effect.
-pub fn swap(store: &dyn Store, key: &str, expected: u64, bytes: &[u8]) -> Settled {
+pub fn swap(store: &dyn Store, key: &str, expected: u64, bytes: &[u8]) -> WriteOutcome {
     let failure = match store.swap(key, expected, bytes) {
-        Ok(Swap::Done(version)) => return Settled::Done(version),
+        Ok(Swap::Done(version)) => return WriteOutcome::Written(version),
         Ok(Swap::Lost(_)) => return read_back(store, key, expected, bytes, None),
-        Err(failure) if failure.is_not_run() => return Settled::NotRun(failure),
+        Err(failure) if failure.is_not_run() => return WriteOutcome::NotRun(failure),
         Err(failure) => failure,
     };
     read_back(store, key, expected, bytes, Some(failure))
@@ -45,22 +45,22 @@
     expected: u64,
     bytes: &[u8],
     failure: Option<Failure>,
-) -> Settled {
+) -> WriteOutcome {
     let found = match store.get(key) {
         Ok(found) => found,
-        Err(e) => return Settled::Unknown(failure.unwrap_or(e)),
+        Err(e) => return WriteOutcome::Unknown(failure.unwrap_or(e)),
     };
     let (version, ours) = match &found {
         Some(value) => (value.version, *value.bytes == *bytes),
         None => (0, false),
     };
     if ours {
-        return Settled::Done(version);
+        return WriteOutcome::Written(version);
     }
     match failure {
-        Some(failure) if version == expected => Settled::Unknown(failure),
-        Some(_) => Settled::Overtaken(version),
-        None => Settled::Lost(version),
+        Some(failure) if version == expected => WriteOutcome::Unknown(failure),
+        Some(_) => WriteOutcome::Superseded(version),
+        None => WriteOutcome::Conflict(version),
     }
 }
 
@@ -121,12 +121,12 @@
         Failure::not_run(Cause::Unreachable, "refused")
     }
 
-    #[test_case(true, None, false, Settled::Done(1); "plain")]
-    #[test_case(true, Some(lost()), false, Settled::Done(1); "reply lost after the effect")]
-    #[test_case(false, Some(lost()), false, Settled::Unknown(lost()); "lost before the effect")]
-    #[test_case(true, Some(lost()), true, Settled::Unknown(lost()); "lost and then down")]
-    #[test_case(false, Some(refused()), false, Settled::NotRun(refused()); "refused")]
-    fn swap_settles(effect: bool, error: Option<Failure>, deaf: bool, expected: Settled) {
+    #[test_case(true, None, false, WriteOutcome::Written(1); "plain")]
+    #[test_case(true, Some(lost()), false, WriteOutcome::Written(1); "reply lost after the effect")]
+    #[test_case(false, Some(lost()), false, WriteOutcome::Unknown(lost()); "lost before the effect")]
+    #[test_case(true, Some(lost()), true, WriteOutcome::Unknown(lost()); "lost and then down")]
+    #[test_case(false, Some(refused()), false, WriteOutcome::NotRun(refused()); "refused")]
+    fn swap_settles(effect: bool, error: Option<Failure>, deaf: bool, expected: WriteOutcome) {
         let store = Faulty {
             value: Mutex::new(None),
             effect,
@@ -158,12 +158,15 @@
 
     #[test]
     fn swap_overtaken_after_lost_reply() {
-        assert_eq!(swap(&Overtaking, "k", 0, b"mine"), Settled::Overtaken(2));
+        assert_eq!(
+            swap(&Overtaking, "k", 0, b"mine"),
+            WriteOutcome::Superseded(2)
+        );
     }
 
-    #[test_case(b"mine", Settled::Done(1); "an earlier try of the same write")]
-    #[test_case(b"theirs", Settled::Lost(1); "another's write")]
-    fn swap_lost_comparison(present: &[u8], expected: Settled) {
+    #[test_case(b"mine", WriteOutcome::Written(1); "an earlier try of the same write")]
+    #[test_case(b"theirs", WriteOutcome::Conflict(1); "another's write")]
+    fn swap_lost_comparison(present: &[u8], expected: WriteOutcome) {
         let value = Some(Versioned {
             version: 1,
             bytes: present.into(),
--- a/components/infra/src/size.rs
+++ b/components/infra/src/size.rs
@@ -28,7 +28,7 @@
     }
 
     /// The first kind of which the room has too little.
-    pub const fn lacks(self, room: Size) -> Option<&'static str> {
+    pub const fn shortage(self, room: Size) -> Option<&'static str> {
         if self.cpu > room.cpu {
             return Some("processors");
         }
@@ -98,7 +98,7 @@
     #[test_case(Size::new(1, 1, 1), Some("accelerators"); "accel")]
     fn lacks_kind(need: Size, lacking: Option<&str>) {
         let room = Size::new(4, 4, 0);
-        assert_eq!(need.lacks(room), lacking);
+        assert_eq!(need.shortage(room), lacking);
         assert_eq!(need.fits(room), lacking.is_none());
     }
 }
--- a/components/infra/src/worker.rs
+++ b/components/infra/src/worker.rs
@@ -49,7 +49,7 @@
 /// How a task is to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Manner {
+pub enum StopMode {
     /// Write a checkpoint, then stop.
     Checkpoint,
     /// Stop at once.
@@ -64,7 +64,7 @@
     /// Which start of it.
     pub attempt: u64,
     /// How.
-    pub manner: Manner,
+    pub manner: StopMode,
 }
 
 /// The order to slow a task down.
--- a/components/job/src/progress.rs
+++ b/components/job/src/progress.rs
@@ -34,7 +34,7 @@
     /// The runs that failed. Owners hear of them in any order and more than once.
     pub failed: Vec<u64>,
     /// Its last checkpoint.
-    pub saved: Option<Arc<str>>,
+    pub checkpoint: Option<Arc<str>>,
     /// Workers that crashed under it in a row.
     pub crashes: Crashes,
 }
@@ -47,7 +47,7 @@
     /// All tasks of all times, by their place.
     pub tasks: Vec<Task>,
     /// Tasks not done, for each step of each time.
-    open: Vec<u32>,
+    unfinished: Vec<u32>,
     /// How far the job is.
     pub state: State,
     /// When it ended, in milliseconds since 1970.
@@ -71,34 +71,34 @@
             phase: Phase::Waiting,
             run,
             failed: Vec::new(),
-            saved: None,
+            checkpoint: None,
             crashes: Crashes::default(),
         };
         let mut open = Vec::new();
         for _ in 0..spec.times() {
             open.extend(spec.steps.iter().map(|step| step.count));
         }
-        let chains = spec.chains();
+        let chains = spec.critical_paths();
         let mut progress = Progress {
-            tasks: vec![blank; spec.round() * spec.times() as usize],
-            open,
+            tasks: vec![blank; spec.tasks_per_time() * spec.times() as usize],
+            unfinished: open,
             state: record.state,
             ended: record.ended,
             chains,
             submission,
         };
-        progress.fill(record);
+        progress.restore(record);
         progress
     }
 
-    fn fill(&mut self, record: &Record) {
+    fn restore(&mut self, record: &Record) {
         for (byte, bits) in record.done.iter().enumerate() {
             for bit in 0..8 {
                 let place = byte * 8 + bit;
                 if bits & (1 << bit) == 0 || place >= self.tasks.len() {
                     continue;
                 }
-                self.finish(place);
+                self.mark_done(place);
             }
         }
         for (place, runs) in &record.failed {
@@ -108,7 +108,7 @@
         }
         for (place, saved) in &record.saved {
             if let Some(task) = self.tasks.get_mut(*place as usize) {
-                task.saved = Some(saved.as_str().into());
+                task.checkpoint = Some(saved.as_str().into());
             }
         }
         for (place, crashes) in &record.crashed {
@@ -139,7 +139,7 @@
                 record.failed.push((place as u32, task.failed.clone()));
             }
             if task.phase == Phase::Waiting
-                && let Some(saved) = &task.saved
+                && let Some(saved) = &task.checkpoint
             {
                 record.saved.push((place as u32, saved.to_string()));
             }
@@ -177,7 +177,7 @@
     }
 
     /// Notes that a run of a task failed. True when it was not known before.
-    pub fn fail(&mut self, place: usize, run: u64) -> bool {
+    pub fn record_failure(&mut self, place: usize, run: u64) -> bool {
         let task = &mut self.tasks[place];
         if task.failed.contains(&run) {
             return false;
@@ -187,45 +187,49 @@
     }
 
     /// Notes that a task is done. True when it was not before.
-    pub fn finish(&mut self, place: usize) -> bool {
+    pub fn mark_done(&mut self, place: usize) -> bool {
         if self.tasks[place].phase == Phase::Done {
             return false;
         }
         self.tasks[place].phase = Phase::Done;
-        self.tasks[place].saved = None;
+        self.tasks[place].checkpoint = None;
         self.tasks[place].crashes = Crashes::default();
         let address = self.submission.spec.address(place);
         let steps = self.submission.spec.steps.len();
-        self.open[address.time as usize * steps + address.step as usize] -= 1;
+        self.unfinished[address.time as usize * steps + address.step as usize] -= 1;
         true
     }
 
     /// True when every task is done.
     pub fn is_done(&self) -> bool {
-        self.open.iter().all(|&open| open == 0)
+        self.unfinished.iter().all(|&open| open == 0)
     }
 
     /// True when all steps that this one waits for are done, at this time.
-    pub fn is_open(&self, time: u32, step: u16) -> bool {
+    pub fn is_ready(&self, time: u32, step: u16) -> bool {
         let steps = self.submission.spec.steps.len();
         let base = time as usize * steps;
         let after = &self.submission.spec.steps[step as usize].after;
         after
             .iter()
-            .all(|&earlier| self.open[base + earlier as usize] == 0)
+            .all(|&earlier| self.unfinished[base + earlier as usize] == 0)
     }
 
     /// The longest chain of estimates that is still to be run of any time, in milliseconds.
-    pub fn rest(&self) -> u64 {
+    pub fn remaining_path(&self) -> u64 {
         let steps = self.chains.len().max(1);
-        let open = self.open.iter().enumerate().filter(|(_, open)| **open > 0);
+        let open = self
+            .unfinished
+            .iter()
+            .enumerate()
+            .filter(|(_, open)| **open > 0);
         let chains = open.map(|(number, _)| self.chains[number % steps]);
         chains.max().unwrap_or_default()
     }
 
     /// The tasks of a step not done at this time.
-    pub fn left(&self, time: u32, step: u16) -> u32 {
+    pub fn remaining_tasks(&self, time: u32, step: u16) -> u32 {
         let steps = self.submission.spec.steps.len();
-        self.open[time as usize * steps + step as usize]
+        self.unfinished[time as usize * steps + step as usize]
     }
 }
--- a/components/job/src/queue.rs
+++ b/components/job/src/queue.rs
@@ -34,7 +34,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Its workers refuse what does not fit; otherwise they start whatever they are told.
-    pub guarded: bool,
+    pub rejects_overload: bool,
     /// Its machines are off.
     pub spare: bool,
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// The largest body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// The largest head, in bytes.
-    pub head: usize,
+    pub max_header: usize,
     /// The time for a head to arrive.
-    pub arrival: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
@@ -92,8 +92,8 @@
     }
 
     /// The pools whose workers start whatever they are told.
-    pub fn unguarded(&self) -> HashSet<Arc<str>> {
-        let pools = self.pools.iter().filter(|pool| !pool.guarded);
+    pub fn overcommitting_pools(&self) -> HashSet<Arc<str>> {
+        let pools = self.pools.iter().filter(|pool| !pool.rejects_overload);
         pools.map(|pool| pool.name.clone()).collect()
     }
 }
--- a/components/job/src/record.rs
+++ b/components/job/src/record.rs
@@ -40,7 +40,7 @@
 
 impl State {
     /// The word for callers.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             State::Queued => "queued",
             State::Running => "running",
--- a/components/job/src/spec.rs
+++ b/components/job/src/spec.rs
@@ -154,7 +154,7 @@
 
 /// Why a job is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum Flaw {
+pub enum InvalidSpec {
     /// the specification has more than 4,000 bytes
     LongText,
     /// a job needs 1 to 64 steps
@@ -184,7 +184,7 @@
     }
 }
 
-impl std::error::Error for Flaw {}
+impl std::error::Error for InvalidSpec {}
 
 impl Spec {
     /// Checks what a caller sent.
@@ -192,21 +192,21 @@
     /// # Errors
     ///
     /// The first flaw found.
-    pub fn check(&self) -> Result<(), Flaw> {
+    pub fn validate(&self) -> Result<(), InvalidSpec> {
         if self.text.len() > MAX_TEXT {
-            return Err(Flaw::LongText);
+            return Err(InvalidSpec::LongText);
         }
-        self.check_bounds()?;
+        self.validate_bounds()?;
         for (number, step) in self.steps.iter().enumerate() {
             if step.size.cpu == 0 && step.size.gpus == 0 {
-                return Err(Flaw::NoCpu(number));
+                return Err(InvalidSpec::NoCpu(number));
             }
         }
         if let Some(timetable) = self.timetable
             && timetable.times > 1
             && timetable.interval == 0
         {
-            return Err(Flaw::Interval);
+            return Err(InvalidSpec::Interval);
         }
         Ok(())
     }
@@ -217,29 +217,29 @@
     /// # Errors
     ///
     /// The first flaw found.
-    pub fn check_bounds(&self) -> Result<(), Flaw> {
+    pub fn validate_bounds(&self) -> Result<(), InvalidSpec> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            return Err(Flaw::Steps);
+            return Err(InvalidSpec::Steps);
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
-                return Err(Flaw::Empty(number));
+                return Err(InvalidSpec::Empty(number));
             }
             if step.after.iter().any(|&earlier| earlier as usize >= number) {
-                return Err(Flaw::Order(number));
+                return Err(InvalidSpec::Order(number));
             }
             if !step.is_bounded() {
-                return Err(Flaw::Amount(number));
+                return Err(InvalidSpec::Amount(number));
             }
         }
         if let Some(timetable) = self.timetable
             && timetable.first.max(timetable.interval) > MAX_WALL
         {
-            return Err(Flaw::Timetable);
+            return Err(InvalidSpec::Timetable);
         }
-        let tasks = self.round().saturating_mul(self.times() as usize);
+        let tasks = self.tasks_per_time().saturating_mul(self.times() as usize);
         if tasks > MAX_TASKS {
-            return Err(Flaw::Tasks);
+            return Err(InvalidSpec::Tasks);
         }
         Ok(())
     }
@@ -250,7 +250,7 @@
     }
 
     /// The number of tasks of one time.
-    pub fn round(&self) -> usize {
+    pub fn tasks_per_time(&self) -> usize {
         self.steps.iter().map(|step| step.count as usize).sum()
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// True when a step lasts, so that the job ends only when it is cancelled.
-    pub fn is_lasting(&self) -> bool {
+    pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
 
@@ -276,12 +276,12 @@
             .iter()
             .map(|step| step.count as usize)
             .sum();
-        Some(address.time as usize * self.round() + before + address.index as usize)
+        Some(address.time as usize * self.tasks_per_time() + before + address.index as usize)
     }
 
     /// The task at a place among all tasks of the job.
     pub fn address(&self, place: usize) -> Address {
-        let round = self.round().max(1);
+        let round = self.tasks_per_time().max(1);
         let mut rest = place % round;
         let mut number = 0;
         for (step, at) in self.steps.iter().zip(0u16..) {
@@ -299,7 +299,7 @@
     }
 
     /// The longest chain of estimates from each step to the end, in milliseconds.
-    pub fn chains(&self) -> Vec<u64> {
+    pub fn critical_paths(&self) -> Vec<u64> {
         let mut chains: Vec<u64> = self.steps.iter().map(|step| step.estimate).collect();
         for number in (0..self.steps.len()).rev() {
             let chain = chains[number];
--- a/components/job/tests/progress.rs
+++ b/components/job/tests/progress.rs
@@ -6,7 +6,7 @@
     magpie_job::{
         Address, Crashes, Id, Phase, Progress, Queue, Record, Spec, State, Step, Submission,
         progress::RUN_GAP,
-        spec::{Flaw, Size, Timetable},
+        spec::{InvalidSpec, Size, Timetable},
     },
     std::sync::Arc,
     test_case::test_case,
@@ -61,14 +61,14 @@
     assert_eq!(Id::new(text).is_some(), right);
 }
 
-#[test_case(vec![], None, Err(Flaw::Steps); "no step")]
-#[test_case(vec![step(0, &[])], None, Err(Flaw::Empty(0)); "no task")]
-#[test_case(vec![step(1, &[]), step(1, &[1])], None, Err(Flaw::Order(1)); "after itself")]
+#[test_case(vec![], None, Err(InvalidSpec::Steps); "no step")]
+#[test_case(vec![step(0, &[])], None, Err(InvalidSpec::Empty(0)); "no task")]
+#[test_case(vec![step(1, &[]), step(1, &[1])], None, Err(InvalidSpec::Order(1)); "after itself")]
 #[test_case(vec![step(1, &[]), step(1, &[0])], None, Ok(()); "chain")]
-#[test_case(vec![step(20_001, &[])], None, Err(Flaw::Tasks); "too many")]
-#[test_case(vec![step(1, &[])], Some(Timetable { times: 2, first: 5, interval: 0 }), Err(Flaw::Interval); "no interval")]
-fn check_cases(steps: Vec<Step>, timetable: Option<Timetable>, expected: Result<(), Flaw>) {
-    assert_eq!(spec(steps, timetable).check(), expected);
+#[test_case(vec![step(20_001, &[])], None, Err(InvalidSpec::Tasks); "too many")]
+#[test_case(vec![step(1, &[])], Some(Timetable { times: 2, first: 5, interval: 0 }), Err(InvalidSpec::Interval); "no interval")]
+fn check_cases(steps: Vec<Step>, timetable: Option<Timetable>, expected: Result<(), InvalidSpec>) {
+    assert_eq!(spec(steps, timetable).validate(), expected);
 }
 
 #[test]
@@ -97,19 +97,19 @@
         vec![step(1, &[]), step(1, &[0]), step(1, &[0]), step(1, &[1])],
         None,
     );
-    assert_eq!(spec.chains(), [300, 200, 100, 100]);
+    assert_eq!(spec.critical_paths(), [300, 200, 100, 100]);
 }
 
 #[test]
 fn open_after_all_done() {
     let mut progress = Progress::new(submission(spec(vec![step(2, &[]), step(1, &[0])], None)));
-    assert!(!progress.is_open(0, 1));
-    assert!(progress.finish(0));
-    assert!(!progress.finish(0));
-    assert!(!progress.is_open(0, 1));
-    progress.finish(1);
-    assert!(progress.is_open(0, 1));
-    progress.finish(2);
+    assert!(!progress.is_ready(0, 1));
+    assert!(progress.mark_done(0));
+    assert!(!progress.mark_done(0));
+    assert!(!progress.is_ready(0, 1));
+    progress.mark_done(1);
+    assert!(progress.is_ready(0, 1));
+    progress.mark_done(2);
     assert!(progress.is_done());
 }
 
@@ -118,20 +118,20 @@
     let submission = submission(spec(vec![step(9, &[]), step(1, &[0])], None));
     let mut progress = Progress::new(submission.clone());
     progress.state = State::Running;
-    progress.finish(8);
+    progress.mark_done(8);
     progress.tasks[3].run = 5;
-    assert!(progress.fail(3, 5));
-    assert!(!progress.fail(3, 5));
-    progress.tasks[4].saved = Some("abc".into());
+    assert!(progress.record_failure(3, 5));
+    assert!(!progress.record_failure(3, 5));
+    progress.tasks[4].checkpoint = Some("abc".into());
     let bytes = rmp_serde::to_vec_named(&progress.record()).unwrap();
     let record: Record = rmp_serde::from_slice(&bytes).unwrap();
     let resumed = Progress::resume(submission, &record);
     assert_eq!(resumed.tasks[8].phase, Phase::Done);
     assert_eq!(resumed.tasks[3].failed, [5]);
-    assert_eq!(resumed.tasks[4].saved.as_deref(), Some("abc"));
+    assert_eq!(resumed.tasks[4].checkpoint.as_deref(), Some("abc"));
     assert_eq!(resumed.tasks[0].run, 5 + RUN_GAP);
     assert_eq!(resumed.state, State::Running);
-    assert_eq!(resumed.left(0, 0), 8);
+    assert_eq!(resumed.remaining_tasks(0, 0), 8);
 }
 
 /// How often workers crashed under a task lasts, as records are written (without names); a record from before that was
@@ -160,7 +160,7 @@
     let submission = submission(spec(vec![step(2, &[])], None));
     let mut progress = Progress::new(submission);
     progress.tasks[0].crashes = Crashes { early: 2, all: 2 };
-    progress.finish(0);
+    progress.mark_done(0);
     assert!(progress.crashed().is_empty());
 }
 
@@ -174,8 +174,8 @@
     let mut own = step(1, &[]);
     change(&mut own);
     let spec = spec(vec![own], None);
-    assert_eq!(spec.check(), Err(Flaw::Amount(0)));
-    assert_eq!(spec.check_bounds(), Err(Flaw::Amount(0)));
+    assert_eq!(spec.validate(), Err(InvalidSpec::Amount(0)));
+    assert_eq!(spec.validate_bounds(), Err(InvalidSpec::Amount(0)));
 }
 
 #[test]
@@ -186,5 +186,5 @@
         interval: u64::MAX / 2,
     };
     let spec = spec(vec![step(1, &[])], Some(timetable));
-    assert_eq!(spec.check(), Err(Flaw::Timetable));
+    assert_eq!(spec.validate(), Err(InvalidSpec::Timetable));
 }
--- a/components/lease/examples/tenure.rs
+++ b/components/lease/examples/ownership.rs
@@ -1,20 +1,20 @@
-//! The life of an ownership: `cargo run -p magpie-lease --example tenure`.
+//! The life of an ownership: `cargo run -p magpie-lease --example ownership`.
 
 use {
-    magpie_lease::{Tenure, Term},
+    magpie_lease::{LeaseTiming, Ownership},
     std::{sync::Arc, time::Instant},
 };
 
 fn main() {
-    let fencing = Tenure::begin(Arc::from("h1"), 3);
+    let fencing = Ownership::begin(Arc::from("h1"), 3);
     println!("fencing {} with epoch {}", fencing.cell(), fencing.epoch());
     // Only a tenure that holds the cell can number a start.
-    let mut holding = fencing.hold();
-    println!("the first start is number {:#x}", holding.attempt());
+    let mut holding = fencing.activate();
+    println!("the first start is number {:#x}", holding.next_attempt());
     let heard = Instant::now();
-    let term = Term::default();
+    let term = LeaseTiming::default();
     println!(
         "a silent worker is given up after {:?}",
-        term.over(heard) - heard
+        term.expiry(heard) - heard
     );
 }
--- a/components/lease/src/epoch.rs
+++ b/components/lease/src/epoch.rs
@@ -3,7 +3,7 @@
 use {
     infra::{
         Store,
-        settle::{self, Settled},
+        read_back::{self, WriteOutcome},
     },
     kernel::{
         Failure,
@@ -16,7 +16,7 @@
 
 /// Who owns a cell, as the store knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct OwnerRecord {
     /// Goes up with each takeover.
     pub epoch: u64,
     /// The owner's box.
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// The store fails, or its value is no record.
-pub fn read(store: &dyn Store, cell: &str) -> Result<Option<(u64, Record)>, Failure> {
+pub fn read(store: &dyn Store, cell: &str) -> Result<Option<(u64, OwnerRecord)>, Failure> {
     let Some(value) = store.get(&key(cell))? else {
         return Ok(None);
     };
@@ -57,21 +57,21 @@
     owner: &Arc<str>,
     url: &Arc<str>,
     claim: u64,
-) -> Result<(Record, Option<Arc<str>>), Failure> {
+) -> Result<(OwnerRecord, Option<Arc<str>>), Failure> {
     let (version, epoch, before) = match read(store, cell)? {
         Some((version, record)) => (version, record.epoch, Some(record.owner)),
         None => (0, 0, None),
     };
-    let record = Record {
+    let record = OwnerRecord {
         epoch: epoch + 1,
         owner: owner.clone(),
         url: url.clone(),
         claim,
     };
     let bytes = wire::encode(&record)?;
-    match settle::swap(store, &key(cell), version, &bytes) {
-        Settled::Done(_) => Ok((record, before)),
-        Settled::Lost(_) | Settled::Overtaken(_) => {
+    match read_back::swap(store, &key(cell), version, &bytes) {
+        WriteOutcome::Written(_) => Ok((record, before)),
+        WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {
             let text = format!("another took the cell {cell} over");
             Err(Failure {
                 verdict: Verdict::NotRun,
@@ -79,6 +79,6 @@
                 text,
             })
         }
-        Settled::NotRun(failure) | Settled::Unknown(failure) => Err(failure),
+        WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => Err(failure),
     }
 }
--- a/components/lease/src/lib.rs
+++ b/components/lease/src/lib.rs
@@ -5,9 +5,9 @@
 //! own clock, so that a late or doubled extension extends nothing.
 
 pub mod epoch;
-pub mod tenure;
-pub mod term;
+pub mod ownership;
+pub mod timing;
 
-pub use epoch::Record;
-pub use tenure::{Fencing, Holding, Tenure};
-pub use term::Term;
+pub use epoch::OwnerRecord;
+pub use ownership::{Active, Fencing, Ownership};
+pub use timing::LeaseTiming;
--- a/components/lease/src/tenure.rs
+++ b/components/lease/src/ownership.rs
@@ -8,18 +8,18 @@
 
 /// What runs is known; work may be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Holding;
+pub struct Active;
 
 /// One ownership of a cell, in the stage `S`.
 #[derive(Debug)]
-pub struct Tenure<S> {
+pub struct Ownership<S> {
     cell: Arc<str>,
     epoch: u64,
     starts: u64,
     stage: PhantomData<S>,
 }
 
-impl<S> Tenure<S> {
+impl<S> Ownership<S> {
     /// The cell.
     pub fn cell(&self) -> &Arc<str> {
         &self.cell
@@ -31,10 +31,10 @@
     }
 }
 
-impl Tenure<Fencing> {
+impl Ownership<Fencing> {
     /// Begins with a raised epoch.
     pub fn begin(cell: Arc<str>, epoch: u64) -> Self {
-        Tenure {
+        Ownership {
             cell,
             epoch,
             starts: 0,
@@ -43,8 +43,8 @@
     }
 
     /// Ends the fencing. Only what follows can number a start.
-    pub fn hold(self) -> Tenure<Holding> {
-        Tenure {
+    pub fn activate(self) -> Ownership<Active> {
+        Ownership {
             cell: self.cell,
             epoch: self.epoch,
             starts: self.starts,
@@ -53,10 +53,10 @@
     }
 }
 
-impl Tenure<Holding> {
+impl Ownership<Active> {
     /// The number of the next start: unlike that of any other start of the cell, and above those
     /// of every earlier epoch.
-    pub fn attempt(&mut self) -> u64 {
+    pub fn next_attempt(&mut self) -> u64 {
         self.starts += 1;
         attempt(self.epoch, self.starts)
     }
@@ -76,9 +76,9 @@
 
     #[test]
     fn attempt_grows_over_epochs() {
-        let mut first = Tenure::begin(Arc::from("h1"), 1).hold();
-        let mut second = Tenure::begin(Arc::from("h1"), 2).hold();
-        let old = (0..1000).map(|_| first.attempt()).max();
-        assert!(old < Some(second.attempt()));
+        let mut first = Ownership::begin(Arc::from("h1"), 1).activate();
+        let mut second = Ownership::begin(Arc::from("h1"), 2).activate();
+        let old = (0..1000).map(|_| first.next_attempt()).max();
+        assert!(old < Some(second.next_attempt()));
     }
 }
--- a/components/members/src/lib.rs
+++ b/components/members/src/lib.rs
@@ -5,7 +5,7 @@
 //! most, since ownership is settled by epochs.
 
 pub mod owner;
-pub mod roster;
+pub mod watcher;
 
 pub use owner::assign;
-pub use roster::Roster;
+pub use watcher::BoxWatcher;
--- a/components/members/src/roster.rs
+++ b/components/members/src/watcher.rs
@@ -11,7 +11,7 @@
 pub type OnChange = Box<dyn Fn(&Arc<List>) + Send>;
 
 /// A task that reads the list again and again, and the list it last saw.
-pub struct Roster {
+pub struct BoxWatcher {
     view: View,
     signal: Signal,
     thread: Option<JoinHandle<()>>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl Roster {
+impl BoxWatcher {
     /// Starts the task, which reads the list once each period.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
         let (theirs, bell) = (view.clone(), signal.clone());
         let run = move || follow(boxes.as_ref(), period, &theirs, &bell, &on_change);
         let thread = task::spawn("roster", run)?;
-        Ok(Roster {
+        Ok(BoxWatcher {
             view,
             signal,
             thread: Some(thread),
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for Roster {
+impl Drop for BoxWatcher {
     fn drop(&mut self) {
         self.signal.stop();
         if let Some(thread) = self.thread.take() {
--- a/components/node/src/config/schedule.rs
+++ b/components/node/src/config/schedule.rs
@@ -97,10 +97,10 @@
             queues: Vec::new(),
             pools: Vec::new(),
             limits: Limits {
-                body: 0,
-                head: 0,
-                arrival: Duration::ZERO,
-                idle: Duration::ZERO,
+                max_body: 0,
+                max_header: 0,
+                header_timeout: Duration::ZERO,
+                idle_timeout: Duration::ZERO,
             },
         };
         ConfigSnapshot {
--- a/components/node/src/decode.rs
+++ b/components/node/src/decode.rs
@@ -34,7 +34,7 @@
     }
     submission
         .spec
-        .check_bounds()
+        .validate_bounds()
         .map_err(|flaw| invalid(&flaw.to_string()))?;
     Ok(submission)
 }
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -50,7 +50,9 @@
         let begun = time::now();
         if ownership.handover.is_none() && !ownership.is_doubtful() && ownership.halls.are_known() {
             if let Some(config) = &*config {
-                ownership.cell.set_overcommitting(config.unguarded());
+                ownership
+                    .cell
+                    .set_overcommitting(config.overcommitting_pools());
             }
             let most = ownership.relays.start_budget(link);
             ownership
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -29,7 +29,7 @@
         task::{self, Signal},
         verdict::Cause,
     },
-    lease::{Tenure, Term},
+    lease::{LeaseTiming, Ownership},
     std::{
         collections::BTreeMap,
         sync::Arc,
@@ -59,7 +59,7 @@
     /// The store.
     pub store: Arc<dyn infra::Store>,
     /// The terms of the leases.
-    pub term: Term,
+    pub term: LeaseTiming,
     /// How often a worker is exchanged with when nothing is due.
     pub heartbeat: Duration,
     /// The name of the placement policy.
@@ -207,7 +207,7 @@
                 return;
             }
         };
-        let tenure = Tenure::begin(cell.clone(), record.epoch);
+        let tenure = Ownership::begin(cell.clone(), record.epoch);
         let now = cx.now();
         log::info!(target: "sched", "A cell is taken over. cell={cell} epoch={}", record.epoch);
         metrics::counter!("magpie_takeovers_total").increment(1);
--- a/components/sched/src/actor/writes.rs
+++ b/components/sched/src/actor/writes.rs
@@ -6,7 +6,7 @@
         claim::{Cells, Claimed},
         commit::Batch,
     },
-    infra::budget::Rank,
+    infra::budget::Priority,
     kernel::{Failure, stakker::CX, verdict::Cause},
     std::{sync::Arc, time::Instant},
 };
@@ -21,7 +21,7 @@
         self.disown(cell, reason);
     }
 
-    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<Rank>, Failure> {
+    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<Priority>, Failure> {
         Ok(self.owned(cell, epoch).ok_or_else(gone)?.cell.journal.due())
     }
 
--- a/components/sched/src/book.rs
+++ b/components/sched/src/book.rs
@@ -4,7 +4,7 @@
     crate::spec::Spec,
     infra::{
         Store,
-        settle::{self, Settled},
+        read_back::{self, WriteOutcome},
     },
     kernel::{Failure, wire},
     rangemap::RangeInclusiveSet,
@@ -106,10 +106,10 @@
         }
         book.epoch = epoch;
         book.write = u64::from(write);
-        match settle::swap(store, &key(cell), version, &wire::encode(&book)?) {
-            Settled::Done(version) => return Ok((version, book)),
-            Settled::Lost(_) | Settled::Overtaken(_) => {}
-            Settled::NotRun(failure) | Settled::Unknown(failure) => last = failure,
+        match read_back::swap(store, &key(cell), version, &wire::encode(&book)?) {
+            WriteOutcome::Written(version) => return Ok((version, book)),
+            WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {}
+            WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => last = failure,
         }
     }
     Err(last)
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -15,11 +15,11 @@
     infra::{
         Size,
         boxes::Item,
-        budget::Rank,
-        worker::{Manner, Order, Stop, Task},
+        budget::Priority,
+        worker::{Order, Stop, StopMode, Task},
     },
     kernel::{Failure, verdict::Cause},
-    lease::{Fencing, Holding, Tenure, Term},
+    lease::{Active, Fencing, LeaseTiming, Ownership},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -59,9 +59,9 @@
 #[derive(Debug)]
 pub enum Stage {
     /// Workers are being fenced and read.
-    Fencing(Tenure<Fencing>),
+    Fencing(Ownership<Fencing>),
     /// Work is placed.
-    Holding(Tenure<Holding>),
+    Holding(Ownership<Active>),
 }
 
 impl Stage {
@@ -96,7 +96,7 @@
     /// The stage; `None` only while it changes.
     pub(crate) stage: Option<Stage>,
     /// The terms of the leases.
-    pub term: Term,
+    pub term: LeaseTiming,
     /// The workers.
     pub fleet: Fleet,
     /// The jobs.
@@ -126,10 +126,10 @@
 impl Cell {
     /// Begins an ownership with a raised epoch and the claimed book.
     pub fn new(
-        tenure: Tenure<Fencing>,
+        tenure: Ownership<Fencing>,
         book: Book,
         version: u64,
-        term: Term,
+        term: LeaseTiming,
         placement: Box<dyn Placement>,
         now: Instant,
     ) -> Self {
@@ -233,7 +233,7 @@
     /// the leases that it may have extended until then are over, what is held may run elsewhere.
     pub fn owner_gone(&mut self, now: Instant) {
         let gone = *self.gone.get_or_insert(now);
-        self.released = self.term.is_over(gone, now);
+        self.released = self.term.is_expired(gone, now);
     }
 
     /// Ends the fencing: what was not found running may be placed, but for what may run on a
@@ -247,7 +247,7 @@
             "A cell is held. cell={} epoch={} adopted={}",
             self.name, tenure.epoch(), self.counts.adopted
         );
-        self.stage = Some(Stage::Holding(tenure.hold()));
+        self.stage = Some(Stage::Holding(tenure.activate()));
         let unheard = self.unheard();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -334,9 +334,9 @@
         self.journal.admit()?;
         let urgent = row.is_some_and(|row| row.priority == URGENT);
         self.journal.hurry(if urgent {
-            Rank::Takeover
+            Priority::Takeover
         } else {
-            Rank::Durable
+            Priority::Durable
         });
         let entry = crate::book::Entry::new(id.clone(), spec, at);
         self.jobs.insert(id.clone(), Job::new(entry));
@@ -380,7 +380,7 @@
                     job: id.clone(),
                     index,
                 },
-                Manner::Kill,
+                StopMode::Kill,
             );
         }
         self.journal.touch();
@@ -389,11 +389,11 @@
     }
 
     /// Orders a task that runs to stop.
-    pub(crate) fn stop(&mut self, task: &Task, manner: Manner) {
+    pub(crate) fn stop(&mut self, task: &Task, manner: StopMode) {
         let Some(run) = self.running.get_mut(task) else {
             return;
         };
-        if run.stopping && manner == Manner::Checkpoint {
+        if run.stopping && manner == StopMode::Checkpoint {
             return;
         }
         let slot = self.fleet.slot_mut(run.worker);
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -7,11 +7,11 @@
     },
     infra::{
         Store,
-        budget::{self, Bucket},
-        settle::{self, Settled},
+        budget::{self, TokenBucket},
+        read_back::{self, WriteOutcome},
     },
     kernel::{Failure, Remote, stakker::Cx, task::Signal, verdict::Cause},
-    lease::{Record, epoch},
+    lease::{OwnerRecord, epoch},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -34,7 +34,7 @@
 /// What a takeover brings.
 pub struct Claimed {
     /// The raised epoch.
-    pub record: Record,
+    pub record: OwnerRecord,
     /// The box that owned the cell before.
     pub before: Option<Arc<str>>,
     /// The version of the claimed book.
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// The cell is not owned here any more, as `Stopping`.
-    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Rank>, Failure>;
+    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Priority>, Failure>;
 
     /// The next batch of a cell's book; `None` when none is due.
     ///
@@ -112,7 +112,7 @@
 impl<A: Cells> Writer<A> {
     /// Writes until the cell has another owner or the process stops.
     pub fn run(self) {
-        let mut bucket = Bucket::new(WRITE_RATE, WRITE_BURST, Instant::now());
+        let mut bucket = TokenBucket::new(WRITE_RATE, WRITE_BURST, Instant::now());
         let mut failures = 0;
         while !self.signal.is_stopped() {
             let (cell, epoch) = (self.cell.clone(), self.epoch);
@@ -125,9 +125,9 @@
                 continue;
             };
             let now = Instant::now();
-            if !bucket.take(rank, now) {
+            if !bucket.try_take(rank, now) {
                 // A more urgent reason to write rings before this has passed.
-                self.signal.wait(bucket.until(rank, now));
+                self.signal.wait(bucket.wait_time(rank, now));
                 continue;
             }
             match self.write_next() {
@@ -168,27 +168,27 @@
         let (cell, epoch) = (self.cell.clone(), self.epoch);
         let mut tries = 0;
         while !self.signal.is_stopped() {
-            match settle::swap(self.store.as_ref(), &key, version, bytes) {
-                Settled::Done(version) => {
+            match read_back::swap(self.store.as_ref(), &key, version, bytes) {
+                WriteOutcome::Written(version) => {
                     metrics::counter!("magpie_book_writes_total").increment(1);
                     self.remote
                         .tell(move |sched, cx| sched.committed(cx, &cell, epoch, version));
                     return Some(true);
                 }
-                Settled::Lost(_) | Settled::Overtaken(_) => {
+                WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {
                     self.remote.tell(move |sched, cx| {
                         sched.give_way(&cell, "its book was taken over", cx.now())
                     });
                     return None;
                 }
                 // After a try whose outcome is unknown, only the same bytes may be tried again.
-                Settled::NotRun(failure) if tries == 0 => {
+                WriteOutcome::NotRun(failure) if tries == 0 => {
                     log::warn!(target: "sched", "A book was not written. cell={cell} {failure}");
                     self.remote
                         .tell(move |sched, _| sched.not_committed(&cell, epoch));
                     return Some(false);
                 }
-                Settled::NotRun(failure) | Settled::Unknown(failure) => {
+                WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => {
                     if tries == 0 {
                         log::warn!(target: "sched", "A book's write is open. cell={cell} {failure}");
                     }
--- a/components/sched/src/commit.rs
+++ b/components/sched/src/commit.rs
@@ -7,7 +7,7 @@
         job::Job,
         journal::{Done, Effect},
     },
-    infra::budget::Rank,
+    infra::budget::Priority,
     kernel::{Failure, sync::lock, verdict::Cause, wall, wire},
     std::sync::{Arc, Mutex},
 };
@@ -78,7 +78,7 @@
             ));
         }
         self.journal.dirty = false;
-        self.journal.rank = Rank::Read;
+        self.journal.rank = Priority::Read;
         self.journal.sending = true;
         let staged = std::mem::take(&mut self.journal.staged);
         self.journal.sent.extend(staged);
--- a/components/sched/src/evict.rs
+++ b/components/sched/src/evict.rs
@@ -4,7 +4,7 @@
     crate::{cell::Cell, job, placement::Need},
     infra::{
         Size,
-        worker::{Manner, Task},
+        worker::{StopMode, Task},
     },
     std::{
         collections::HashMap,
@@ -65,7 +65,7 @@
         return Vec::new();
     };
     for task in &tasks {
-        cell.stop(task, Manner::Checkpoint);
+        cell.stop(task, StopMode::Checkpoint);
         cell.counts.evictions += 1;
     }
     let taken = promised.entry(at).or_default();
--- a/components/sched/src/journal.rs
+++ b/components/sched/src/journal.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::book::MAX_BOOK,
-    infra::{budget::Rank, worker::Task},
+    infra::{budget::Priority, worker::Task},
     kernel::{Failure, verdict::Cause},
     std::sync::Arc,
 };
@@ -28,7 +28,7 @@
     pub(crate) version: u64,
     pub(crate) write: u64,
     pub(crate) dirty: bool,
-    pub(crate) rank: Rank,
+    pub(crate) rank: Priority,
     pub(crate) staged: Vec<Effect>,
     pub(crate) sent: Vec<Effect>,
     pub(crate) sending: bool,
@@ -44,7 +44,7 @@
             version,
             write,
             dirty: false,
-            rank: Rank::Read,
+            rank: Priority::Read,
             staged: Vec::new(),
             sent: Vec::new(),
             sending: false,
@@ -64,12 +64,12 @@
     }
 
     /// Makes the next write at least this urgent.
-    pub fn hurry(&mut self, rank: Rank) {
+    pub fn hurry(&mut self, rank: Priority) {
         self.rank = self.rank.min(rank);
     }
 
     /// How urgent the next write is; `None` when none is due.
-    pub fn due(&self) -> Option<Rank> {
+    pub fn due(&self) -> Option<Priority> {
         (self.is_dirty() && !self.sending).then_some(self.rank)
     }
 
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -165,7 +165,7 @@
     if line.running >= limit.running {
         return Err(Blocked::Reason("max_running of the class is reached"));
     }
-    match line.used.plus(size).lacks(limit.ceiling) {
+    match line.used.plus(size).shortage(limit.ceiling) {
         Some("processors") => {
             return Err(Blocked::Reason("max_processors of the class is reached"));
         }
@@ -190,7 +190,7 @@
     let Some(Stage::Holding(tenure)) = &mut cell.stage else {
         return;
     };
-    let attempt = tenure.attempt();
+    let attempt = tenure.next_attempt();
     let Some(job) = cell.jobs.get_mut(id) else {
         return;
     };
--- a/components/sched/src/plan.rs
+++ b/components/sched/src/plan.rs
@@ -36,7 +36,7 @@
             "max_running of class {class} leaves none to hall {cell}"
         ));
     }
-    if let Some(kind) = spec.size.lacks(limit.ceiling) {
+    if let Some(kind) = spec.size.shortage(limit.ceiling) {
         return never(format!(
             "the ceiling of class {class} leaves too little {kind} to {cell}"
         ));
@@ -74,7 +74,7 @@
         );
     }
     let text = if admits {
-        let kind = spec.size.lacks(largest).unwrap_or("of all at once");
+        let kind = spec.size.shortage(largest).unwrap_or("of all at once");
         format!(
             "no worker of hall {cell} has enough {kind} ({}); the most is {largest}",
             spec.size
--- a/components/sched/src/report.rs
+++ b/components/sched/src/report.rs
@@ -7,7 +7,7 @@
         job,
         journal::Effect,
     },
-    infra::worker::{Manner, Order, Phase, Record, Refusal, Report, Stop, Task},
+    infra::worker::{Order, Phase, Record, Refusal, Report, Stop, StopMode, Task},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -65,7 +65,7 @@
                 let stop = Stop {
                     task,
                     attempt,
-                    manner: Manner::Kill,
+                    manner: StopMode::Kill,
                 };
                 self.fleet.slot_mut(at).outbox.stops.push(stop);
             }
@@ -83,7 +83,7 @@
                 let stop = Stop {
                     task,
                     attempt,
-                    manner: Manner::Kill,
+                    manner: StopMode::Kill,
                 };
                 self.fleet.slot_mut(at).outbox.stops.push(stop);
             }
@@ -119,7 +119,7 @@
         };
         self.running.insert(task.clone(), run);
         if cancelled {
-            self.stop(&task, Manner::Kill);
+            self.stop(&task, StopMode::Kill);
         }
     }
 
@@ -167,7 +167,7 @@
         job.losses.remove(&index);
         self.counts.finished += 1;
         // A later start of the same task has nothing more to do.
-        self.stop(&record.task, Manner::Kill);
+        self.stop(&record.task, StopMode::Kill);
         self.conclude(&record.task.job);
     }
 
@@ -304,7 +304,7 @@
     /// Gives up workers that were silent until their leases were surely over.
     pub(crate) fn lose_silent(&mut self, now: Instant) {
         let term = self.term;
-        let over = |heard: &Heard| term.is_over(heard.at, now);
+        let over = |heard: &Heard| term.is_expired(heard.at, now);
         let silent: Vec<usize> = (0..self.fleet.slots().len())
             .filter(|at| self.fleet.slot(*at).heard.as_ref().is_some_and(over))
             .collect();
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -16,8 +16,8 @@
         task::{self, Signal},
         token::Token,
     },
-    lease::Term,
-    members::roster::Roster,
+    lease::LeaseTiming,
+    members::watcher::BoxWatcher,
     std::{
         io,
         net::SocketAddr,
@@ -67,7 +67,7 @@
     /// The workers.
     pub workers: Arc<dyn Workers>,
     /// The terms of the leases.
-    pub term: Term,
+    pub term: LeaseTiming,
     /// How often a worker is exchanged with when nothing is due.
     pub heartbeat: Duration,
     /// The name of the placement policy.
@@ -90,7 +90,7 @@
     server: Server,
     ready: Readiness,
     host: Host<Scheduler>,
-    _roster: Roster,
+    _roster: BoxWatcher,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
 }
@@ -146,7 +146,7 @@
             let list = list.clone();
             on_list.tell(move |sched, cx| sched.set_list(cx, list));
         });
-        let roster = Roster::start(settings.boxes, LIST_EVERY, changed)?;
+        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, changed)?;
         let on_table = remote.clone();
         let follower = Follower::start(
             settings.name,
--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -8,7 +8,7 @@
         boxes::{Item, Kind, List, State},
         worker::Workers,
     },
-    lease::{Tenure, Term},
+    lease::{LeaseTiming, Ownership},
     magpie_sched_core::{
         Cell, Spec, book::Book, job, journal::Effect, limits::Limits, pass, placement,
     },
@@ -99,8 +99,8 @@
     /// A new owner with the next epoch and the book as it was last written.
     fn take_over(&mut self) -> Cell {
         self.epoch += 1;
-        let tenure = Tenure::begin(Arc::from("h1"), self.epoch);
-        let term = Term {
+        let tenure = Ownership::begin(Arc::from("h1"), self.epoch);
+        let term = LeaseTiming {
             length: Duration::from_millis(LEASE),
             drift: 10,
         };
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -8,7 +8,7 @@
         boxes::{Item, Kind, List, State},
     },
     kernel::Host,
-    lease::Term,
+    lease::LeaseTiming,
     magpie_sched_core::{Scheduler, actor::Shared, claim::Cells},
     standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
     std::{
@@ -24,7 +24,7 @@
         url: Arc::from("http://127.0.0.1:1"),
         workers: Arc::new(Farm::new(clock.clone(), Witness::new())),
         store: Arc::new(Store::new(Rates::default(), clock)),
-        term: Term::default(),
+        term: LeaseTiming::default(),
         heartbeat: Duration::from_secs(2),
         placement: Arc::from("mixed"),
     };
--- a/components/standin/examples/store.rs
+++ b/components/standin/examples/store.rs
@@ -1,7 +1,7 @@
 //! The stand-in of the store with a fault: `cargo run -p magpie-standin-core --example store`.
 
 use {
-    infra::settle,
+    infra::read_back,
     magpie_standin_core::{
         Store,
         clock::Clock,
@@ -15,6 +15,6 @@
         lost: 1,
         ..Faults::default()
     });
-    println!("{}", settle::swap(&store, "key", 0, b"mine"));
+    println!("{}", read_back::swap(&store, "key", 0, b"mine"));
     println!("{:?}", store.counts());
 }
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -7,7 +7,7 @@
     },
     infra::{
         Size,
-        worker::{self, Manner, Order, Phase, Record, Refusal, Report, Start, Stop, Task, Usage},
+        worker::{self, Order, Phase, Record, Refusal, Report, Start, Stop, StopMode, Task, Usage},
     },
     kernel::Failure,
     serde::{Deserialize, Serialize},
@@ -293,13 +293,13 @@
         if entry.record.attempt != stop.attempt || entry.record.phase != Phase::Running {
             return;
         }
-        if stop.manner == Manner::Checkpoint {
+        if stop.manner == StopMode::Checkpoint {
             entry.record.checkpoint = entry.done;
         }
         self.version += 1;
         entry.version = self.version;
         entry.record.phase = Phase::Stopped;
-        let evicted = stop.manner == Manner::Checkpoint;
+        let evicted = stop.manner == StopMode::Checkpoint;
         let end = if evicted { End::Evicted } else { End::Stopped };
         self.witness.end(&stop.task, end);
     }
@@ -426,7 +426,7 @@
         let stop = Stop {
             task: task(0),
             attempt: 1,
-            manner: Manner::Checkpoint,
+            manner: StopMode::Checkpoint,
         };
         let mut stopping = order((1, 8), vec![]);
         stopping.stops.push(stop);
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -8,7 +8,7 @@
     crate::clock::Clock,
     infra::{
         Store, Swap, Versioned,
-        budget::{Bucket, Rank},
+        budget::{Priority, TokenBucket},
         store::MAX_VALUE,
     },
     kernel::{Failure, sync::lock, verdict::Cause},
@@ -60,8 +60,8 @@
     leases: BTreeMap<u64, (u64, u64)>,
     faults: Faults,
     counts: Counts,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// The rules of the service, without its port.
@@ -99,8 +99,8 @@
             leases: BTreeMap::new(),
             faults: Faults::default(),
             counts: Counts::default(),
-            reads: Bucket::new(rates.reads, rates.reads, now),
-            writes: Bucket::new(rates.writes, rates.writes, now),
+            reads: TokenBucket::new(rates.reads, rates.reads, now),
+            writes: TokenBucket::new(rates.writes, rates.writes, now),
         };
         Core {
             state: Mutex::new(state),
@@ -185,7 +185,7 @@
         } else {
             &mut state.reads
         };
-        if !bucket.take(Rank::Takeover, now) {
+        if !bucket.try_take(Priority::Takeover, now) {
             state.counts.refused += 1;
             return Err(Failure::not_run(Cause::Busy, "the store's rate is used up"));
         }
--- a/components/table/src/accept.rs
+++ b/components/table/src/accept.rs
@@ -7,7 +7,7 @@
     },
     infra::{
         Store,
-        settle::{self, Settled},
+        read_back::{self, WriteOutcome},
     },
     kernel::{
         Failure,
@@ -55,14 +55,16 @@
             Err(refusal) => return Ok((Outcome::Refused(refusal), None)),
         };
         let (next, bytes) = fit(&book, change)?;
-        match settle::swap(store, KEY, version, &bytes) {
-            Settled::Done(_) => {
+        match read_back::swap(store, KEY, version, &bytes) {
+            WriteOutcome::Written(_) => {
                 return Ok((Outcome::Accepted(next.table.version), Some(next)));
             }
             // The next reading finds the edit's id in the history if it was among them.
-            Settled::Lost(_) | Settled::Overtaken(_) => {}
-            Settled::NotRun(failure) if unknown.is_none() => return Err(failure),
-            Settled::NotRun(failure) | Settled::Unknown(failure) => unknown = Some(failure),
+            WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {}
+            WriteOutcome::NotRun(failure) if unknown.is_none() => return Err(failure),
+            WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => {
+                unknown = Some(failure)
+            }
         }
     }
     let contended = || Failure::not_run(Cause::Busy, "too many edits at once; try again");
--- a/components/table/src/follow.rs
+++ b/components/table/src/follow.rs
@@ -11,7 +11,7 @@
         client::Time,
         task::{self, Signal},
     },
-    members::roster::View,
+    members::watcher::View,
     std::{io, sync::Arc, thread::JoinHandle, time::Duration},
 };
 
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -16,7 +16,7 @@
         token::Token,
         verdict::Cause,
     },
-    members::roster::Roster,
+    members::watcher::BoxWatcher,
     std::{
         io,
         net::SocketAddr,
@@ -57,7 +57,7 @@
     server: Server,
     ready: Readiness,
     host: Host<Keeper>,
-    _roster: Roster,
+    _roster: BoxWatcher,
 }
 
 impl Service {
@@ -68,7 +68,7 @@
     /// The address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let host = Host::start("table", |cx, _| Keeper::new(cx))?;
-        let roster = Roster::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
+        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
             keeper: host.remote().clone(),
--- a/components/table/src/spread.rs
+++ b/components/table/src/spread.rs
@@ -14,7 +14,7 @@
         task::{self, Signal},
         wire,
     },
-    members::{owner, roster::View},
+    members::{owner, watcher::View},
     std::{sync::Arc, time::Duration},
 };
 
--- a/programs/burn/src/main.rs
+++ b/programs/burn/src/main.rs
@@ -43,6 +43,6 @@
     if settings.json {
         println!("{}", serde_json::to_string(&report).unwrap_or_default());
     } else {
-        print!("{}", report::text(&report));
+        print!("{}", report::render(&report));
     }
 }
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -6,7 +6,7 @@
         boxes::{Item, Kind, List, State},
         worker::Workers,
     },
-    lease::{Tenure, Term},
+    lease::{LeaseTiming, Ownership},
     sched::{Cell, Spec, book::Book, job, limits::Limits, pass, placement},
     standin::{Farm, Witness, clock::Clock},
     std::{
@@ -70,11 +70,18 @@
             farm.add(&item.name, WORKER);
         }
         let start = Instant::now();
-        let tenure = Tenure::begin(Arc::from(CELL), 1);
+        let tenure = Ownership::begin(Arc::from(CELL), 1);
         let Ok(policy) = placement::make("mixed") else {
             unreachable!("mixed is built in")
         };
-        let mut cell = Cell::new(tenure, Book::default(), 0, Term::default(), policy, start);
+        let mut cell = Cell::new(
+            tenure,
+            Book::default(),
+            0,
+            LeaseTiming::default(),
+            policy,
+            start,
+        );
         cell.merge(&items.iter().collect::<Vec<_>>());
         let list = List { version: 1, items };
         cell.set_limits(Limits::of(CELL, table(4), &list));
--- a/programs/sched/src/cli.rs
+++ b/programs/sched/src/cli.rs
@@ -7,7 +7,7 @@
         Client, daemon,
         settings::{Fault, Reader},
     },
-    lease::Term,
+    lease::LeaseTiming,
     log::LevelFilter,
     sched::{Settings, placement, service},
     std::{sync::Arc, time::Duration},
@@ -99,7 +99,7 @@
             store: Arc::new(store::Http::new(&store?, client.clone())),
             boxes: Arc::new(boxes::Http::new(&boxes?, client)),
             workers: Arc::new(worker::Http::new(service::worker_client())),
-            term: Term {
+            term: LeaseTiming {
                 length: Duration::from_secs(lease?),
                 drift: drift? as u32,
             },
