--- a/components/burn/examples/report.rs
+++ b/components/burn/examples/report.rs
@@ -2,7 +2,7 @@
 
 use {
     magpie_burn_core::{
-        Bucket, Series,
+        Counts, Series,
         report::{self, Sample},
     },
     std::sync::Arc,
@@ -10,7 +10,7 @@
 
 fn sample(gate: &str, slow: u64) -> Sample {
     let mut series = Series::default();
-    let counts = Bucket {
+    let counts = Counts {
         total: 1000,
         slow,
         failed: 0,
--- a/components/burn/src/lib.rs
+++ b/components/burn/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod series;
 
 pub use report::{Report, ServiceReport};
-pub use series::{Bucket, Series};
+pub use series::{Counts, Series};
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -1,7 +1,7 @@
 //! The report: what each service reached, and how fast it burns its budget.
 
 use {
-    crate::series::{Bucket, Series},
+    crate::series::{Counts, Series},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, fmt::Write, sync::Arc},
 };
@@ -26,7 +26,7 @@
     /// The window's name.
     pub name: Arc<str>,
     /// The counts.
-    pub counts: Bucket,
+    pub counts: Counts,
     /// The share of requests within the target; 1 when there were none.
     pub reached: f64,
     /// How fast the budget burns; 1 uses it up by the end of its period.
@@ -85,7 +85,7 @@
 ) -> ServiceReport {
     let mut windows = Vec::new();
     for (seconds, name) in WINDOWS {
-        let mut counts = Bucket::default();
+        let mut counts = Counts::default();
         for sample in samples {
             if let Some(series) = sample.series.get(class) {
                 counts.add(series.window(now, seconds));
@@ -141,7 +141,7 @@
                 reached,
                 rate,
             } = window;
-            let Bucket {
+            let Counts {
                 total,
                 slow,
                 failed,
@@ -165,7 +165,7 @@
         let mut series = Series::default();
         series.add(
             1000,
-            Bucket {
+            Counts {
                 total,
                 slow,
                 failed: 0,
--- a/components/burn/src/series.rs
+++ b/components/burn/src/series.rs
@@ -19,7 +19,7 @@
 
 /// Requests of a service in some time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bucket {
+pub struct Counts {
     /// All requests.
     pub total: u64,
     /// Answered, but later than the target.
@@ -28,9 +28,9 @@
     pub failed: u64,
 }
 
-impl Bucket {
+impl Counts {
     /// Adds another bucket's counts.
-    pub fn add(&mut self, other: Bucket) {
+    pub fn add(&mut self, other: Counts) {
         self.total += other.total;
         self.slow += other.slow;
         self.failed += other.failed;
@@ -45,11 +45,11 @@
 /// A ring of buckets, each with the number of its stretch of time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Ring {
-    buckets: VecDeque<(u64, Bucket)>,
+    buckets: VecDeque<(u64, Counts)>,
 }
 
 impl Ring {
-    fn add(&mut self, number: u64, kept: u64, counts: Bucket) {
+    fn add(&mut self, number: u64, kept: u64, counts: Counts) {
         match self.buckets.back_mut() {
             Some((last, bucket)) if *last >= number => bucket.add(counts),
             _ => self.buckets.push_back((number, counts)),
@@ -63,8 +63,8 @@
         }
     }
 
-    fn sum(&self, from: u64) -> Bucket {
-        let mut sum = Bucket::default();
+    fn sum(&self, from: u64) -> Counts {
+        let mut sum = Counts::default();
         for (number, bucket) in self.buckets.iter().rev() {
             if *number < from {
                 break;
@@ -84,13 +84,13 @@
 
 impl Series {
     /// Adds counts at a time in seconds since 1970.
-    pub fn add(&mut self, now: u64, counts: Bucket) {
+    pub fn add(&mut self, now: u64, counts: Counts) {
         self.fine.add(now / FINE_SECONDS, FINE_KEPT, counts);
         self.coarse.add(now / COARSE_SECONDS, COARSE_KEPT, counts);
     }
 
     /// The counts of the last seconds before `now`.
-    pub fn window(&self, now: u64, seconds: u64) -> Bucket {
+    pub fn window(&self, now: u64, seconds: u64) -> Counts {
         let (ring, step) = if seconds <= 3600 {
             (&self.fine, FINE_SECONDS)
         } else {
@@ -114,7 +114,7 @@
         for step in 0..2520 {
             series.add(
                 step * 10,
-                Bucket {
+                Counts {
                     total: 1,
                     slow: 0,
                     failed: 0,
@@ -130,7 +130,7 @@
         for step in 0..100_000 {
             series.add(
                 step * 10,
-                Bucket {
+                Counts {
                     total: 1,
                     slow: 1,
                     failed: 0,
--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{budget::Retries, choice::Choice, pool::Pool},
-    burn::{Bucket, Series, report::Sample},
+    burn::{Counts, Series, report::Sample},
     infra::boxes::List,
     kernel::{
         Failure,
@@ -286,7 +286,7 @@
             return;
         };
         let slow = answered && latency > Duration::from_millis(u64::from(target));
-        let counts = Bucket {
+        let counts = Counts {
             total: 1,
             slow: u64::from(slow),
             failed: u64::from(!answered),
--- a/components/infra/src/read_back.rs
+++ b/components/infra/src/read_back.rs
@@ -29,8 +29,8 @@
 /// one of the two can take effect.
 pub fn swap(store: &dyn Store, key: &str, expected: u64, bytes: &[u8]) -> WriteOutcome {
     let failure = match store.swap(key, expected, bytes) {
-        Ok(Swap::Done(version)) => return WriteOutcome::Written(version),
-        Ok(Swap::Lost(_)) => return read_back(store, key, expected, bytes, None),
+        Ok(Swap::Written(version)) => return WriteOutcome::Written(version),
+        Ok(Swap::Conflict(_)) => return read_back(store, key, expected, bytes, None),
         Err(failure) if failure.is_not_run() => return WriteOutcome::NotRun(failure),
         Err(failure) => failure,
     };
@@ -94,7 +94,7 @@
             let mut value = kernel::sync::lock(&self.value);
             let present = value.as_ref().map_or(0, |v| v.version);
             if present != expected {
-                return Ok(Swap::Lost(present));
+                return Ok(Swap::Conflict(present));
             }
             if self.effect {
                 *value = Some(Versioned {
@@ -104,7 +104,7 @@
             }
             match &self.error {
                 Some(error) => Err(error.clone()),
-                None => Ok(Swap::Done(expected + 1)),
+                None => Ok(Swap::Written(expected + 1)),
             }
         }
 
--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swap {
     /// Written, with the new version.
-    Done(u64),
+    Written(u64),
     /// Not written: the key has this version, not the one expected.
-    Lost(u64),
+    Conflict(u64),
 }
 
 /// The service, as parts of ours see it.
@@ -126,8 +126,8 @@
         let answer = self.client.send(&call)?;
         let version = || version_of(answer.header(VERSION_HEADER));
         match answer.status {
-            200 => Ok(Swap::Done(version()?)),
-            409 => Ok(Swap::Lost(version()?)),
+            200 => Ok(Swap::Written(version()?)),
+            409 => Ok(Swap::Conflict(version()?)),
             status => Err(refusal(status)),
         }
     }
--- a/components/lease/src/ownership.rs
+++ b/components/lease/src/ownership.rs
@@ -58,16 +58,16 @@
     /// of every earlier epoch.
     pub fn next_attempt(&mut self) -> u64 {
         self.starts += 1;
-        attempt(self.epoch, self.starts)
+        attempt_number(self.epoch, self.starts)
     }
 }
 
 /// Starts that one tenure can number before it would meet the next epoch's numbers.
-const STARTS_BITS: u32 = 40;
+const COUNT_BITS: u32 = 40;
 
 /// The number of a start: the epoch above, the count below.
-pub const fn attempt(epoch: u64, count: u64) -> u64 {
-    (epoch << STARTS_BITS) | (count & ((1 << STARTS_BITS) - 1))
+pub const fn attempt_number(epoch: u64, count: u64) -> u64 {
+    (epoch << COUNT_BITS) | (count & ((1 << COUNT_BITS) - 1))
 }
 
 #[cfg(test)]
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -215,7 +215,7 @@
         }
         let present = state.keys.get(key).map_or(0, |kept| kept.value.version);
         if present != expected {
-            return Ok(Swap::Lost(present));
+            return Ok(Swap::Conflict(present));
         }
         state.last += 1;
         let version = state.last;
@@ -229,7 +229,7 @@
             state.faults.lost -= 1;
             return Err(broken());
         }
-        Ok(Swap::Done(version))
+        Ok(Swap::Written(version))
     }
 }
 
@@ -292,10 +292,10 @@
     fn swap_get_watch_over_http() {
         let (port, http) = port();
         assert_eq!(http.get("a/b"), Ok(None));
-        let Ok(Swap::Done(version)) = http.swap("a/b", 0, b"one") else {
+        let Ok(Swap::Written(version)) = http.swap("a/b", 0, b"one") else {
             panic!("not written")
         };
-        assert_eq!(http.swap("a/b", 0, b"two"), Ok(Swap::Lost(version)));
+        assert_eq!(http.swap("a/b", 0, b"two"), Ok(Swap::Conflict(version)));
         assert_eq!(&*http.get("a/b").unwrap().unwrap().bytes, b"one");
         assert_eq!(
             http.watch("a/b", version, Duration::from_millis(5)),
--- a/components/standin/src/store/port.rs
+++ b/components/standin/src/store/port.rs
@@ -83,8 +83,8 @@
     let result = core.swap_leased(key, asked.number("expect"), &asked.body, lease);
     answer(result.map(|swap| {
         let (status, version) = match swap {
-            Swap::Done(version) => (200, version),
-            Swap::Lost(version) => (409, version),
+            Swap::Written(version) => (200, version),
+            Swap::Conflict(version) => (409, version),
         };
         Some(Reply::text(status, "").with_header(VERSION_HEADER, version.to_string()))
     }))
