--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -233,7 +233,12 @@
 fn rank(progress: &Progress) -> Rank {
     let submission = &progress.submission;
     let queue = &submission.queue;
-    let chain = progress.chains.iter().copied().max().unwrap_or_default();
+    let chain = progress
+        .critical_paths
+        .iter()
+        .copied()
+        .max()
+        .unwrap_or_default();
     let span = (queue.stretch * chain as f64) as u64 + queue.target;
     Rank {
         priority: queue.priority,
--- a/components/job/src/lib.rs
+++ b/components/job/src/lib.rs
@@ -1,7 +1,8 @@
-//! Jobs of steps: what was submitted, what is done, and what of it lasts.
+//! Data model of jobs: specification, configuration, progress and persisted state.
 //!
-//! A job is a graph of steps, a step a number of like tasks. A job with a timetable runs its steps
-//! once for each of its times; without one there is a single time, number 0.
+//! A job is a directed acyclic graph of steps; a step is a number of identical tasks. A job with a
+//! timetable runs all its steps once at each scheduled time. A job without a timetable has a single
+//! time, number 0.
 
 pub mod progress;
 pub mod queue;
--- a/components/job/src/progress.rs
+++ b/components/job/src/progress.rs
@@ -1,4 +1,5 @@
-//! What is known of each task of a job, and which tasks may start.
+//! In-memory state of a job and its tasks: phases, failed runs, checkpoints, and which steps are
+//! ready. It is restored from the job's persisted record by a new owner.
 
 use {
     crate::{
@@ -8,83 +9,83 @@
     std::sync::Arc,
 };
 
-/// How many run numbers a new owner leaves out, since the record may lag behind what was started.
-/// A record is written within a second, but for an outage of the store; a task that fails at once,
-/// again and again, cannot be started this often in the longest outage stated (10 s).
+/// The run numbers that a new owner skips, since the persisted record may lag behind the runs started.
+/// A record is written within 1 s except during a store outage. A task that fails immediately each
+/// time cannot be started this often in the longest specified outage (10 s).
 pub const RUN_GAP: u64 = 64;
 
-/// Where a task stands.
+/// The phase of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// It runs nowhere.
+    /// Not placed on any worker.
     Waiting,
-    /// It was placed on a worker: ordered, or running. The worker's slot knows which.
+    /// Placed on the worker of this name: start ordered, or running. The worker's slot tells them apart.
     Placed(Arc<str>),
-    /// It ended well.
+    /// Finished successfully.
     Done,
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
-    /// The number of its last run; 0 before the first.
+    /// The number of the last run; 0 before the first.
     pub run: u64,
-    /// The runs that failed. Owners hear of them in any order and more than once.
+    /// Numbers of the failed runs. Reports of failures may arrive out of order and repeatedly.
     pub failed: Vec<u64>,
-    /// Its last checkpoint.
+    /// The last checkpoint.
     pub checkpoint: Option<Arc<str>>,
-    /// Workers that crashed under it in a row.
+    /// Consecutive worker crashes attributed to the task.
     pub crashes: Crashes,
 }
 
-/// One job and its tasks.
+/// The state of one job and its tasks.
 #[derive(Debug, Clone)]
 pub struct Progress {
-    /// As accepted.
+    /// The job as accepted.
     pub submission: Arc<Submission>,
-    /// All tasks of all times, by their place.
+    /// All tasks of all times, indexed by place (see [`Spec::place`](crate::Spec::place)).
     pub tasks: Vec<Task>,
-    /// Tasks not done, for each step of each time.
+    /// The number of unfinished tasks of each step, for each time.
     unfinished: Vec<u32>,
-    /// How far the job is.
+    /// The state of the job.
     pub state: State,
-    /// When it ended, in milliseconds since 1970.
+    /// When the job ended, in milliseconds since 1970; 0 while it has not.
     pub ended: u64,
-    /// The longest chain of estimates from each step to the end, in milliseconds.
-    pub chains: Vec<u64>,
+    /// The critical path from each step to the end of the job, in milliseconds of estimated run time.
+    pub critical_paths: Vec<u64>,
 }
 
 impl Progress {
-    /// A job that was just accepted.
+    /// Creates the state of a newly accepted job.
     pub fn new(submission: Arc<Submission>) -> Self {
         Self::resume(submission, &Record::default())
     }
 
-    /// A job as its record tells it, for a new owner.
+    /// Restores the state of a job from its persisted record, for a new owner.
     pub fn resume(submission: Arc<Submission>, record: &Record) -> Self {
         let spec = &submission.spec;
         let is_new = record.run == 0;
         let run = if is_new { 0 } else { record.run + RUN_GAP };
-        let blank = Task {
+        let task = Task {
             phase: Phase::Waiting,
             run,
             failed: Vec::new(),
             checkpoint: None,
             crashes: Crashes::default(),
         };
-        let mut open = Vec::new();
+        let mut unfinished = Vec::new();
         for _ in 0..spec.times() {
-            open.extend(spec.steps.iter().map(|step| step.count));
+            unfinished.extend(spec.steps.iter().map(|step| step.count));
         }
-        let chains = spec.critical_paths();
+        let critical_paths = spec.critical_paths();
         let mut progress = Progress {
-            tasks: vec![blank; spec.tasks_per_time() * spec.times() as usize],
-            unfinished: open,
+            tasks: vec![task; spec.tasks_per_time() * spec.times() as usize],
+            unfinished,
             state: record.state,
             ended: record.ended,
-            chains,
+            critical_paths,
             submission,
         };
         progress.restore(record);
@@ -106,9 +107,9 @@
                 task.failed.clone_from(runs);
             }
         }
-        for (place, saved) in &record.saved {
+        for (place, checkpoint) in &record.saved {
             if let Some(task) = self.tasks.get_mut(*place as usize) {
-                task.checkpoint = Some(saved.as_str().into());
+                task.checkpoint = Some(checkpoint.as_str().into());
             }
         }
         for (place, crashes) in &record.crashed {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// What is to last of it now.
+    /// Returns the record to persist. A final job keeps only its state and end.
     pub fn record(&self) -> Record {
         let mut record = Record {
             state: self.state,
@@ -139,16 +140,16 @@
                 record.failed.push((place as u32, task.failed.clone()));
             }
             if task.phase == Phase::Waiting
-                && let Some(saved) = &task.checkpoint
+                && let Some(checkpoint) = &task.checkpoint
             {
-                record.saved.push((place as u32, saved.to_string()));
+                record.saved.push((place as u32, checkpoint.to_string()));
             }
         }
         record.crashed = self.crashed();
         record
     }
 
-    /// Tasks under which workers crashed, and how often in a row.
+    /// Returns the tasks with consecutive worker crashes, by place, and their counts.
     pub fn crashed(&self) -> Vec<(u32, Crashes)> {
         let tasks = self.tasks.iter().enumerate();
         let crashed = tasks.filter(|(_, task)| task.crashes != Crashes::default());
@@ -156,13 +157,13 @@
         rows.collect()
     }
 
-    /// The step of a task.
+    /// Returns the step of a task.
     pub fn step(&self, place: usize) -> &Step {
         let address = self.submission.spec.address(place);
         &self.submission.spec.steps[address.step as usize]
     }
 
-    /// The places of the tasks of a step at a time.
+    /// Returns the places of the tasks of a step at a time; empty when there is no such step or time.
     pub fn places(&self, time: u32, step: u16) -> std::ops::Range<usize> {
         let spec = &self.submission.spec;
         let address = Address {
@@ -176,7 +177,7 @@
         start..start + spec.steps[step as usize].count as usize
     }
 
-    /// Notes that a run of a task failed. True when it was not known before.
+    /// Records a failed run of a task. Returns false when this run was already recorded.
     pub fn record_failure(&mut self, place: usize, run: u64) -> bool {
         let task = &mut self.tasks[place];
         if task.failed.contains(&run) {
@@ -186,7 +187,7 @@
         true
     }
 
-    /// Notes that a task is done. True when it was not before.
+    /// Marks a task as done. Returns false when it already was.
     pub fn mark_done(&mut self, place: usize) -> bool {
         if self.tasks[place].phase == Phase::Done {
             return false;
@@ -200,12 +201,12 @@
         true
     }
 
-    /// True when every task is done.
+    /// Whether every task is done.
     pub fn is_done(&self) -> bool {
-        self.unfinished.iter().all(|&open| open == 0)
+        self.unfinished.iter().all(|&tasks| tasks == 0)
     }
 
-    /// True when all steps that this one waits for are done, at this time.
+    /// Whether all steps that this one depends on are done at this time.
     pub fn is_ready(&self, time: u32, step: u16) -> bool {
         let steps = self.submission.spec.steps.len();
         let base = time as usize * steps;
@@ -215,19 +216,19 @@
             .all(|&earlier| self.unfinished[base + earlier as usize] == 0)
     }
 
-    /// The longest chain of estimates that is still to be run of any time, in milliseconds.
+    /// Returns the longest critical path of the unfinished steps of any time, in milliseconds.
     pub fn remaining_path(&self) -> u64 {
-        let steps = self.chains.len().max(1);
-        let open = self
+        let steps = self.critical_paths.len().max(1);
+        let unfinished = self
             .unfinished
             .iter()
             .enumerate()
-            .filter(|(_, open)| **open > 0);
-        let chains = open.map(|(number, _)| self.chains[number % steps]);
-        chains.max().unwrap_or_default()
+            .filter(|(_, tasks)| **tasks > 0);
+        let paths = unfinished.map(|(number, _)| self.critical_paths[number % steps]);
+        paths.max().unwrap_or_default()
     }
 
-    /// The tasks of a step not done at this time.
+    /// Returns the number of unfinished tasks of a step at this time.
     pub fn remaining_tasks(&self, time: u32, step: u16) -> u32 {
         let steps = self.submission.spec.steps.len();
         self.unfinished[time as usize * steps + step as usize]
--- a/components/job/src/queue.rs
+++ b/components/job/src/queue.rs
@@ -1,4 +1,4 @@
-//! What the operators configured: queues, and the limits of callers' requests.
+//! The operators' configuration: queues, worker pools, and limits of callers' requests.
 
 use {
     serde::{Deserialize, Serialize},
@@ -10,21 +10,21 @@
 pub struct Queue {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// The host name in callers' requests.
     pub host: Arc<str>,
-    /// The start of the paths that belong to it.
+    /// The path prefix routed to this queue.
     pub prefix: Arc<str>,
     /// The pool of workers that runs its tasks.
     pub pool: Arc<str>,
-    /// 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail before its job has failed.
+    /// The number of failures of one task after which its job fails.
     pub attempts: u32,
-    /// A job's objective is this many times its longest chain of work, and the target.
+    /// Factor of a job's completion objective: `stretch` times its critical path, plus `target`.
     pub stretch: f64,
-    /// See `stretch`; in milliseconds.
+    /// Constant part of the completion objective, in milliseconds.
     pub target: u64,
-    /// Only some workers may run a step, which a service outside tells.
+    /// Each step is restricted to the workers that the external advisor service allows.
     pub advised: bool,
 }
 
@@ -33,40 +33,40 @@
 pub struct Pool {
     /// Its name.
     pub name: Arc<str>,
-    /// Its workers refuse what does not fit; otherwise they start whatever they are told.
+    /// Workers refuse tasks that do not fit; otherwise they start every task that is ordered.
     pub rejects_overload: bool,
-    /// Its machines are off.
+    /// The pool's machines are powered off.
     pub spare: bool,
 }
 
-/// The bounds of callers' requests.
+/// Limits of callers' HTTP requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest body, in bytes.
+    /// The maximum body size, in bytes.
     pub max_body: usize,
-    /// The largest head, in bytes.
+    /// The maximum size of request line and headers, in bytes.
     pub max_header: usize,
-    /// The time for a head to arrive.
+    /// The time within which the headers must arrive.
     pub header_timeout: Duration,
-    /// How long a connection may be idle.
+    /// How long a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// It only goes up.
+    /// The version, which only increases.
     pub version: u64,
-    /// The queues.
+    /// The configured queues.
     pub queues: Vec<Arc<Queue>>,
-    /// The pools.
+    /// The configured worker pools.
     pub pools: Vec<Pool>,
-    /// Bounds of requests.
+    /// Limits of callers' requests.
     pub limits: Limits,
 }
 
 impl Config {
-    /// The queue of a path: the host must be the same, and the longest prefix goes first.
+    /// Returns the queue of a request: the host must be equal, and the longest matching prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Queue>> {
         let mut best: Option<&Arc<Queue>> = None;
         for queue in &self.queues {
@@ -81,17 +81,17 @@
         best
     }
 
-    /// The queue of a name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &str) -> Option<&Arc<Queue>> {
         self.queues.iter().find(|queue| &*queue.name == name)
     }
 
-    /// True for a pool that is named.
+    /// Whether a pool with this name is configured.
     pub fn has_pool(&self, name: &str) -> bool {
         self.pools.iter().any(|pool| &*pool.name == name)
     }
 
-    /// The pools whose workers start whatever they are told.
+    /// Returns the pools whose workers do not refuse tasks that exceed their capacity.
     pub fn overcommitting_pools(&self) -> HashSet<Arc<str>> {
         let pools = self.pools.iter().filter(|pool| !pool.rejects_overload);
         pools.map(|pool| pool.name.clone()).collect()
--- a/components/job/src/record.rs
+++ b/components/job/src/record.rs
@@ -1,4 +1,4 @@
-//! What lasts of a job: its submission, and its record of progress.
+//! The persisted data of a job: its submission, and the record of its progress.
 
 use {
     crate::{
@@ -11,35 +11,35 @@
 /// A job as accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its name.
+    /// The job's id.
     pub id: Id,
-    /// What the caller asked for.
+    /// The specification sent by the caller.
     pub spec: Spec,
-    /// Its queue, as configured when it was accepted; a queue may be removed while jobs remain.
+    /// The queue as configured at acceptance, since a queue may be removed while it still has jobs.
     pub queue: Queue,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted: u64,
 }
 
-/// How far a job is.
+/// The state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Queued,
-    /// Some task has begun.
+    /// At least one task has started.
     Running,
     /// Every task is done.
     Completed,
-    /// A task or a gang failed as often as it may.
+    /// A task or a gang reached the allowed number of failures.
     Failed,
     /// A caller cancelled it.
     Cancelled,
 }
 
 impl State {
-    /// The word for callers.
+    /// The name of the state in responses to callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             State::Queued => "queued",
@@ -50,37 +50,38 @@
         }
     }
 
-    /// True when the job never runs anything again.
+    /// Whether the job has ended, so that it never runs any task again.
     pub const fn is_final(self) -> bool {
         matches!(self, State::Completed | State::Failed | State::Cancelled)
     }
 }
 
-/// How often in a row workers crashed under a task.
+/// Consecutive worker crashes attributed to a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
-    /// Right after it had started there, and not together with many others.
+    /// Crashes right after the task had started on the worker, without many other workers crashing
+    /// at the same time.
     pub early: u32,
-    /// In all.
+    /// All crashes.
     pub all: u32,
 }
 
-/// The lasting part of a job's progress. Tasks are named by their place in the job.
+/// The persisted part of a job's progress. Tasks are identified by their place in the job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Record {
-    /// How far the job is.
+    /// The state of the job.
     pub state: State,
-    /// When it ended, in milliseconds since 1970; 0 while it has not.
+    /// When the job ended, in milliseconds since 1970; 0 while it has not.
     pub ended: u64,
-    /// A bit for each task that is done.
+    /// A bit set of the tasks that are done; the lowest bit of the first byte is place 0.
     pub done: Vec<u8>,
-    /// Tasks that failed, and the runs that did.
+    /// Tasks with failed runs, and the numbers of these runs.
     pub failed: Vec<(u32, Vec<u64>)>,
     /// The highest run number of any task.
     pub run: u64,
-    /// Tasks with a checkpoint that no worker holds any more.
+    /// Checkpoints of tasks that are waiting, so that no worker holds them.
     pub saved: Vec<(u32, String)>,
-    /// Tasks under which workers crashed.
+    /// Tasks with consecutive worker crashes.
     pub crashed: Vec<(u32, Crashes)>,
 }
--- a/components/job/src/spec.rs
+++ b/components/job/src/spec.rs
@@ -1,4 +1,5 @@
-//! What a caller submits: steps of tasks, their needs and their order.
+//! The specification of a job as submitted by a caller (steps, resource requirements, dependencies,
+//! timetable) and its validation.
 
 use {
     displaydoc::Display,
@@ -6,33 +7,34 @@
     std::{fmt, sync::Arc},
 };
 
-/// The longest text of a specification, in bytes; the callers' interface states it.
+/// The maximum length of a specification's text, in bytes, as documented in the callers' API.
 pub const MAX_TEXT: usize = 4_000;
-/// The most steps of a job; a bound of our own, an order of magnitude above what callers send.
+/// The maximum number of steps of a job, an order of magnitude above what callers send.
 pub const MAX_STEPS: usize = 64;
-/// The most tasks of a job over all its times; a bound of our own that keeps a record small.
+/// The maximum number of tasks of a job over all its times; it bounds the size of a record.
 pub const MAX_TASKS: usize = 20_000;
 
-/// The most processors, in thousandths of a core, memory, in MiB, and accelerators that a task may ask for: a thousand times
-/// what the largest machine of the users has. Sums of them stay far below what numbers hold.
-const MAX_AMOUNT: u64 = 1_000_000_000;
-/// The longest estimate of a task, in milliseconds: a year.
+/// The maximum of each resource that a task may request (thousandths of a core, MiB, accelerators): a
+/// thousand times the users' largest machine. Sums of such amounts cannot overflow.
+const MAX_RESOURCE: u64 = 1_000_000_000;
+/// The maximum estimated run time of a task, in milliseconds: one year.
 const MAX_ESTIMATE: u64 = 366 * 86_400_000;
-/// The latest time that a timetable names, in milliseconds since 1970: some 30,000 years on.
-const MAX_WALL: u64 = 1_000_000_000_000_000;
+/// The latest time in a timetable, in milliseconds since 1970: about 30,000 years ahead, so that
+/// times cannot overflow.
+const MAX_UNIX_MS: u64 = 1_000_000_000_000_000;
 
-/// The name of a job, chosen by its caller: 16 hexadecimal digits.
+/// The id of a job, chosen by its caller: 16 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id(Arc<str>);
 
 impl Id {
-    /// A name from its text; `None` when it is not 16 hexadecimal digits.
+    /// Parses an id; `None` unless it is 16 hexadecimal digits.
     pub fn new(text: &str) -> Option<Self> {
         let hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         (text.len() == 16 && hex).then(|| Id(text.into()))
     }
 
-    /// The text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -44,7 +46,7 @@
     }
 }
 
-/// What one task takes of a worker.
+/// An amount of each resource: what a task requires, or what a worker has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
     /// Thousandths of a core.
@@ -56,12 +58,12 @@
 }
 
 impl Size {
-    /// True when this fits into what is free.
+    /// Whether each resource fits into the free amount.
     pub fn fits(self, free: Size) -> bool {
         self.cpu <= free.cpu && self.memory <= free.memory && self.gpus <= free.gpus
     }
 
-    /// The sum of both.
+    /// Returns the sum of each resource.
     pub fn plus(self, other: Size) -> Size {
         Size {
             cpu: self.cpu + other.cpu,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// What is left of this without the other, never below nothing.
+    /// Returns the difference of each resource, at least 0.
     pub fn minus(self, other: Size) -> Size {
         Size {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -80,193 +82,195 @@
     }
 }
 
-/// A step: tasks that are alike.
+/// A step: a number of identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
     /// The number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// The resources of each task.
     pub size: Size,
-    /// The caller's guess of a task's run time, in milliseconds.
+    /// The caller's estimate of a task's run time, in milliseconds.
     pub estimate: u64,
-    /// Numbers of earlier steps that must be done before.
+    /// Numbers of the earlier steps that this step depends on.
     pub after: Vec<u16>,
-    /// Tasks save checkpoints and can go on from them elsewhere.
+    /// Tasks write checkpoints, from which they can resume on another worker.
     pub checkpoints: bool,
-    /// Tasks run only as a group, all at once.
+    /// Gang scheduling: tasks run only all at the same time.
     pub gang: bool,
-    /// The tasks are slowed down when they are on more than one rack.
+    /// Tasks run slower when they are spread over more than one rack.
     pub one_rack: bool,
     /// A label that the worker must have.
     pub label: Option<Arc<str>>,
-    /// The rack that holds the data; elsewhere the work is slowed down.
+    /// The rack that holds the data; tasks run slower on other racks.
     pub rack: Option<Arc<str>>,
-    /// The most tasks of the step on one worker; 0 is no bound.
+    /// The maximum number of the step's tasks on one worker; 0 means no limit.
     pub spread: u32,
-    /// Copies of a task may run side by side.
+    /// Several copies of a task may run at the same time.
     pub copies: bool,
-    /// Tasks run until the job is cancelled.
+    /// Long-running: tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks with the same image behave alike.
+    /// The image that tasks run; tasks with the same image are assumed to have the same load profile.
     pub image: Option<Arc<str>>,
-    /// For a lasting task that answers users: the tail of its answer times to be kept, in
-    /// milliseconds; 0 for none.
+    /// The tail latency target of a long-running task that serves users' requests, in milliseconds;
+    /// 0 for none.
     pub target: u64,
-    /// Tasks take no room for processors and get what others leave unused.
+    /// Best-effort: tasks reserve no processors and use those left idle by other tasks.
     pub fills: bool,
-    /// How many tasks of a lasting step may be stopped by us at a time; `None` when not stated.
+    /// The disruption budget of a long-running step: how many of its tasks the scheduler may stop at
+    /// the same time; `None` when not given.
     pub may_miss: Option<u32>,
 }
 
-/// When the steps are to run, for a job with a timetable.
+/// The times at which a job with a timetable runs its steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timetable {
-    /// How many times.
+    /// The number of times.
     pub times: u32,
     /// The first time, in milliseconds since 1970.
     pub first: u64,
-    /// From one time to the next, in milliseconds.
+    /// The interval between two times, in milliseconds.
     pub interval: u64,
 }
 
 /// A job as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// The caller's text, handed to each task as it is.
+    /// The caller's text, passed unchanged to each task.
     pub text: Arc<str>,
-    /// The steps.
+    /// The steps, each after the steps it depends on.
     pub steps: Vec<Step>,
-    /// The timetable, if there is one.
+    /// The timetable; `None` runs the steps once, at once.
     pub timetable: Option<Timetable>,
 }
 
-/// Which task of a job.
+/// The position of a task within its job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
-    /// The number of the time.
+    /// The number of the time in the timetable, from 0.
     pub time: u32,
-    /// The number of the step.
+    /// The number of the step, from 0.
     pub step: u16,
-    /// The number within the step.
+    /// The index of the task within the step, from 0.
     pub index: u32,
 }
 
-/// Why a job is refused.
+/// Why a specification is invalid. The doc comment of a variant is its error message.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum InvalidSpec {
     /// the specification has more than 4,000 bytes
-    LongText,
+    TextTooLong,
     /// a job needs 1 to 64 steps
-    Steps,
+    StepCount,
     /// step {0} has no tasks
-    Empty(usize),
+    NoTasks(usize),
     /// step {0} may only come after earlier steps
-    Order(usize),
+    StepOrder(usize),
     /// step {0} asks for no processors
-    NoCpu(usize),
+    NoProcessors(usize),
     /// the job has more than 20,000 tasks
-    Tasks,
+    TooManyTasks,
     /// a timetable with more than one time needs an interval
-    Interval,
+    NoInterval,
     /// step {0} asks for more than any worker has, or takes longer than any task
-    Amount(usize),
+    OutOfRange(usize),
     /// the timetable is out of range
-    Timetable,
+    TimetableOutOfRange,
 }
 
 impl Step {
-    /// True when what it asks for can be added up.
-    fn is_bounded(&self) -> bool {
+    /// Whether all amounts are within the bounds under which sums cannot overflow.
+    fn is_in_range(&self) -> bool {
         let Size { cpu, memory, gpus } = self.size;
         let largest = cpu.max(memory).max(gpus);
-        largest <= MAX_AMOUNT && self.estimate.max(self.target) <= MAX_ESTIMATE
+        largest <= MAX_RESOURCE && self.estimate.max(self.target) <= MAX_ESTIMATE
     }
 }
 
 impl std::error::Error for InvalidSpec {}
 
 impl Spec {
-    /// Checks what a caller sent.
+    /// Validates a specification sent by a caller.
     ///
     /// # Errors
     ///
-    /// The first flaw found.
+    /// Returns the first violation found.
     pub fn validate(&self) -> Result<(), InvalidSpec> {
         if self.text.len() > MAX_TEXT {
-            return Err(InvalidSpec::LongText);
+            return Err(InvalidSpec::TextTooLong);
         }
         self.validate_bounds()?;
         for (number, step) in self.steps.iter().enumerate() {
             if step.size.cpu == 0 && step.size.gpus == 0 {
-                return Err(InvalidSpec::NoCpu(number));
+                return Err(InvalidSpec::NoProcessors(number));
             }
         }
         if let Some(timetable) = self.timetable
             && timetable.times > 1
             && timetable.interval == 0
         {
-            return Err(InvalidSpec::Interval);
+            return Err(InvalidSpec::NoInterval);
         }
         Ok(())
     }
 
-    /// Checks that it can be worked with, whoever wrote it: its numbers can be added up, and its steps refer to each
-    /// other.
+    /// Validates what the scheduler relies on, also for specifications read from the store: sums of
+    /// amounts cannot overflow, and steps depend only on earlier steps.
     ///
     /// # Errors
     ///
-    /// The first flaw found.
+    /// Returns the first violation found.
     pub fn validate_bounds(&self) -> Result<(), InvalidSpec> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            return Err(InvalidSpec::Steps);
+            return Err(InvalidSpec::StepCount);
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
-                return Err(InvalidSpec::Empty(number));
+                return Err(InvalidSpec::NoTasks(number));
             }
             if step.after.iter().any(|&earlier| earlier as usize >= number) {
-                return Err(InvalidSpec::Order(number));
+                return Err(InvalidSpec::StepOrder(number));
             }
-            if !step.is_bounded() {
-                return Err(InvalidSpec::Amount(number));
+            if !step.is_in_range() {
+                return Err(InvalidSpec::OutOfRange(number));
             }
         }
         if let Some(timetable) = self.timetable
-            && timetable.first.max(timetable.interval) > MAX_WALL
+            && timetable.first.max(timetable.interval) > MAX_UNIX_MS
         {
-            return Err(InvalidSpec::Timetable);
+            return Err(InvalidSpec::TimetableOutOfRange);
         }
         let tasks = self.tasks_per_time().saturating_mul(self.times() as usize);
         if tasks > MAX_TASKS {
-            return Err(InvalidSpec::Tasks);
+            return Err(InvalidSpec::TooManyTasks);
         }
         Ok(())
     }
 
-    /// How many times the steps run.
+    /// Returns the number of times that the steps run; 1 without a timetable.
     pub fn times(&self) -> u32 {
         self.timetable.map_or(1, |timetable| timetable.times.max(1))
     }
 
-    /// The number of tasks of one time.
+    /// Returns the number of tasks of one time.
     pub fn tasks_per_time(&self) -> usize {
         self.steps.iter().map(|step| step.count as usize).sum()
     }
 
-    /// When a time is due, in milliseconds since 1970; 0 without a timetable.
+    /// Returns when a time is due, in milliseconds since 1970; 0 without a timetable.
     pub fn due(&self, time: u32) -> u64 {
         self.timetable.map_or(0, |timetable| {
             timetable.first + u64::from(time) * timetable.interval
         })
     }
 
-    /// True when a step lasts, so that the job ends only when it is cancelled.
+    /// Whether a step is long-running, so that the job ends only when it is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
 
-    /// The place of a task among all tasks of the job; `None` when there is no such task.
+    /// Returns the place of a task, which is its index among all tasks of the job; `None` when there
+    /// is no such task.
     pub fn place(&self, address: Address) -> Option<usize> {
         let step = self.steps.get(address.step as usize)?;
         if address.index >= step.count || address.time >= self.times() {
@@ -279,35 +283,36 @@
         Some(address.time as usize * self.tasks_per_time() + before + address.index as usize)
     }
 
-    /// The task at a place among all tasks of the job.
+    /// Returns the address of the task at a place.
     pub fn address(&self, place: usize) -> Address {
         let round = self.tasks_per_time().max(1);
-        let mut rest = place % round;
+        let mut index = place % round;
         let mut number = 0;
-        for (step, at) in self.steps.iter().zip(0u16..) {
-            number = at;
-            if rest < step.count as usize {
+        for (step, current) in self.steps.iter().zip(0u16..) {
+            number = current;
+            if index < step.count as usize {
                 break;
             }
-            rest -= step.count as usize;
+            index -= step.count as usize;
         }
         Address {
             time: (place / round) as u32,
             step: number,
-            index: rest as u32,
+            index: index as u32,
         }
     }
 
-    /// The longest chain of estimates from each step to the end, in milliseconds.
+    /// Returns for each step the critical path from its start to the end of the job: the longest sum
+    /// of estimates along its dependents, in milliseconds.
     pub fn critical_paths(&self) -> Vec<u64> {
-        let mut chains: Vec<u64> = self.steps.iter().map(|step| step.estimate).collect();
+        let mut paths: Vec<u64> = self.steps.iter().map(|step| step.estimate).collect();
         for number in (0..self.steps.len()).rev() {
-            let chain = chains[number];
+            let path = paths[number];
             for &earlier in &self.steps[number].after {
                 let earlier = earlier as usize;
-                chains[earlier] = chains[earlier].max(self.steps[earlier].estimate + chain);
+                paths[earlier] = paths[earlier].max(self.steps[earlier].estimate + path);
             }
         }
-        chains
+        paths
     }
 }
--- a/components/job/tests/progress.rs
+++ b/components/job/tests/progress.rs
@@ -1,4 +1,4 @@
-//! Steps, places and records of jobs.
+//! Tests of the job model: ids, validation, places, readiness of steps, and persisted records.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -57,17 +57,21 @@
 #[test_case("00112233445566AA", true; "upper case")]
 #[test_case("00112233445566a", false; "short")]
 #[test_case("00112233445566ag", false; "not hex")]
-fn new_id(text: &str, right: bool) {
-    assert_eq!(Id::new(text).is_some(), right);
+fn id_from_text(text: &str, valid: bool) {
+    assert_eq!(Id::new(text).is_some(), valid);
 }
 
-#[test_case(vec![], None, Err(InvalidSpec::Steps); "no step")]
-#[test_case(vec![step(0, &[])], None, Err(InvalidSpec::Empty(0)); "no task")]
-#[test_case(vec![step(1, &[]), step(1, &[1])], None, Err(InvalidSpec::Order(1)); "after itself")]
+#[test_case(vec![], None, Err(InvalidSpec::StepCount); "no step")]
+#[test_case(vec![step(0, &[])], None, Err(InvalidSpec::NoTasks(0)); "no task")]
+#[test_case(vec![step(1, &[]), step(1, &[1])], None, Err(InvalidSpec::StepOrder(1)); "depends on itself")]
 #[test_case(vec![step(1, &[]), step(1, &[0])], None, Ok(()); "chain")]
-#[test_case(vec![step(20_001, &[])], None, Err(InvalidSpec::Tasks); "too many")]
-#[test_case(vec![step(1, &[])], Some(Timetable { times: 2, first: 5, interval: 0 }), Err(InvalidSpec::Interval); "no interval")]
-fn check_cases(steps: Vec<Step>, timetable: Option<Timetable>, expected: Result<(), InvalidSpec>) {
+#[test_case(vec![step(20_001, &[])], None, Err(InvalidSpec::TooManyTasks); "too many")]
+#[test_case(vec![step(1, &[])], Some(Timetable { times: 2, first: 5, interval: 0 }), Err(InvalidSpec::NoInterval); "no interval")]
+fn validate_cases(
+    steps: Vec<Step>,
+    timetable: Option<Timetable>,
+    expected: Result<(), InvalidSpec>,
+) {
     assert_eq!(spec(steps, timetable).validate(), expected);
 }
 
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn chains_longest() {
+fn critical_paths_longest() {
     let spec = spec(
         vec![step(1, &[]), step(1, &[0]), step(1, &[0]), step(1, &[1])],
         None,
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn open_after_all_done() {
+fn is_ready_after_dependencies() {
     let mut progress = Progress::new(submission(spec(vec![step(2, &[]), step(1, &[0])], None)));
     assert!(!progress.is_ready(0, 1));
     assert!(progress.mark_done(0));
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn resume_keeps_what_lasts() {
+fn resume_from_record() {
     let submission = submission(spec(vec![step(9, &[]), step(1, &[0])], None));
     let mut progress = Progress::new(submission.clone());
     progress.state = State::Running;
@@ -134,8 +138,8 @@
     assert_eq!(resumed.remaining_tasks(0, 0), 8);
 }
 
-/// How often workers crashed under a task lasts, as records are written (without names); a record from before that was
-/// kept is read as well.
+/// Crash counts survive in the persisted record, which is encoded without field names. A record written by a
+/// version without this field still decodes, with no crashes.
 #[test]
 fn record_keeps_crashes() {
     let submission = submission(spec(vec![step(3, &[])], None));
@@ -148,15 +152,15 @@
     let resumed = Progress::resume(submission, &record);
     assert_eq!(resumed.crashed(), [(1, crashes)]);
     let none: Vec<(u32, String)> = Vec::new();
-    let former = (State::Running, 0, vec![0u8], &none, 7, &none);
-    let bytes = rmp_serde::to_vec(&former).unwrap();
+    let older = (State::Running, 0, vec![0u8], &none, 7, &none);
+    let bytes = rmp_serde::to_vec(&older).unwrap();
     let record: Record = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!((record.run, record.crashed.len()), (7, 0));
 }
 
-/// A task that is done, or that goes on as part of a gang that is, is suspected no longer.
+/// A completed task is not suspected of crashing workers, so marking it as done resets its crash counts.
 #[test]
-fn finish_forgets_crashes() {
+fn mark_done_resets_crashes() {
     let submission = submission(spec(vec![step(2, &[])], None));
     let mut progress = Progress::new(submission);
     progress.tasks[0].crashes = Crashes { early: 2, all: 2 };
@@ -164,27 +168,27 @@
     assert!(progress.crashed().is_empty());
 }
 
-/// Numbers that cannot be added up are refused to the caller, and are no job where another writer kept them.
+/// Amounts whose sums could overflow are refused to callers, and also when read from the store.
 #[test_case(|step| step.size.cpu = u64::MAX; "processors")]
 #[test_case(|step| step.size.memory = u64::MAX; "memory")]
 #[test_case(|step| step.size.gpus = u64::MAX; "accelerators")]
 #[test_case(|step| step.estimate = u64::MAX; "estimate")]
 #[test_case(|step| step.target = u64::MAX; "target")]
-fn check_amount(change: fn(&mut Step)) {
-    let mut own = step(1, &[]);
-    change(&mut own);
-    let spec = spec(vec![own], None);
-    assert_eq!(spec.validate(), Err(InvalidSpec::Amount(0)));
-    assert_eq!(spec.validate_bounds(), Err(InvalidSpec::Amount(0)));
+fn validate_amounts(change: fn(&mut Step)) {
+    let mut large = step(1, &[]);
+    change(&mut large);
+    let spec = spec(vec![large], None);
+    assert_eq!(spec.validate(), Err(InvalidSpec::OutOfRange(0)));
+    assert_eq!(spec.validate_bounds(), Err(InvalidSpec::OutOfRange(0)));
 }
 
 #[test]
-fn check_timetable_out_of_range() {
+fn validate_timetable_out_of_range() {
     let timetable = Timetable {
         times: 2,
         first: 1,
         interval: u64::MAX / 2,
     };
     let spec = spec(vec![step(1, &[])], Some(timetable));
-    assert_eq!(spec.validate(), Err(InvalidSpec::Timetable));
+    assert_eq!(spec.validate(), Err(InvalidSpec::TimetableOutOfRange));
 }
