--- a/components/burn/src/lib.rs
+++ b/components/burn/src/lib.rs
@@ -1,8 +1,8 @@
-//! Service-level burn: how much of a service's error budget its requests use up.
+//! Burn rates of services: how fast requests that miss their objective use up the error budget.
 //!
 //! The method is the multi-window burn rate of the Site Reliability Workbook (Beyer and others,
-//! 2018, chapter 5): the share of bad requests in a window over the share that the objective
-//! allows. A rate of 1 uses the budget up exactly by the end of its period.
+//! 2018, chapter 5): the share of bad requests in a window divided by the share that the objective
+//! allows. A rate of 1 exhausts the budget exactly at the end of its period.
 
 pub mod report;
 pub mod series;
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -1,4 +1,5 @@
-//! The report: what each service reached, and how fast it burns its budget.
+//! The report of service levels: the share of requests within target and the burn rate of each service,
+//! built from the samples of all gates.
 
 use {
     crate::series::{Counts, Series},
@@ -6,60 +7,61 @@
     std::{collections::BTreeMap, fmt::Write, sync::Arc},
 };
 
-/// The windows of the report, in seconds, with their names.
+/// The windows of the report: length in seconds, and name.
 pub const WINDOWS: [(u64, &str); 4] = [(300, "5m"), (3600, "1h"), (21_600, "6h"), (259_200, "3d")];
 
-/// What one gate tells of its services.
+/// The counts of one gate.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The gate's box.
+    /// The name of the gate's box.
     pub gate: Arc<str>,
-    /// The targets by class, in milliseconds.
+    /// The latency targets by class, in milliseconds.
     pub targets: BTreeMap<Arc<str>, u32>,
-    /// The counts by class.
+    /// The request counts by class.
     pub series: BTreeMap<Arc<str>, Series>,
 }
 
-/// One service in one window.
+/// The service level of one service in one window.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     /// The window's name.
     pub name: Arc<str>,
-    /// The counts.
+    /// The request counts.
     pub counts: Counts,
-    /// The share of requests within the target; 1 when there were none.
+    /// The share of requests within the target; 1 when there were no requests.
     pub reached: f64,
-    /// How fast the budget burns; 1 uses it up by the end of its period.
+    /// The burn rate; 1 exhausts the budget at the end of its period.
     pub rate: f64,
 }
 
-/// One service.
+/// The service levels of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// The class.
+    /// The class of requests that the service answers.
     pub class: Arc<str>,
     /// The latency target, in milliseconds.
     pub target: u32,
-    /// The share of the budget of the longest window that is left; below 0 when overdrawn.
+    /// The remaining share of the error budget over the longest window; negative when exceeded.
     pub left: f64,
-    /// The windows, the shortest first.
+    /// The windows, shortest first.
     pub windows: Vec<Window>,
 }
 
-/// The report on all services.
+/// The report of all services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The share of requests that must be within the target.
+    /// The required share of requests within the target.
     pub objective: f64,
-    /// The gates that told.
+    /// The gates whose counts are included.
     pub gates: Vec<Arc<str>>,
     /// The gates that did not answer.
     pub silent: Vec<Arc<str>>,
-    /// The services.
+    /// One entry per service, sorted by class.
     pub lines: Vec<ServiceReport>,
 }
 
-/// Works the report out from what the gates told.
+/// Builds the report from the gates' samples; `silent` are the gates that did not answer, `now` is in
+/// seconds since 1970.
 pub fn build(samples: &[Sample], silent: Vec<Arc<str>>, objective: f64, now: u64) -> Report {
     let mut targets: BTreeMap<Arc<str>, u32> = BTreeMap::new();
     for sample in samples {
@@ -113,7 +115,7 @@
     }
 }
 
-/// Writes the report for a terminal.
+/// Renders the report as text for a terminal.
 pub fn render(report: &Report) -> String {
     let mut out = String::new();
     let objective = report.objective * 100.0;
@@ -178,9 +180,9 @@
         }
     }
 
-    #[test_case(0, 0.0; "none slow")]
-    #[test_case(2, 1.0; "as many as allowed")]
-    #[test_case(20, 10.0; "ten times as many")]
+    #[test_case(0, 0.0; "no slow requests")]
+    #[test_case(2, 1.0; "as many slow requests as allowed")]
+    #[test_case(20, 10.0; "ten times as many as allowed")]
     fn build_rate(slow: u64, rate: f64) {
         let samples = [sample("a", 100, slow), sample("b", 100, 0)];
         let report = build(&samples, Vec::new(), 0.99, 1005);
@@ -190,7 +192,7 @@
     }
 
     #[test]
-    fn text_names_silent() {
+    fn render_names_silent_gates() {
         let report = build(&[], vec![Arc::from("b3")], 0.99, 0);
         assert!(render(&report).contains("Gate b3 does not answer"));
     }
--- a/components/burn/src/series.rs
+++ b/components/burn/src/series.rs
@@ -1,4 +1,4 @@
-//! Counts of a service's requests over time, in a bounded ring.
+//! Request counts of a service over time, in ring buffers of bounded size.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,48 +8,48 @@
 /// The length of a fine bucket, in seconds.
 pub const FINE_SECONDS: u64 = 10;
 
-/// Fine buckets kept: one hour and some room.
-const FINE_KEPT: u64 = 370;
+/// The number of fine buckets that are kept: one hour plus a margin of 10 buckets.
+const FINE_BUCKETS: u64 = 370;
 
 /// The length of a coarse bucket, in seconds.
 pub const COARSE_SECONDS: u64 = 300;
 
-/// Coarse buckets kept: three days.
-const COARSE_KEPT: u64 = 864;
+/// The number of coarse buckets that are kept: three days.
+const COARSE_BUCKETS: u64 = 864;
 
-/// Requests of a service in some time.
+/// Request counts of a service in a period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// All requests.
     pub total: u64,
-    /// Answered, but later than the target.
+    /// Requests answered later than the latency target.
     pub slow: u64,
-    /// Not answered.
+    /// Requests not answered.
     pub failed: u64,
 }
 
 impl Counts {
-    /// Adds another bucket's counts.
+    /// Adds other counts to these.
     pub fn add(&mut self, other: Counts) {
         self.total += other.total;
         self.slow += other.slow;
         self.failed += other.failed;
     }
 
-    /// Requests that missed the target.
+    /// Returns the number of requests that missed the objective.
     pub fn bad(&self) -> u64 {
         self.slow + self.failed
     }
 }
 
-/// A ring of buckets, each with the number of its stretch of time.
+/// A ring buffer of counts, each with the number of its interval since 1970.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Ring {
     buckets: VecDeque<(u64, Counts)>,
 }
 
 impl Ring {
-    fn add(&mut self, number: u64, kept: u64, counts: Counts) {
+    fn add(&mut self, number: u64, capacity: u64, counts: Counts) {
         match self.buckets.back_mut() {
             Some((last, bucket)) if *last >= number => bucket.add(counts),
             _ => self.buckets.push_back((number, counts)),
@@ -57,7 +57,7 @@
         while self
             .buckets
             .front()
-            .is_some_and(|(first, _)| first + kept <= number)
+            .is_some_and(|(first, _)| first + capacity <= number)
         {
             self.buckets.pop_front();
         }
@@ -75,7 +75,7 @@
     }
 }
 
-/// One service's counts: fine for the last hour, coarse for the last three days.
+/// Request counts of a service, in fine buckets for the last hour and coarse ones for three days.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Series {
     fine: Ring,
@@ -83,13 +83,14 @@
 }
 
 impl Series {
-    /// Adds counts at a time in seconds since 1970.
+    /// Adds counts at time `now`, in seconds since 1970.
     pub fn add(&mut self, now: u64, counts: Counts) {
-        self.fine.add(now / FINE_SECONDS, FINE_KEPT, counts);
-        self.coarse.add(now / COARSE_SECONDS, COARSE_KEPT, counts);
+        self.fine.add(now / FINE_SECONDS, FINE_BUCKETS, counts);
+        self.coarse
+            .add(now / COARSE_SECONDS, COARSE_BUCKETS, counts);
     }
 
-    /// The counts of the last seconds before `now`.
+    /// Returns the counts of the last `seconds` before `now`, rounded to whole buckets.
     pub fn window(&self, now: u64, seconds: u64) -> Counts {
         let (ring, step) = if seconds <= 3600 {
             (&self.fine, FINE_SECONDS)
@@ -108,9 +109,9 @@
     #[test_case(300, 30; "five minutes")]
     #[test_case(3600, 360; "an hour")]
     #[test_case(21_600, 2160; "six hours")]
-    fn last_window(seconds: u64, expected: u64) {
+    fn window_sums(seconds: u64, expected: u64) {
         let mut series = Series::default();
-        // One request in each stretch of ten seconds, for seven hours.
+        // One request per ten seconds, for seven hours.
         for step in 0..2520 {
             series.add(
                 step * 10,
@@ -125,7 +126,7 @@
     }
 
     #[test]
-    fn add_stays_bounded() {
+    fn add_keeps_bound() {
         let mut series = Series::default();
         for step in 0..100_000 {
             series.add(
@@ -137,7 +138,7 @@
                 },
             );
         }
-        assert!(series.fine.buckets.len() as u64 <= FINE_KEPT);
-        assert!(series.coarse.buckets.len() as u64 <= COARSE_KEPT);
+        assert!(series.fine.buckets.len() as u64 <= FINE_BUCKETS);
+        assert!(series.coarse.buckets.len() as u64 <= COARSE_BUCKETS);
     }
 }
--- a/components/lease/examples/ownership.rs
+++ b/components/lease/examples/ownership.rs
@@ -1,4 +1,4 @@
-//! The life of an ownership: `cargo run -p magpie-lease --example ownership`.
+//! The stages of an ownership, numbers of starts and lease expiry: `cargo run -p magpie-lease --example ownership`.
 
 use {
     magpie_lease::{LeaseTiming, Ownership},
@@ -8,13 +8,13 @@
 fn main() {
     let fencing = Ownership::begin(Arc::from("h1"), 3);
     println!("fencing {} with epoch {}", fencing.cell(), fencing.epoch());
-    // Only a tenure that holds the cell can number a start.
-    let mut holding = fencing.activate();
-    println!("the first start is number {:#x}", holding.next_attempt());
-    let heard = Instant::now();
-    let term = LeaseTiming::default();
+    // Only an active ownership can number a start.
+    let mut active = fencing.activate();
+    println!("the first start is number {:#x}", active.next_attempt());
+    let reported = Instant::now();
+    let timing = LeaseTiming::default();
     println!(
-        "a silent worker is given up after {:?}",
-        term.expiry(heard) - heard
+        "the lease of an unreachable worker has expired after {:?}",
+        timing.expiry(reported) - reported
     );
 }
--- a/components/lease/src/epoch.rs
+++ b/components/lease/src/epoch.rs
@@ -1,4 +1,4 @@
-//! The epoch of a cell in the platform's store.
+//! The owner record of a cell in the platform's store, with the cell's epoch (fencing token).
 
 use {
     infra::{
@@ -14,29 +14,29 @@
     std::sync::Arc,
 };
 
-/// Who owns a cell, as the store knows it.
+/// The owner of a cell as recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
-    /// Goes up with each takeover.
+    /// Increases with each takeover.
     pub epoch: u64,
-    /// The owner's box.
+    /// The name of the owner's box.
     pub owner: Arc<str>,
     /// The base address of the owner's scheduler.
     pub url: Arc<str>,
-    /// Unlike that of any other claim, so that a lost reply can be settled.
+    /// Unique to each claim, so that the outcome of a write can be read back after a lost reply.
     pub claim: u64,
 }
 
-/// The key of a cell's epoch.
+/// Returns the store key of a cell's owner record.
 pub fn key(cell: &str) -> String {
     format!("magpie/cell/{cell}/epoch")
 }
 
-/// Reads a cell's record with its version; `None` when the cell never had an owner.
+/// Reads a cell's owner record and its version; `None` when the cell never had an owner.
 ///
 /// # Errors
 ///
-/// The store fails, or its value is no record.
+/// Fails when the store fails, or when its value is not a valid record.
 pub fn read(store: &dyn Store, cell: &str) -> Result<Option<(u64, OwnerRecord)>, Failure> {
     let Some(value) = store.get(&key(cell))? else {
         return Ok(None);
@@ -44,13 +44,13 @@
     Ok(Some((value.version, wire::decode(&value.bytes)?)))
 }
 
-/// Raises the epoch of a cell by one, for this owner. Returns the new record and the box that
-/// owned the cell before.
+/// Increments the epoch of a cell for a new owner. Returns the new record and the box of the
+/// previous owner.
 ///
 /// # Errors
 ///
-/// `Conflict` when another raised it at the same moment; else the store's failure, where
-/// `may-have-run` means that an epoch may have been raised and is then not used by anybody.
+/// `Conflict` when another box incremented it concurrently; otherwise the store's failure, where
+/// `may-have-run` means that the epoch may have been incremented and stays unused.
 pub fn raise(
     store: &dyn Store,
     cell: &str,
@@ -58,7 +58,7 @@
     url: &Arc<str>,
     claim: u64,
 ) -> Result<(OwnerRecord, Option<Arc<str>>), Failure> {
-    let (version, epoch, before) = match read(store, cell)? {
+    let (version, epoch, previous) = match read(store, cell)? {
         Some((version, record)) => (version, record.epoch, Some(record.owner)),
         None => (0, 0, None),
     };
@@ -70,9 +70,9 @@
     };
     let bytes = wire::encode(&record)?;
     match read_back::swap(store, &key(cell), version, &bytes) {
-        WriteOutcome::Written(_) => Ok((record, before)),
+        WriteOutcome::Written(_) => Ok((record, previous)),
         WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {
-            let text = format!("another took the cell {cell} over");
+            let text = format!("another box took over cell {cell} concurrently");
             Err(Failure {
                 verdict: Verdict::NotRun,
                 cause: Cause::Conflict,
--- a/components/lease/src/lib.rs
+++ b/components/lease/src/lib.rs
@@ -1,8 +1,8 @@
-//! Authority over a cell of workers: epochs in the store, leases at the workers.
+//! Ownership of a cell of workers: epochs in the store as fencing tokens, and leases of the workers.
 //!
-//! An owner raises the cell's epoch once, by compare-and-swap; that is the only use of the store
-//! on this path. Every order to a worker carries the epoch. Leases are extended on the worker's
-//! own clock, so that a late or doubled extension extends nothing.
+//! A new owner increments the cell's epoch once, by compare-and-swap; placing work needs no further
+//! access to the store. Every order to a worker carries the epoch. A lease is extended relative to
+//! the worker's own clock, so that a delayed or duplicated extension has no effect.
 
 pub mod epoch;
 pub mod ownership;
--- a/components/lease/src/ownership.rs
+++ b/components/lease/src/ownership.rs
@@ -1,16 +1,17 @@
-//! The life of an ownership: first the workers are fenced and read, then work is placed.
+//! The two stages of an ownership as types: fencing the workers of the previous owner, then placing
+//! work. Only an active ownership can number a start.
 
 use std::{marker::PhantomData, sync::Arc};
 
-/// The workers are being told the new epoch and their ledgers are being read.
+/// Stage: the workers receive the new epoch, and the owner reads their ledgers.
 #[derive(Debug, Clone, Copy)]
 pub struct Fencing;
 
-/// What runs is known; work may be placed.
+/// Stage: all running tasks are known, so work may be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct Active;
 
-/// One ownership of a cell, in the stage `S`.
+/// One ownership of a cell, in stage `S`.
 #[derive(Debug)]
 pub struct Ownership<S> {
     cell: Arc<str>,
@@ -20,19 +21,19 @@
 }
 
 impl<S> Ownership<S> {
-    /// The cell.
+    /// Returns the cell.
     pub fn cell(&self) -> &Arc<str> {
         &self.cell
     }
 
-    /// The epoch that every order carries.
+    /// Returns the epoch that every order carries.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 }
 
 impl Ownership<Fencing> {
-    /// Begins with a raised epoch.
+    /// Begins an ownership with the newly incremented epoch.
     pub fn begin(cell: Arc<str>, epoch: u64) -> Self {
         Ownership {
             cell,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Ends the fencing. Only what follows can number a start.
+    /// Ends the fencing stage.
     pub fn activate(self) -> Ownership<Active> {
         Ownership {
             cell: self.cell,
@@ -54,18 +55,18 @@
 }
 
 impl Ownership<Active> {
-    /// The number of the next start: unlike that of any other start of the cell, and above those
-    /// of every earlier epoch.
+    /// Returns the number of the next start, which is unique in the cell and greater than the numbers
+    /// of all earlier epochs.
     pub fn next_attempt(&mut self) -> u64 {
         self.starts += 1;
         attempt_number(self.epoch, self.starts)
     }
 }
 
-/// Starts that one tenure can number before it would meet the next epoch's numbers.
+/// Bits for the count of starts within one epoch; with more starts, numbers of epochs would overlap.
 const COUNT_BITS: u32 = 40;
 
-/// The number of a start: the epoch above, the count below.
+/// Returns the number of a start: the epoch in the high bits, the count in the low bits.
 pub const fn attempt_number(epoch: u64, count: u64) -> u64 {
     (epoch << COUNT_BITS) | (count & ((1 << COUNT_BITS) - 1))
 }
@@ -75,10 +76,10 @@
     use super::*;
 
     #[test]
-    fn attempt_grows_over_epochs() {
+    fn next_attempt_above_earlier_epochs() {
         let mut first = Ownership::begin(Arc::from("h1"), 1).activate();
         let mut second = Ownership::begin(Arc::from("h1"), 2).activate();
-        let old = (0..1000).map(|_| first.next_attempt()).max();
-        assert!(old < Some(second.next_attempt()));
+        let highest = (0..1000).map(|_| first.next_attempt()).max();
+        assert!(highest < Some(second.next_attempt()));
     }
 }
--- a/components/lease/src/timing.rs
+++ b/components/lease/src/timing.rs
@@ -1,13 +1,13 @@
-//! How long a worker's lease lasts, seen from the owner's clock.
+//! Duration of worker leases, and when a lease has certainly expired by the owner's clock.
 
 use std::time::{Duration, Instant};
 
-/// The terms of the leases of a cell.
+/// Timing parameters of the leases of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// A lease runs this long from the worker's clock reading that it is bound to.
+    /// The duration of a lease from the worker's clock reading that it refers to.
     pub length: Duration,
-    /// How much faster or slower a worker's clock may run, in thousandths.
+    /// The maximum rate error of a worker's clock, in thousandths.
     pub drift: u32,
 }
 
@@ -21,18 +21,18 @@
 }
 
 impl LeaseTiming {
-    /// When a lease is surely over, by the owner's clock.
+    /// Returns the time, by the owner's clock, after which a lease has certainly expired.
     ///
-    /// `heard` is when the owner had the last report. Every extension that the owner sent since
-    /// is bound to the worker's clock in that report or an earlier one, and the worker read its
-    /// clock before `heard`; so the lease ends at most its length after `heard`, and the drift.
-    pub fn expiry(&self, heard: Instant) -> Instant {
-        heard + self.length + self.length * self.drift / 1000
+    /// `reported` is when the owner received the last report. Every extension sent since then refers
+    /// to the worker's clock in that report or an earlier one, which the worker read before
+    /// `reported`; so the lease ends at most its length plus the drift after `reported`.
+    pub fn expiry(&self, reported: Instant) -> Instant {
+        reported + self.length + self.length * self.drift / 1000
     }
 
-    /// True when the lease is surely over.
-    pub fn is_expired(&self, heard: Instant, now: Instant) -> bool {
-        now > self.expiry(heard)
+    /// Whether the lease has certainly expired.
+    pub fn is_expired(&self, reported: Instant, now: Instant) -> bool {
+        now > self.expiry(reported)
     }
 }
 
@@ -41,13 +41,13 @@
     use super::*;
 
     #[test]
-    fn is_over_after_drift() {
-        let term = LeaseTiming {
+    fn is_expired_after_drift() {
+        let timing = LeaseTiming {
             length: Duration::from_secs(10),
             drift: 10,
         };
-        let heard = Instant::now();
-        assert!(!term.is_expired(heard, heard + Duration::from_millis(10_100)));
-        assert!(term.is_expired(heard, heard + Duration::from_millis(10_101)));
+        let reported = Instant::now();
+        assert!(!timing.is_expired(reported, reported + Duration::from_millis(10_100)));
+        assert!(timing.is_expired(reported, reported + Duration::from_millis(10_101)));
     }
 }
--- a/components/members/src/lib.rs
+++ b/components/members/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which boxes there are, and which box owns which cell.
+//! Membership: the list of boxes, and the assignment of cells to owner boxes.
 //!
-//! Every process reads the platform's list by itself and computes the same owners from it; no
-//! vote is held and nothing is kept. That two lists may differ for some time costs a takeover at
-//! most, since ownership is settled by epochs.
+//! Every process reads the platform's list and computes the same owners from it, without an election
+//! or stored state. Processes may see different lists for some time; since epochs decide the
+//! ownership, this costs at most an extra takeover.
 
 pub mod owner;
 pub mod watcher;
--- a/components/members/src/owner.rs
+++ b/components/members/src/owner.rs
@@ -1,11 +1,11 @@
-//! Owners of cells, by rendezvous hashing with bounded load.
+//! Assignment of cells to owner boxes by rendezvous hashing with bounded loads.
 
 use {
     std::{collections::BTreeMap, sync::Arc},
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The weight of a pair; the box with the largest weight for a cell goes first.
+/// Returns the hash weight of a box for a cell; the box with the largest weight is preferred.
 pub fn weight(cell: &str, name: &str) -> u64 {
     let mut bytes = Vec::with_capacity(cell.len() + name.len() + 1);
     bytes.extend_from_slice(cell.as_bytes());
@@ -14,17 +14,17 @@
     xxh3_64(&bytes)
 }
 
-/// The boxes in the order in which they come for a cell.
+/// Returns the boxes in a cell's order of preference.
 pub fn ranked(cell: &str, boxes: &[Arc<str>]) -> Vec<Arc<str>> {
     let mut ranked = boxes.to_vec();
     ranked.sort_by_key(|name| std::cmp::Reverse(weight(cell, name)));
     ranked
 }
 
-/// The owner of each cell: the first box in the cell's order that has room, where a box has room
-/// for its equal share of cells, rounded up.
+/// Assigns each cell to the first box in its order of preference that is below the load bound, which
+/// is the equal share of cells per box, rounded up.
 ///
-/// Who has the same cells and boxes gets the same owners. When a box goes, its cells move, and
+/// The result depends only on the sets of cells and boxes. When a box is removed, its cells move, and
 /// few others.
 pub fn assign(cells: &[Arc<str>], boxes: &[Arc<str>]) -> BTreeMap<Arc<str>, Arc<str>> {
     let mut owners = BTreeMap::new();
@@ -59,8 +59,8 @@
             .collect()
     }
 
-    #[test_case(4, 6; "today")]
-    #[test_case(20, 6; "cells of letter one on few boxes")]
+    #[test_case(4, 6; "fewer cells than boxes")]
+    #[test_case(20, 6; "many cells on few boxes")]
     #[test_case(20, 160; "more boxes than cells")]
     #[test_case(1, 1; "one of each")]
     fn assign_bounded(cells: usize, boxes: usize) {
@@ -82,7 +82,7 @@
             .iter()
             .filter(|cell| before[*cell] != after[*cell])
             .count();
-        // 20 cells must move with the box that went; the bound moves some others.
+        // The 20 cells of the removed box must move; the load bound moves some others.
         assert!((20..=60).contains(&moved), "{moved} of 200 cells moved");
     }
 
--- a/components/members/src/watcher.rs
+++ b/components/members/src/watcher.rs
@@ -1,4 +1,4 @@
-//! The list of boxes as one process last saw it.
+//! Polls the platform's list of boxes in a thread and gives access to the latest list.
 
 use {
     arc_swap::ArcSwap,
@@ -7,36 +7,37 @@
     std::{io, sync::Arc, thread::JoinHandle, time::Duration},
 };
 
-/// What happens with each new list.
+/// Callback for each new list.
 pub type OnChange = Box<dyn Fn(&Arc<List>) + Send>;
 
-/// A task that reads the list again and again, and the list it last saw.
+/// A thread that polls the list, and the latest list; dropping it stops the thread.
 pub struct BoxWatcher {
     view: View,
     signal: Signal,
     thread: Option<JoinHandle<()>>,
 }
 
-/// A handle to the list that was last seen.
+/// A handle to the latest list.
 #[derive(Clone)]
 pub struct View {
     list: Arc<ArcSwap<List>>,
 }
 
 impl View {
-    /// A view that shows this list for ever; for tests and for embedders.
+    /// Creates a view of a list that never changes, for tests and embedders.
     pub fn fixed(list: List) -> Self {
         View {
             list: Arc::new(ArcSwap::from_pointee(list)),
         }
     }
 
-    /// The list.
+    /// Returns the latest list.
     pub fn list(&self) -> Arc<List> {
         self.list.load_full()
     }
 
-    /// The base addresses of a service on live entry boxes, the box of this name first.
+    /// Returns the base addresses of a service on live entry boxes. The box named `first` comes first,
+    /// also when it is leaving.
     pub fn urls(&self, service: &str, first: &str) -> Vec<Arc<str>> {
         let list = self.list();
         let mut urls = Vec::new();
@@ -55,7 +56,7 @@
         urls
     }
 
-    /// The live entry boxes that have a service, with its base address.
+    /// Returns the live entry boxes that offer a service, each with the service's base address.
     pub fn live(&self, service: &str) -> Vec<(Arc<str>, Arc<str>)> {
         let list = self.list();
         let live = |item: &&Item| item.state == State::Live;
@@ -68,16 +69,16 @@
 }
 
 impl BoxWatcher {
-    /// Starts the task, which reads the list once each period.
+    /// Starts the thread, which reads the list once per period.
     ///
     /// # Errors
     ///
-    /// The system has no room for a thread.
+    /// Fails when the system cannot create a thread.
     pub fn start(boxes: Arc<dyn Boxes>, period: Duration, on_change: OnChange) -> io::Result<Self> {
         let view = View::fixed(List::default());
         let signal = Signal::new();
-        let (theirs, bell) = (view.clone(), signal.clone());
-        let run = move || follow(boxes.as_ref(), period, &theirs, &bell, &on_change);
+        let (shared_view, stop) = (view.clone(), signal.clone());
+        let run = move || poll(boxes.as_ref(), period, &shared_view, &stop, &on_change);
         let thread = task::spawn("roster", run)?;
         Ok(BoxWatcher {
             view,
@@ -86,7 +87,7 @@
         })
     }
 
-    /// The handle to the list.
+    /// Returns the handle to the latest list.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -101,7 +102,7 @@
     }
 }
 
-fn follow(boxes: &dyn Boxes, period: Duration, view: &View, signal: &Signal, on_change: &OnChange) {
+fn poll(boxes: &dyn Boxes, period: Duration, view: &View, signal: &Signal, on_change: &OnChange) {
     let mut failing = false;
     while !signal.is_stopped() {
         match boxes.list(view.list().version) {
@@ -113,9 +114,9 @@
             }
             Ok(None) => failing = false,
             Err(failure) => {
-                // The last list stays in use; one line when it starts to fail.
+                // The last list stays in use. Only the first of consecutive failures is logged.
                 if !failing {
-                    log::warn!(target: "members", "The list of boxes cannot be read. {failure}");
+                    log::warn!(target: "members", "Reading the list of boxes failed; the last list stays in use. {failure}");
                 }
                 failing = true;
             }
