--- a/components/burn/examples/report.rs
+++ b/components/burn/examples/report.rs
@@ -1,8 +1,8 @@
-//! A report from two gates' counts: `cargo run -p magpie-burn-core --example report`.
+//! A report built from the counts of two gates, with a third gate unreachable: `cargo run -p magpie-burn-core --example report`.
 
 use {
     magpie_burn_core::{
-        Bucket, Series,
+        Counts, Series,
         report::{self, Sample},
     },
     std::sync::Arc,
@@ -10,7 +10,7 @@
 
 fn sample(gate: &str, slow: u64) -> Sample {
     let mut series = Series::default();
-    let counts = Bucket {
+    let counts = Counts {
         total: 1000,
         slow,
         failed: 0,
@@ -28,6 +28,6 @@
     let silent = vec![Arc::from("b3")];
     print!(
         "{}",
-        report::text(&report::build(&samples, silent, 0.99, 86_405))
+        report::render(&report::build(&samples, silent, 0.99, 86_405))
     );
 }
