--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{budget::Retries, choice::Choice, pool::Pool},
-    burn::{Bucket, Series, report::Sample},
+    burn::{Counts, Series, report::Sample},
     infra::boxes::List,
     kernel::{
         Failure,
-        host::Answerer,
+        actor::Responder,
         stakker::{CX, after},
         verdict::Cause,
-        wall,
+        wall_clock,
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -49,7 +49,7 @@
 
 struct Waiting {
     wanted: Wanted,
-    answerer: Answerer<Result<Ticket, Failure>>,
+    answerer: Responder<Result<Ticket, Failure>>,
 }
 
 /// The state of a gate.
@@ -134,7 +134,12 @@
 
     /// Finds room for a request, now or before its deadline. A request that surely finds none in
     /// time is refused at once.
-    pub fn pick(&mut self, cx: CX![], wanted: Wanted, answerer: Answerer<Result<Ticket, Failure>>) {
+    pub fn pick(
+        &mut self,
+        cx: CX![],
+        wanted: Wanted,
+        answerer: Responder<Result<Ticket, Failure>>,
+    ) {
         let now = cx.now();
         if let Err(failure) = self.admit(&wanted) {
             return answerer.send(Err(failure));
@@ -286,7 +291,7 @@
             return;
         };
         let slow = answered && latency > Duration::from_millis(u64::from(target));
-        let counts = Bucket {
+        let counts = Counts {
             total: 1,
             slow: u64::from(slow),
             failed: u64::from(!answered),
@@ -294,7 +299,7 @@
         self.series
             .entry(class.clone())
             .or_default()
-            .add(wall::seconds(), counts);
+            .add(wall_clock::seconds(), counts);
     }
 
     /// What this gate tells for the report on burn.
--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -8,7 +8,7 @@
 use {
     kernel::{
         Call, Client, Failure,
-        client::Time,
+        client::Timeout,
         verdict::{Cause, Verdict},
     },
     std::{sync::Arc, time::Duration},
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swap {
     /// Written, with the new version.
-    Done(u64),
+    Written(u64),
     /// Not written: the key has this version, not the one expected.
-    Lost(u64),
+    Conflict(u64),
 }
 
 /// The service, as parts of ours see it.
@@ -92,7 +92,7 @@
             url: &url,
             headers: &[],
             body: &[],
-            time: Time::once(timeout).flowing(),
+            timeout: Timeout::single(timeout).streaming(),
         };
         let answer = self.client.send(&call)?;
         match answer.status {
@@ -121,13 +121,13 @@
             url: &url,
             headers: &[],
             body: bytes,
-            time: Time::once(TIMEOUT).flowing(),
+            timeout: Timeout::single(TIMEOUT).streaming(),
         };
         let answer = self.client.send(&call)?;
         let version = || version_of(answer.header(VERSION_HEADER));
         match answer.status {
-            200 => Ok(Swap::Done(version()?)),
-            409 => Ok(Swap::Lost(version()?)),
+            200 => Ok(Swap::Written(version()?)),
+            409 => Ok(Swap::Conflict(version()?)),
             status => Err(refusal(status)),
         }
     }
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -24,12 +24,12 @@
         worker::{Order, Report, Workers},
     },
     kernel::{
-        Failure, Remote,
+        ActorRef, Failure,
         stakker::{CX, Cx, after},
         task::{self, Signal},
         verdict::Cause,
     },
-    lease::{Tenure, Term},
+    lease::{LeaseTiming, Ownership},
     std::{
         collections::BTreeMap,
         sync::Arc,
@@ -59,7 +59,7 @@
     /// The store.
     pub store: Arc<dyn infra::Store>,
     /// The terms of the leases.
-    pub term: Term,
+    pub term: LeaseTiming,
     /// How often a worker is exchanged with when nothing is due.
     pub heartbeat: Duration,
     /// The name of the placement policy.
@@ -78,7 +78,7 @@
 /// The state of a scheduler process.
 pub struct Scheduler {
     shared: Shared,
-    remote: Remote<Scheduler>,
+    remote: ActorRef<Scheduler>,
     cells: BTreeMap<Arc<str>, Owned>,
     directory: Directory,
     table: Arc<Table>,
@@ -98,7 +98,7 @@
 
 impl Scheduler {
     /// A scheduler that owns no cell yet.
-    pub fn new(cx: CX![], shared: Shared, remote: Remote<Scheduler>) -> Self {
+    pub fn new(cx: CX![], shared: Shared, remote: ActorRef<Scheduler>) -> Self {
         after!(TICK, [cx], tick());
         Scheduler {
             shared,
@@ -207,7 +207,7 @@
                 return;
             }
         };
-        let tenure = Tenure::begin(cell.clone(), record.epoch);
+        let tenure = Ownership::begin(cell.clone(), record.epoch);
         let now = cx.now();
         log::info!(target: "sched", "A cell is taken over. cell={cell} epoch={}", record.epoch);
         metrics::counter!("magpie_takeovers_total").increment(1);
@@ -284,10 +284,10 @@
         let started = Instant::now();
         let passed = pass::run(&mut owned.cell, PASS_MOST, now);
         for at in &passed.rung {
-            owned.bells[*at].ring();
+            owned.bells[*at].notify();
         }
         if owned.cell.journal.is_dirty() {
-            owned.writer.ring();
+            owned.writer.notify();
         }
         if passed.placed + passed.evicted > 0 {
             let time = started.elapsed().as_secs_f64();
@@ -318,7 +318,7 @@
                 }
                 owned.cell.tick(now);
                 if owned.cell.journal.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
             }
             self.pass_soon(cx, &name);
@@ -366,7 +366,7 @@
                     false => Duration::ZERO,
                 };
                 if owned.cell.journal.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
                 self.pass_soon(cx, cell);
                 Some(wait)
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -8,7 +8,7 @@
     crate::clock::Clock,
     infra::{
         Store, Swap, Versioned,
-        budget::{Bucket, Rank},
+        budget::{Priority, TokenBucket},
         store::MAX_VALUE,
     },
     kernel::{Failure, sync::lock, verdict::Cause},
@@ -60,8 +60,8 @@
     leases: BTreeMap<u64, (u64, u64)>,
     faults: Faults,
     counts: Counts,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// The rules of the service, without its port.
@@ -99,8 +99,8 @@
             leases: BTreeMap::new(),
             faults: Faults::default(),
             counts: Counts::default(),
-            reads: Bucket::new(rates.reads, rates.reads, now),
-            writes: Bucket::new(rates.writes, rates.writes, now),
+            reads: TokenBucket::new(rates.reads, rates.reads, now),
+            writes: TokenBucket::new(rates.writes, rates.writes, now),
         };
         Core {
             state: Mutex::new(state),
@@ -185,7 +185,7 @@
         } else {
             &mut state.reads
         };
-        if !bucket.take(Rank::Takeover, now) {
+        if !bucket.try_take(Priority::Takeover, now) {
             state.counts.refused += 1;
             return Err(Failure::not_run(Cause::Busy, "the store's rate is used up"));
         }
@@ -215,7 +215,7 @@
         }
         let present = state.keys.get(key).map_or(0, |kept| kept.value.version);
         if present != expected {
-            return Ok(Swap::Lost(present));
+            return Ok(Swap::Conflict(present));
         }
         state.last += 1;
         let version = state.last;
@@ -229,7 +229,7 @@
             state.faults.lost -= 1;
             return Err(broken());
         }
-        Ok(Swap::Done(version))
+        Ok(Swap::Written(version))
     }
 }
 
@@ -292,10 +292,10 @@
     fn swap_get_watch_over_http() {
         let (port, http) = port();
         assert_eq!(http.get("a/b"), Ok(None));
-        let Ok(Swap::Done(version)) = http.swap("a/b", 0, b"one") else {
+        let Ok(Swap::Written(version)) = http.swap("a/b", 0, b"one") else {
             panic!("not written")
         };
-        assert_eq!(http.swap("a/b", 0, b"two"), Ok(Swap::Lost(version)));
+        assert_eq!(http.swap("a/b", 0, b"two"), Ok(Swap::Conflict(version)));
         assert_eq!(&*http.get("a/b").unwrap().unwrap().bytes, b"one");
         assert_eq!(
             http.watch("a/b", version, Duration::from_millis(5)),
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -9,14 +9,14 @@
     },
     infra::{Store, boxes::Boxes},
     kernel::{
-        Client, Failure, Host, Reply, Request, Server,
+        ActorThread, Client, Failure, Reply, Request, Server,
         ops::{self, Readiness},
         sync::lock,
         task::{self, Signal},
         token::Token,
         verdict::Cause,
     },
-    members::roster::Roster,
+    members::watcher::BoxWatcher,
     std::{
         io,
         net::SocketAddr,
@@ -56,8 +56,8 @@
     shared: Shared,
     server: Server,
     ready: Readiness,
-    host: Host<Keeper>,
-    _roster: Roster,
+    host: ActorThread<Keeper>,
+    _roster: BoxWatcher,
 }
 
 impl Service {
@@ -67,11 +67,11 @@
     ///
     /// The address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let host = Host::start("table", |cx, _| Keeper::new(cx))?;
-        let roster = Roster::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
+        let host = ActorThread::start("table", |cx, _| Keeper::new(cx))?;
+        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
-            keeper: host.remote().clone(),
+            keeper: host.actor_ref().clone(),
             store: settings.store,
             view: roster.view().clone(),
             client: Client::new(settings.token.clone()),
