--- a/components/cell/src/interference/mod.rs
+++ b/components/cell/src/interference/mod.rs
@@ -6,8 +6,8 @@
 //! task adds a weight for the pair of images times its share of the worker's processors. All tasks
 //! of one serving job carry the same load at the same time on any worker (confirmed on two
 //! deployments), so that differences between them come from the best-effort tasks beside them.
-//! Weights are fitted to these differences alone ([`regression`]); the rest is the job's own load,
-//! which changes slowly enough to be extrapolated ([`forecast`]).
+//! Weights are fitted to these differences alone (`regression`); the rest is the job's own load,
+//! which changes slowly enough to be extrapolated (`forecast`).
 //!
 //! Measured weights are 0 to 0.3 for most pairs and 1 to 2.6 for the others; the residual has a
 //! standard deviation of 0.05.
@@ -134,7 +134,7 @@
         self.pairs[index].add(load, shares, trust);
     }
 
-    /// Solves the regressions if [`SOLVE_INTERVAL`] has passed. Returns true if it did.
+    /// Solves the regressions if `SOLVE_INTERVAL` has passed. Returns true if it did.
     pub fn solve(&mut self, now: u64) -> bool {
         if now < self.solved_at + SOLVE_INTERVAL {
             return false;
@@ -166,7 +166,7 @@
         a == b || row.and_then(|row| row.get(usize::from(b))) == Some(&true)
     }
 
-    /// True once per [`WRITE_INTERVAL`], when the model is due to be persisted.
+    /// True once per `WRITE_INTERVAL`, when the model is due to be persisted.
     pub fn is_write_due(&mut self, now: u64) -> bool {
         if self.pairs.is_empty() || now < self.written_at + WRITE_INTERVAL {
             return false;
