--- a/components/infra/examples/read_back.rs
+++ b/components/infra/examples/read_back.rs
@@ -1,4 +1,4 @@
-//! A write whose reply is lost, and what is known of it afterwards:
+//! Determines the outcome of a write whose reply was lost:
 //! `cargo run -p magpie-infra --example read_back`.
 
 use {
@@ -7,7 +7,7 @@
     std::{sync::Mutex, time::Duration},
 };
 
-/// A store of one key that loses every reply to a write.
+/// A store with one key that applies writes but loses all replies to them.
 struct Lossy {
     value: Mutex<Option<Versioned>>,
 }
--- a/components/infra/src/boxes.rs
+++ b/components/infra/src/boxes.rs
@@ -1,7 +1,7 @@
-//! The platform's list of boxes: which are live, which are leaving.
+//! The platform's list of boxes with their kind, state and services, and its HTTP adapter.
 //!
 //! `GET /v1/boxes?after=V` answers 200 with the whole list as JSON, or 304 when its version is
-//! still V. The list lags behind what is so.
+//! still V. The list lags behind the actual state of the boxes.
 
 use {
     crate::size::Size,
@@ -10,53 +10,53 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// The time after which a call for the list is given up.
+/// Timeout of a request for the list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a box is for.
+/// The role of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A box of the system's own.
+    /// Runs services of this system.
     Entry,
     /// Runs tasks.
     Worker,
-    /// Answers callers' requests.
+    /// A backend server, which answers callers' requests.
     Backend,
 }
 
-/// Whether the platform means to keep a box.
+/// Whether the platform intends to keep a box in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// In service.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
 /// One box in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// The name, unlike any other in the list.
+    /// The name, unique in the list.
     pub name: Arc<str>,
-    /// What it is for.
+    /// The role of the box.
     pub kind: Kind,
     /// Its data hall.
     pub hall: Arc<str>,
     /// Its rack.
     pub rack: Arc<str>,
-    /// Whether it is kept.
+    /// Whether the box is about to be removed.
     pub state: State,
-    /// The base address of each service on it: `gate`, `sched`, `table`, `worker`, `http`.
+    /// The base address of each service on the box: `gate`, `sched`, `table`, `worker`, `http`.
     pub services: BTreeMap<Arc<str>, Arc<str>>,
-    /// What it has, for a worker.
+    /// The resources of a worker.
     #[serde(default)]
     pub size: Size,
-    /// Its hardware generation, for a worker.
+    /// The hardware generation of a worker.
     #[serde(default = "no_name")]
     pub generation: Arc<str>,
-    /// The class of work that it answers, for a backend server.
+    /// The class of requests that a backend server answers.
     #[serde(default = "no_name")]
     pub class: Arc<str>,
 }
@@ -66,46 +66,46 @@
 }
 
 impl Item {
-    /// The base address of a service on this box.
+    /// Returns the base address of a service on this box.
     pub fn url(&self, service: &str) -> Option<&Arc<str>> {
         self.services.get(service)
     }
 }
 
-/// The list at one version.
+/// One version of the list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Goes up with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// The boxes, in the order of their names.
+    /// The boxes, sorted by name.
     pub items: Vec<Item>,
 }
 
 impl List {
-    /// The boxes of a kind.
+    /// Returns the boxes of a kind.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Item> {
         self.items.iter().filter(move |item| item.kind == kind)
     }
 }
 
-/// The list's service, as parts of ours see it.
+/// Client interface of the service that lists the boxes.
 pub trait Boxes: Send + Sync {
-    /// The list, or `None` when its version is still `after`.
+    /// Returns the list, or `None` when its version is still `after`.
     ///
     /// # Errors
     ///
-    /// The service is down or slow.
+    /// Fails when the service is unreachable, times out, or answers with an invalid list.
     fn list(&self, after: u64) -> Result<Option<List>, Failure>;
 }
 
-/// The adapter over HTTP.
+/// The HTTP adapter.
 pub struct Http {
     base: String,
     client: Client,
 }
 
 impl Http {
-    /// An adapter to the service at this base address.
+    /// Creates an adapter for the service at this base address.
     pub fn new(base: &str, client: Client) -> Self {
         Http {
             base: base.to_owned(),
@@ -132,7 +132,7 @@
                 Err(e) => Err(Failure::may_have_run(Cause::BadAnswer, e.to_string())),
             },
             status => {
-                let text = format!("the list of boxes answered {status}");
+                let text = format!("the list of boxes answered with unexpected status {status}");
                 Err(Failure::may_have_run(Cause::BadAnswer, text))
             }
         }
--- a/components/infra/src/budget.rs
+++ b/components/infra/src/budget.rs
@@ -1,23 +1,23 @@
-//! A budget of calls on the store, kept by each process.
+//! Rate limit of a process's store calls, with tokens reserved for urgent calls, and retry backoff.
 //!
-//! The service counts every call and its rates grow more slowly than the fleet, so each process
-//! holds itself to a share. What it spares for later is kept for the more urgent classes.
+//! The platform meters every call, and its limits grow more slowly than the fleet, so each process
+//! limits itself to a share. Calls of low priority leave part of the burst to those of high priority.
 
 use std::time::{Duration, Instant};
 
-/// How urgent a call is; the less urgent leave room for the more urgent, which come first.
+/// The priority of a call, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Raising a cell's epoch.
+    /// Taking over a cell, by incrementing its epoch.
     Takeover,
-    /// Writing down what must last.
+    /// Writing data that must be durable.
     Durable,
-    /// Anything else.
+    /// All other calls.
     Read,
 }
 
 impl Priority {
-    /// The share of the burst that a call of this rank must leave untouched, in percent.
+    /// The fraction of the burst that a call of this priority must leave to others.
     const fn reserve(self) -> f64 {
         match self {
             Priority::Takeover => 0.0,
@@ -27,32 +27,34 @@
     }
 }
 
-/// A token bucket with reserves by rank.
+/// A token bucket with tokens reserved by priority.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` calls that regains `rate` calls a second.
+    /// Creates a full bucket of `burst` calls that is refilled with `rate` calls per second.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         TokenBucket {
             rate,
             burst,
             tokens: burst,
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes one call if the rank may have it now.
-    pub fn try_take(&mut self, rank: Priority, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.burst);
-        self.filled = self.filled.max(now);
-        if self.tokens - 1.0 < self.burst * rank.reserve() {
+    /// Takes a token for one call if its priority permits it at `now`.
+    pub fn try_take(&mut self, priority: Priority, now: Instant) -> bool {
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+        if self.tokens - 1.0 < self.burst * priority.reserve() {
             return false;
         }
         self.tokens -= 1.0;
@@ -61,41 +63,42 @@
 }
 
 impl TokenBucket {
-    /// How long until a call of this rank may be made; zero when it may now.
-    pub fn wait_time(&self, rank: Priority, now: Instant) -> Duration {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        let tokens = (self.tokens + passed * self.rate).min(self.burst);
-        let lacking = self.burst * rank.reserve() + 1.0 - tokens;
-        Duration::from_secs_f64(lacking.max(0.0) / self.rate)
+    /// Returns the time until a call of this priority is permitted; zero when it already is.
+    pub fn wait_time(&self, priority: Priority, now: Instant) -> Duration {
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        let tokens = (self.tokens + elapsed * self.rate).min(self.burst);
+        let missing = self.burst * priority.reserve() + 1.0 - tokens;
+        Duration::from_secs_f64(missing.max(0.0) / self.rate)
     }
 }
 
-/// The wait before the next try after this many failures in a row: doubling from `base` to `most`,
-/// of which a random half (`jitter` from 0 to 1) is taken off, so that many callers spread out.
-pub fn backoff(base: Duration, most: Duration, failures: u32, jitter: f64) -> Duration {
+/// Returns the wait before the next attempt after this many consecutive failures: `base` doubled with
+/// each failure up to `max`, reduced by up to half by `jitter` (0 to 1, random), so that the retries
+/// of many callers spread out.
+pub fn backoff(base: Duration, max: Duration, failures: u32, jitter: f64) -> Duration {
     let doubled = base.saturating_mul(1_u32.checked_shl(failures.min(16)).unwrap_or(u32::MAX));
-    doubled
-        .min(most)
-        .mul_f64(1.0 - jitter.clamp(0.0, 1.0) / 2.0)
+    doubled.min(max).mul_f64(1.0 - jitter.clamp(0.0, 1.0) / 2.0)
 }
 
 #[cfg(test)]
 mod tests {
     use {super::*, test_case::test_case};
 
-    #[test_case(Priority::Takeover, 10; "takeover may empty it")]
+    #[test_case(Priority::Takeover, 10; "takeover takes all tokens")]
     #[test_case(Priority::Durable, 8; "durable leaves a fifth")]
     #[test_case(Priority::Read, 5; "read leaves half")]
-    fn take_by_rank(rank: Priority, expected: usize) {
+    fn try_take_by_priority(priority: Priority, expected: usize) {
         let now = Instant::now();
         let mut bucket = TokenBucket::new(1.0, 10.0, now);
-        let taken = (0..100).filter(|_| bucket.try_take(rank, now)).count();
+        let taken = (0..100).filter(|_| bucket.try_take(priority, now)).count();
         assert_eq!(taken, expected);
-        assert!(bucket.try_take(rank, now + Duration::from_millis(1001)));
+        assert!(bucket.try_take(priority, now + Duration::from_millis(1001)));
     }
 
     #[test]
-    fn until_then_take() {
+    fn wait_time_until_try_take() {
         let now = Instant::now();
         let mut bucket = TokenBucket::new(2.0, 4.0, now);
         while bucket.try_take(Priority::Durable, now) {}
@@ -108,10 +111,10 @@
     #[test]
     fn backoff_bounds() {
         let base = Duration::from_millis(100);
-        let most = Duration::from_secs(5);
-        assert_eq!(backoff(base, most, 0, 0.0), base);
-        assert_eq!(backoff(base, most, 3, 0.0), base * 8);
-        assert_eq!(backoff(base, most, 60, 0.0), most);
-        assert_eq!(backoff(base, most, 60, 1.0), most / 2);
+        let max = Duration::from_secs(5);
+        assert_eq!(backoff(base, max, 0, 0.0), base);
+        assert_eq!(backoff(base, max, 3, 0.0), base * 8);
+        assert_eq!(backoff(base, max, 60, 0.0), max);
+        assert_eq!(backoff(base, max, 60, 1.0), max / 2);
     }
 }
--- a/components/infra/src/lib.rs
+++ b/components/infra/src/lib.rs
@@ -1,8 +1,8 @@
-//! Interfaces to the platform, each behind one adapter.
+//! Interfaces to the platform, each a trait with one HTTP adapter.
 //!
-//! The platform's own protocols are met here and nowhere else: the key-value service in
-//! [`store`], the list of boxes in [`boxes`], the workers in [`worker`]. What is assumed of each
-//! is listed in docs/PLATFORM.md.
+//! Only this crate implements the platform's protocols: the key-value service in [`store`], the list
+//! of boxes in [`boxes`], the workers in [`worker`]. docs/PLATFORM.md lists the assumptions about
+//! each.
 
 pub mod boxes;
 pub mod budget;
--- a/components/infra/src/read_back.rs
+++ b/components/infra/src/read_back.rs
@@ -1,4 +1,4 @@
-//! Writes whose outcome is known, also when the reply was lost.
+//! Compare-and-swap writes whose outcome, after a lost reply, is determined by reading the key back.
 
 use {
     crate::store::{Store, Swap},
@@ -6,27 +6,27 @@
     kernel::Failure,
 };
 
-/// What is known of a write after it was settled.
+/// The outcome of a write, as far as it could be determined. The doc comment of a variant is its message.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum WriteOutcome {
     /// written as version {0}
     Written(u64),
-    /// this try was not written: the key has version {0}
+    /// this attempt was not written: the key has version {0}
     Conflict(u64),
-    /// the key went on to version {0}, and the value must tell whether this write was among them
+    /// outcome not known: the key has advanced to version {0}, whose value may show it
     Superseded(u64),
-    /// not written, the service refused it: {0}
+    /// not written, refused by the store: {0}
     NotRun(Failure),
-    /// the outcome is not known: {0}
+    /// outcome not known: {0}
     Unknown(Failure),
 }
 
-/// Makes a compare-and-swap and reads back when its reply was lost.
+/// Makes a compare-and-swap, and reads the key back when the reply was lost.
 ///
-/// The bytes must be unlike those of any other write of the key; writers put an id of their own
-/// into them. While the key still has the expected version, a write whose reply was lost may
-/// still arrive, so the outcome stays `Unknown`: the same write may then be tried again, for only
-/// one of the two can take effect.
+/// The bytes must be unique among all writes of the key, so writers include an id of their own. While
+/// the key still has the expected version, a write whose reply was lost may still be applied, so the
+/// outcome stays `Unknown`. The same write may then be retried, since only one of the two can take
+/// effect.
 pub fn swap(store: &dyn Store, key: &str, expected: u64, bytes: &[u8]) -> WriteOutcome {
     let failure = match store.swap(key, expected, bytes) {
         Ok(Swap::Written(version)) => return WriteOutcome::Written(version),
@@ -37,8 +37,8 @@
     read_back(store, key, expected, bytes, Some(failure))
 }
 
-/// Tells by the present value whether the write took effect. An earlier try of the same write
-/// may have, so a lost comparison is read back too.
+/// Determines from the current value whether the write took effect. A conflict is read back as well,
+/// since an earlier attempt of the same write may have been applied.
 fn read_back(
     store: &dyn Store,
     key: &str,
@@ -50,11 +50,11 @@
         Ok(found) => found,
         Err(e) => return WriteOutcome::Unknown(failure.unwrap_or(e)),
     };
-    let (version, ours) = match &found {
+    let (version, is_ours) = match &found {
         Some(value) => (value.version, *value.bytes == *bytes),
         None => (0, false),
     };
-    if ours {
+    if is_ours {
         return WriteOutcome::Written(version);
     }
     match failure {
@@ -74,17 +74,17 @@
         test_case::test_case,
     };
 
-    /// A store of one key whose next write meets a fault.
+    /// A store with one key whose next write fails as configured.
     struct Faulty {
         value: Mutex<Option<Versioned>>,
         effect: bool,
         error: Option<Failure>,
-        deaf: bool,
+        unreachable: bool,
     }
 
     impl Store for Faulty {
         fn get(&self, _: &str) -> Result<Option<Versioned>, Failure> {
-            if self.deaf {
+            if self.unreachable {
                 return Err(Failure::not_run(Cause::Unreachable, "down"));
             }
             Ok(kernel::sync::lock(&self.value).clone())
@@ -121,25 +121,30 @@
         Failure::not_run(Cause::Unreachable, "refused")
     }
 
-    #[test_case(true, None, false, WriteOutcome::Written(1); "plain")]
+    #[test_case(true, None, false, WriteOutcome::Written(1); "no fault")]
     #[test_case(true, Some(lost()), false, WriteOutcome::Written(1); "reply lost after the effect")]
-    #[test_case(false, Some(lost()), false, WriteOutcome::Unknown(lost()); "lost before the effect")]
-    #[test_case(true, Some(lost()), true, WriteOutcome::Unknown(lost()); "lost and then down")]
+    #[test_case(false, Some(lost()), false, WriteOutcome::Unknown(lost()); "request lost before the effect")]
+    #[test_case(true, Some(lost()), true, WriteOutcome::Unknown(lost()); "reply lost, then store unreachable")]
     #[test_case(false, Some(refused()), false, WriteOutcome::NotRun(refused()); "refused")]
-    fn swap_settles(effect: bool, error: Option<Failure>, deaf: bool, expected: WriteOutcome) {
+    fn swap_outcomes(
+        effect: bool,
+        error: Option<Failure>,
+        unreachable: bool,
+        expected: WriteOutcome,
+    ) {
         let store = Faulty {
             value: Mutex::new(None),
             effect,
             error,
-            deaf,
+            unreachable,
         };
         assert_eq!(swap(&store, "k", 0, b"mine"), expected);
     }
 
-    /// A store that applies a write, loses the reply, and takes another's write at once.
-    struct Overtaking;
+    /// A store that applies a write, loses the reply, and at once applies another writer's write.
+    struct Superseding;
 
-    impl Store for Overtaking {
+    impl Store for Superseding {
         fn get(&self, _: &str) -> Result<Option<Versioned>, Failure> {
             Ok(Some(Versioned {
                 version: 2,
@@ -157,16 +162,16 @@
     }
 
     #[test]
-    fn swap_overtaken_after_lost_reply() {
+    fn swap_superseded_after_lost_reply() {
         assert_eq!(
-            swap(&Overtaking, "k", 0, b"mine"),
+            swap(&Superseding, "k", 0, b"mine"),
             WriteOutcome::Superseded(2)
         );
     }
 
-    #[test_case(b"mine", WriteOutcome::Written(1); "an earlier try of the same write")]
-    #[test_case(b"theirs", WriteOutcome::Conflict(1); "another's write")]
-    fn swap_lost_comparison(present: &[u8], expected: WriteOutcome) {
+    #[test_case(b"mine", WriteOutcome::Written(1); "an earlier attempt of the same write")]
+    #[test_case(b"theirs", WriteOutcome::Conflict(1); "another writer's write")]
+    fn swap_conflict(present: &[u8], expected: WriteOutcome) {
         let value = Some(Versioned {
             version: 1,
             bytes: present.into(),
@@ -175,7 +180,7 @@
             value: Mutex::new(value),
             effect: true,
             error: None,
-            deaf: false,
+            unreachable: false,
         };
         assert_eq!(swap(&store, "k", 0, b"mine"), expected);
     }
--- a/components/infra/src/size.rs
+++ b/components/infra/src/size.rs
@@ -1,11 +1,11 @@
-//! Amounts of what a worker has and a task needs.
+//! Amounts of resources (processors, memory, accelerators) of workers and tasks, and their arithmetic.
 
 use {
     serde::{Deserialize, Serialize},
     std::fmt,
 };
 
-/// Processors, memory and accelerators.
+/// An amount of each resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Size {
     /// Thousandths of a processor.
@@ -17,31 +17,33 @@
 }
 
 impl Size {
-    /// An amount of each kind.
+    /// Creates an amount from thousandths of a processor, megabytes and accelerators.
     pub const fn new(cpu: u32, memory: u32, accel: u32) -> Self {
         Size { cpu, memory, accel }
     }
 
-    /// True when this fits into the room.
-    pub const fn fits(self, room: Size) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accel <= room.accel
+    /// Whether each resource fits into the available amount.
+    pub const fn fits(self, available: Size) -> bool {
+        self.cpu <= available.cpu
+            && self.memory <= available.memory
+            && self.accel <= available.accel
     }
 
-    /// The first kind of which the room has too little.
-    pub const fn shortage(self, room: Size) -> Option<&'static str> {
-        if self.cpu > room.cpu {
+    /// Returns the name of the first resource of which too little is available.
+    pub const fn shortage(self, available: Size) -> Option<&'static str> {
+        if self.cpu > available.cpu {
             return Some("processors");
         }
-        if self.memory > room.memory {
+        if self.memory > available.memory {
             return Some("memory");
         }
-        if self.accel > room.accel {
+        if self.accel > available.accel {
             return Some("accelerators");
         }
         None
     }
 
-    /// The sum, at most the largest value of each field.
+    /// Returns the sum of each resource, saturating.
     pub const fn plus(self, other: Size) -> Size {
         Size {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The difference, at least zero in each field.
+    /// Returns the difference of each resource, at least 0.
     pub const fn minus(self, other: Size) -> Size {
         Size {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -59,11 +61,12 @@
         }
     }
 
-    /// The largest share that this takes of the whole, over the kinds, in this many parts of it.
+    /// Returns the dominant share: the largest fraction of a resource of `whole`, in units of 1/`parts`.
+    /// Resources of which `whole` has nothing are ignored.
     pub fn share(self, whole: Size, parts: u64) -> u64 {
-        let of = |amount: u32, all: u32| match all {
+        let of = |amount: u32, total: u32| match total {
             0 => 0,
-            all => u64::from(amount) * parts / u64::from(all),
+            total => u64::from(amount) * parts / u64::from(total),
         };
         of(self.cpu, whole.cpu)
             .max(of(self.memory, whole.memory))
@@ -86,8 +89,8 @@
     use {super::*, test_case::test_case};
 
     #[test_case(Size::new(1, 0, 0), 250; "a quarter")]
-    #[test_case(Size::new(1, 2, 0), 500; "the larger")]
-    #[test_case(Size::new(0, 0, 9), 0; "none of a kind there is none of")]
+    #[test_case(Size::new(1, 2, 0), 500; "the larger of two")]
+    #[test_case(Size::new(0, 0, 9), 0; "ignores a resource that is absent")]
     fn share_parts(used: Size, parts: u64) {
         assert_eq!(used.share(Size::new(4, 4, 0), 1000), parts);
     }
@@ -96,9 +99,9 @@
     #[test_case(Size::new(9, 1, 0), Some("processors"); "cpu")]
     #[test_case(Size::new(1, 9, 0), Some("memory"); "memory")]
     #[test_case(Size::new(1, 1, 1), Some("accelerators"); "accel")]
-    fn lacks_kind(need: Size, lacking: Option<&str>) {
-        let room = Size::new(4, 4, 0);
-        assert_eq!(need.shortage(room), lacking);
-        assert_eq!(need.fits(room), lacking.is_none());
+    fn shortage_resource(need: Size, expected: Option<&str>) {
+        let available = Size::new(4, 4, 0);
+        assert_eq!(need.shortage(available), expected);
+        assert_eq!(need.fits(available), expected.is_none());
     }
 }
--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -1,9 +1,9 @@
-//! The platform's key-value service: compare-and-swap, leases and watches.
+//! Client of the platform's key-value service: reads, compare-and-swap writes, and watches.
 //!
-//! Its protocol, as met here: `GET /v1/kv/KEY` answers 200 with the value and its version in the
+//! The protocol: `GET /v1/kv/KEY` answers 200 with the value and its version in the
 //! `x-version` header, or 404; with `after=V&wait_ms=T` it waits for a version above V and
-//! answers 304 when the time passes. `PUT /v1/kv/KEY?expect=V` answers 200 with the new version,
-//! or 409 with the present one; version 0 stands for an absent key.
+//! answers 304 on timeout. `PUT /v1/kv/KEY?expect=V` answers 200 with the new version,
+//! or 409 with the current one; version 0 stands for an absent key.
 
 use {
     kernel::{
@@ -14,50 +14,50 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The largest value that the service holds, in bytes.
+/// The maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
 
 /// The header that carries a value's version.
 pub const VERSION_HEADER: &str = "x-version";
 
-/// The time after which a call on the service is given up.
+/// Timeout of a call.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A value and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
-    /// Goes up with each write of the key; never 0.
+    /// Increases with each write of the key; never 0.
     pub version: u64,
     /// The value.
     pub bytes: Arc<[u8]>,
 }
 
-/// What became of a compare-and-swap.
+/// The result of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swap {
-    /// Written, with the new version.
+    /// Written as this new version.
     Written(u64),
-    /// Not written: the key has this version, not the one expected.
+    /// Not written, since the key has this version instead of the expected one.
     Conflict(u64),
 }
 
-/// The service, as parts of ours see it.
+/// Client interface of the service.
 pub trait Store: Send + Sync {
     /// Reads a key.
     ///
     /// # Errors
     ///
-    /// The service is down, slow, or its answer was lost.
+    /// Fails when the service is unreachable, times out, refuses the call, or answers invalidly.
     fn get(&self, key: &str) -> Result<Option<Versioned>, Failure>;
 
-    /// Writes a key if it still has the expected version; 0 means that it must be absent.
+    /// Writes a key if it still has the expected version; 0 means that the key must be absent.
     ///
     /// # Errors
     ///
-    /// As [`Store::get`]; with `may-have-run` the write may have taken effect, now or later.
+    /// As [`Store::get`]; with `may-have-run` the write may already have been applied, or may still be.
     fn swap(&self, key: &str, expected: u64, bytes: &[u8]) -> Result<Swap, Failure>;
 
-    /// Waits for a version above `after`. `None` when the time passes without one.
+    /// Waits for a version above `after`; returns `None` on timeout.
     ///
     /// # Errors
     ///
@@ -65,14 +65,14 @@
     fn watch(&self, key: &str, after: u64, time: Duration) -> Result<Option<Versioned>, Failure>;
 }
 
-/// The adapter to the service over HTTP.
+/// The HTTP adapter.
 pub struct Http {
     base: String,
     client: Client,
 }
 
 impl Http {
-    /// An adapter to the service at this base address.
+    /// Creates an adapter for the service at this base address.
     pub fn new(base: &str, client: Client) -> Self {
         Http {
             base: base.to_owned(),
@@ -97,14 +97,14 @@
         let answer = self.client.send(&call)?;
         match answer.status {
             200 => {
-                let version = version_of(answer.header(VERSION_HEADER))?;
+                let version = parse_version(answer.header(VERSION_HEADER))?;
                 Ok(Some(Versioned {
                     version,
                     bytes: answer.body.into(),
                 }))
             }
             404 | 304 => Ok(None),
-            status => Err(refusal(status)),
+            status => Err(status_failure(status)),
         }
     }
 }
@@ -124,11 +124,11 @@
             time: Time::once(TIMEOUT).flowing(),
         };
         let answer = self.client.send(&call)?;
-        let version = || version_of(answer.header(VERSION_HEADER));
+        let version = || parse_version(answer.header(VERSION_HEADER));
         match answer.status {
             200 => Ok(Swap::Written(version()?)),
             409 => Ok(Swap::Conflict(version()?)),
-            status => Err(refusal(status)),
+            status => Err(status_failure(status)),
         }
     }
 
@@ -138,14 +138,19 @@
     }
 }
 
-fn version_of(text: &str) -> Result<u64, Failure> {
-    text.parse()
-        .map_err(|_| Failure::may_have_run(Cause::BadAnswer, "no version in the answer"))
+fn parse_version(text: &str) -> Result<u64, Failure> {
+    text.parse().map_err(|_| {
+        Failure::may_have_run(
+            Cause::BadAnswer,
+            "the store's answer has no valid version header",
+        )
+    })
 }
 
-/// A status that is no answer. The service documents 429 and 503 as refusals before any effect.
-fn refusal(status: u16) -> Failure {
-    let text = format!("the store answered {status}");
+/// Returns the failure for an unexpected status. The service documents that 429 and 503 are sent before a
+/// call has any effect.
+fn status_failure(status: u16) -> Failure {
+    let text = format!("the store answered with status {status}");
     match status {
         429 | 503 => Failure::not_run(Cause::Busy, text),
         400..500 => Failure::not_run(Cause::Invalid, text),
--- a/components/infra/src/worker.rs
+++ b/components/infra/src/worker.rs
@@ -1,8 +1,9 @@
-//! Workers: they run tasks under leases and keep a ledger of what they run.
+//! The protocol between the owner of a cell and its workers, which run tasks under a lease and record
+//! them in a ledger, and the HTTP adapter of the owner's side.
 //!
-//! `POST BASE/exchange` takes an [`Order`] and answers a [`Report`], both as JSON. An order may be
-//! repeated: a start that the ledger already holds is not started again. A report tells only what
-//! changed in the ledger after the version that the order says was seen.
+//! `POST BASE/exchange` takes an [`Order`] and answers a [`Report`], both as JSON. Orders are
+//! idempotent: a start that is already in the ledger is not started again. A report contains only the
+//! changes of the ledger after the version that the order acknowledges.
 
 use {
     crate::size::Size,
@@ -11,7 +12,7 @@
     std::{fmt, sync::Arc, time::Duration},
 };
 
-/// The time after which an exchange is given up.
+/// Timeout of an exchange.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One task of a job.
@@ -19,7 +20,7 @@
 pub struct Task {
     /// The job's id.
     pub job: Arc<str>,
-    /// The place in the job's array, from 0.
+    /// The index of the task in the job, from 0.
     pub index: u32,
 }
 
@@ -32,144 +33,144 @@
 /// The order to start a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Which task.
+    /// The task to start.
     pub task: Task,
-    /// Goes up with each start of the task.
+    /// Increases with each start of the task.
     pub attempt: u64,
     /// The class of work.
     pub class: Arc<str>,
-    /// What is committed for it.
+    /// The resources reserved for the task.
     pub size: Size,
-    /// How long its work takes, in milliseconds, as declared; 0 for a standing task.
+    /// The declared duration of the task's work, in milliseconds; 0 for a long-running task.
     pub length: u64,
-    /// The work already done at the checkpoint to resume from, in milliseconds.
+    /// The work completed at the checkpoint to resume from, in milliseconds.
     pub resume: u64,
 }
 
-/// How a task is to end.
+/// How to stop a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopMode {
     /// Write a checkpoint, then stop.
     Checkpoint,
-    /// Stop at once.
+    /// Stop immediately.
     Kill,
 }
 
 /// The order to stop a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
-    /// Which task.
+    /// The task to stop.
     pub task: Task,
-    /// Which start of it.
+    /// The start to stop.
     pub attempt: u64,
-    /// How.
+    /// How to stop it.
     pub manner: StopMode,
 }
 
-/// The order to slow a task down.
+/// The order to limit a task's processor share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Throttle {
-    /// Which task.
+    /// The task to throttle.
     pub task: Task,
-    /// The share of its processors that it may use, in percent; 100 lifts the throttle.
+    /// The share of the task's processors that it may use, in percent; 100 removes the limit.
     pub percent: u8,
 }
 
-/// An extension of the worker's lease, bound to its own clock.
+/// An extension of a worker's lease, relative to the worker's own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extension {
     /// The worker's clock in the last report that the owner has, in milliseconds.
     pub from: u64,
-    /// The lease runs this long from there, in milliseconds.
+    /// The duration of the lease from then, in milliseconds.
     pub length: u64,
 }
 
-/// What a cell's owner tells a worker.
+/// A message from a cell's owner to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The cell.
     pub cell: Arc<str>,
-    /// The owner's epoch; a worker refuses one older than it has seen.
+    /// The owner's epoch; a worker refuses one older than the newest it has received.
     pub epoch: u64,
-    /// Goes up with each order of the epoch; a worker refuses one that it has passed, so that an
-    /// order which was held up on its way starts nothing again.
+    /// Increases with each order of the epoch. A worker refuses an order older than the last one, so
+    /// that an order delayed in the network does not start a task again.
     pub number: u64,
-    /// The ledger's version that the owner has seen.
+    /// The version of the ledger that the owner has received.
     pub seen: u64,
-    /// The worker's boot that `seen` belongs to.
+    /// The worker's boot id that `seen` refers to.
     pub boot: u64,
-    /// The lease's extension.
+    /// The lease extension, if any.
     pub extend: Option<Extension>,
     /// Tasks to start.
     pub starts: Vec<Start>,
     /// Tasks to stop.
     pub stops: Vec<Stop>,
-    /// Tasks to slow down.
+    /// Tasks to throttle.
     pub throttles: Vec<Throttle>,
-    /// Ended tasks that are written down, which the ledger may forget.
+    /// Ended tasks (and their starts) that the owner has persisted, so that the ledger may drop them.
     pub forget: Vec<(Task, u64)>,
 }
 
-/// Where a task stands in the ledger.
+/// The phase of a task in the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Running.
+    /// Started and not ended.
     Running,
-    /// Ended by itself, with success.
+    /// Exited with success.
     Finished,
-    /// Ended by itself, with failure.
+    /// Exited with failure.
     Failed,
-    /// Stopped by an order or by the end of the lease.
+    /// Stopped by an order or because the lease expired.
     Stopped,
 }
 
-/// One task in the ledger.
+/// One entry of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Which task.
+    /// The task.
     pub task: Task,
-    /// Which start of it.
+    /// The start.
     pub attempt: u64,
-    /// Its class.
+    /// The class of work.
     pub class: Arc<str>,
-    /// What is committed for it.
+    /// The resources reserved for the task.
     pub size: Size,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
-    /// The work done at its last whole checkpoint, in milliseconds.
+    /// The work completed at the last complete checkpoint, in milliseconds.
     pub checkpoint: u64,
 }
 
-/// What a task used, measured some time ago.
+/// A sample of a task's resource usage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Which task.
+    /// The task.
     pub task: Task,
-    /// Processors, in thousandths.
+    /// Thousandths of a processor.
     pub cpu: u32,
     /// Memory in megabytes.
     pub memory: u32,
-    /// How old the sample is, in milliseconds.
+    /// The age of the sample, in milliseconds.
     pub age: u64,
 }
 
-/// A start that the worker refused.
+/// A start refused by the worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Which task.
+    /// The task.
     pub task: Task,
-    /// Which start of it.
+    /// The start.
     pub attempt: u64,
-    /// Why.
+    /// The reason.
     pub reason: Arc<str>,
 }
 
-/// What a worker tells the owner.
+/// The answer of a worker to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Unlike that of any earlier life of the box.
+    /// The boot id, unique to this incarnation of the worker.
     pub boot: u64,
     /// The worker's clock, in milliseconds.
     pub clock: u64,
@@ -177,31 +178,32 @@
     pub lease: u64,
     /// The ledger's version.
     pub version: u64,
-    /// The records that changed after the version seen; all of them when the boot is another.
+    /// The entries changed after the version in the order; all entries when the boot id differs.
     pub records: Vec<Record>,
     /// Starts refused in this exchange.
     pub refusals: Vec<Refusal>,
-    /// Late samples of usage.
+    /// Samples of usage, which may be old.
     pub usage: Vec<Usage>,
 }
 
-/// The workers, as a cell's owner sees them.
+/// Client interface of the workers, for a cell's owner.
 pub trait Workers: Send + Sync {
-    /// Makes one exchange with the worker at this base address.
+    /// Sends an order to the worker at this base address and returns its report.
     ///
     /// # Errors
     ///
-    /// `Conflict` when the worker has seen a newer epoch; else as any call.
+    /// `Conflict` when the worker has received a newer epoch, `Refused` when it has received a newer
+    /// order; otherwise the failure of the call.
     fn exchange(&self, base: &str, order: &Order) -> Result<Report, Failure>;
 }
 
-/// The adapter over HTTP.
+/// The HTTP adapter.
 pub struct Http {
     client: Client,
 }
 
 impl Http {
-    /// An adapter that makes its calls with this client.
+    /// Creates an adapter that uses this client.
     pub fn new(client: Client) -> Self {
         Http { client }
     }
@@ -226,25 +228,25 @@
             FENCED_STATUS => Err(fenced()),
             STALE_STATUS => Err(stale()),
             status => {
-                let text = format!("the worker answered {status}");
+                let text = format!("the worker answered with status {status}");
                 Err(Failure::may_have_run(Cause::BadAnswer, text))
             }
         }
     }
 }
 
-/// The status code by which a worker refuses an old epoch.
+/// The HTTP status with which a worker refuses an old epoch.
 pub const FENCED_STATUS: u16 = 409;
 
-/// The status code by which a worker refuses an order that it has passed.
+/// The HTTP status with which a worker refuses an order older than the last one.
 pub const STALE_STATUS: u16 = 410;
 
-/// The failure that stands for a refused epoch.
+/// Returns the failure for a refused epoch.
 pub fn fenced() -> Failure {
-    Failure::not_run(Cause::Conflict, "the worker has seen a newer epoch")
+    Failure::not_run(Cause::Conflict, "the worker has received a newer epoch")
 }
 
-/// The failure that stands for an order that came too late.
+/// Returns the failure for an order that arrived out of sequence.
 pub fn stale() -> Failure {
-    Failure::not_run(Cause::Refused, "the worker has passed this order")
+    Failure::not_run(Cause::Refused, "the worker has received a newer order")
 }
