--- a/components/cell/tests/decisions/advise.rs
+++ b/components/cell/tests/decisions/advice.rs
@@ -1,11 +1,11 @@
-//! Queues on which a service outside chooses the workers.
+//! Queues for which an external service chooses the workers.
 
 use {
     crate::common::{JOB, World, step, submission},
     magpie_cell::{Advice, AdviceQuery, Outcome, Refusal},
 };
 
-fn advised_world() -> World {
+fn world_with_external_placement() -> World {
     let mut world = World::new(&["w1", "w2"]);
     let mut job = submission(JOB, vec![step(2, 1_000)]);
     job.queue.advised = true;
@@ -21,7 +21,11 @@
 }
 
 fn asked_ids(question: &AdviceQuery) -> Vec<&str> {
-    question.workers.iter().map(|own| &*own.id).collect()
+    question
+        .workers
+        .iter()
+        .map(|candidate| &*candidate.id)
+        .collect()
 }
 
 fn advice(worker: &str) -> Advice {
@@ -33,7 +37,7 @@
 
 #[test]
 fn starts_only_with_ticket() {
-    let mut world = advised_world();
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     assert_eq!(asked.workers.len(), 2);
     world
@@ -48,8 +52,8 @@
 }
 
 #[test]
-fn asks_again_after_failure() {
-    let mut world = advised_world();
+fn asks_again_after_failed_question() {
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     assert!(world.starts().is_empty() && world.cell.take_advice_queries().is_empty());
     world.cell.handle_advice(&asked, None, world.now);
@@ -59,8 +63,8 @@
 }
 
 #[test]
-fn ticket_runs_out() {
-    let mut world = advised_world();
+fn ticket_expires() {
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     world
         .cell
@@ -69,13 +73,13 @@
     world.cell.expire_tickets(world.now);
     world.report("w1", vec![], vec![]);
     world.report("w2", vec![], vec![]);
-    let again = question(&mut world);
-    assert_eq!(asked_ids(&again), ["w2"]);
+    let repeated = question(&mut world);
+    assert_eq!(asked_ids(&repeated), ["w2"]);
 }
 
 #[test]
 fn refused_ticket_is_dropped() {
-    let mut world = advised_world();
+    let mut world = world_with_external_placement();
     let asked = question(&mut world);
     world
         .cell
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -1,4 +1,5 @@
-//! Groups of records on their way to the store.
+//! Group commit of the owner: when the next group of records is written, and how its result is
+//! applied.
 
 use {
     crate::{
@@ -10,20 +11,21 @@
     },
     kernel::{
         Failure,
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::time::Duration,
 };
 
 impl Core {
-    /// Hands the writer its next group, now or when the gap has passed.
+    /// Answers the writer with the next group, once there is something to write and the minimum
+    /// interval has passed.
     pub(crate) fn next_group(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        answerer: Answerer<Option<Group>>,
+        answerer: Responder<Option<Group>>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             answerer.send(None);
@@ -33,7 +35,8 @@
         self.wake_writer(cx);
     }
 
-    /// Gives the writer a group if it waits for one and there is something to write.
+    /// Sends the writer a group if it is waiting and there is something to write, or sets a timer
+    /// for the end of the minimum interval.
     pub(crate) fn wake_writer(&mut self, cx: &mut Cx<'_, Self>) {
         let settings = self.node.settings.clone();
         let Some(ownership) = &mut self.ownership else {
@@ -44,39 +47,39 @@
         if ownership.writer.is_none() || !has_work {
             return;
         }
-        let since = time::now().saturating_sub(ownership.written);
-        // A full group need not wait for more.
+        let elapsed = time::now().saturating_sub(ownership.group_sent);
+        // A full group is written at once.
         let is_full = ownership.cell.backlog() >= GROUP_RECORDS;
         let gap = if is_full {
             0
         } else {
             GROUP_INTERVAL.as_millis() as u64
         };
-        if since >= gap {
+        if elapsed >= gap {
             let retention = settings.retention.as_millis() as u64;
-            let before = wall::millis().saturating_sub(retention);
+            let before = wall_clock::millis().saturating_sub(retention);
             let group = Group::build(&settings, ownership, before);
-            ownership.written = time::now();
+            ownership.group_sent = time::now();
             if let Some(writer) = ownership.writer.take() {
                 writer.send(Some(group));
             }
             return;
         }
-        if ownership.group_due {
+        if ownership.group_timer {
             return;
         }
-        ownership.group_due = true;
+        ownership.group_timer = true;
         let fence = ownership.fence;
-        after!(Duration::from_millis(gap - since), [cx], |this, cx| {
+        after!(Duration::from_millis(gap - elapsed), [cx], |this, cx| {
             if let Some(ownership) = this.ownership_of(fence) {
-                ownership.group_due = false;
+                ownership.group_timer = false;
                 this.wake_writer(cx);
             }
         });
     }
 
-    /// Takes in what came of writing a group.
-    pub(crate) fn wrote(
+    /// Applies the result of writing a group.
+    pub(crate) fn handle_write(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
@@ -89,37 +92,37 @@
         match result {
             Ok(ApplyResult::Done(revision)) => {
                 ownership.head = revision;
-                ownership.confirmed();
-                if group.is_last {
-                    self.end_ownership("it is handed over");
+                ownership.write_confirmed();
+                if group.is_release {
+                    self.end_ownership("released for shutdown");
                     return;
                 }
-                ownership.cell.remove_ended(&group.forgets);
-                let kept = ownership.cell.batch_written(&group.covers);
-                for id in kept {
-                    self.let_poll(fence, &id);
+                ownership.cell.remove_ended(&group.expired);
+                let released = ownership.cell.batch_written(&group.cell_change);
+                for id in released {
+                    self.resume_poll(fence, &id);
                 }
             }
             Ok(ApplyResult::Conflict(items)) => {
                 let Some(head) = group.own_head(&items, fence) else {
-                    self.end_ownership("another owner has written");
+                    self.end_ownership("another owner has written to the cell's head");
                     return;
                 };
-                log::info!(target: "owner", head; "A group without an answer turns out to be written.");
+                log::info!(target: "owner", head; "An earlier group whose write had no answer was applied by the store.");
                 ownership.head = head;
-                ownership.confirmed();
-                ownership.republish |= group.announces;
-                ownership.cell.batch_failed(group.covers);
+                ownership.write_confirmed();
+                ownership.republish |= group.republishes;
+                ownership.cell.batch_failed(group.cell_change);
             }
             Ok(ApplyResult::NoLease) => {
                 ownership.lease = 0;
                 ownership.republish = true;
-                ownership.cell.batch_failed(group.covers);
+                ownership.cell.batch_failed(group.cell_change);
             }
             Err(_) => {
-                ownership.unconfirmed();
-                ownership.republish |= group.announces;
-                ownership.cell.batch_failed(group.covers);
+                ownership.write_unanswered();
+                ownership.republish |= group.republishes;
+                ownership.cell.batch_failed(group.cell_change);
             }
         }
         self.wake_writer(cx);
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -10,7 +10,10 @@
         budget::{self, TokenBucket},
         read_back::{self, WriteOutcome},
     },
-    kernel::{Failure, Remote, stakker::Cx, task::Signal, verdict::Cause},
+    kernel::stakker::Cx,
+    kernel::task::Signal,
+    kernel::verdict::Cause,
+    kernel::{ActorRef, Failure},
     lease::{OwnerRecord, epoch},
     std::{
         sync::Arc,
@@ -78,7 +81,7 @@
 ///
 /// The store fails, or another took the cell over at the same moment.
 pub fn take_over<A: Cells>(
-    remote: &Remote<A>,
+    remote: &ActorRef<A>,
     store: &dyn Store,
     (name, url): (&Arc<str>, &Arc<str>),
     cell: &Arc<str>,
@@ -104,7 +107,7 @@
     /// Ends the task, or wakes it when something is due.
     pub signal: Signal,
     /// The actor.
-    pub remote: Remote<A>,
+    pub remote: ActorRef<A>,
     /// The store.
     pub store: Arc<dyn Store>,
 }
@@ -211,7 +214,7 @@
                 .wait(end.saturating_duration_since(Instant::now()));
         }
         if rung {
-            self.signal.ring();
+            self.signal.notify();
         }
     }
 }
--- a/components/sched/src/commit.rs
+++ b/components/sched/src/commit.rs
@@ -8,7 +8,9 @@
         journal::{Done, Effect},
     },
     infra::budget::Priority,
-    kernel::{Failure, sync::lock, verdict::Cause, wall, wire},
+    kernel::sync::lock,
+    kernel::verdict::Cause,
+    kernel::{Failure, wall_clock, wire},
     std::sync::{Arc, Mutex},
 };
 
@@ -133,7 +135,7 @@
 
     /// Drops jobs that ended long ago.
     fn prune(&mut self) {
-        let limit = wall::millis().saturating_sub(KEEP_ENDED);
+        let limit = wall_clock::millis().saturating_sub(KEEP_ENDED);
         let full = self.journal.bytes > MAX_BOOK / 2;
         let kept = |ended: u64| ended > limit && !full;
         self.jobs
