--- a/components/infra/src/read_back.rs
+++ b/components/infra/src/read_back.rs
@@ -6,7 +6,8 @@
     kernel::Failure,
 };
 
-/// The outcome of a write, as far as it could be determined. The doc comment of a variant is its message.
+/// The outcome of a write, as far as it could be determined. The doc comment of a variant is its
+/// message.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum WriteOutcome {
     /// written as version {0}
--- a/components/infra/src/worker.rs
+++ b/components/infra/src/worker.rs
@@ -1,9 +1,9 @@
 //! The protocol between the owner of a cell and its workers, which run tasks under a lease and record
 //! them in a ledger, and the HTTP adapter of the owner's side.
 //!
-//! `POST BASE/exchange` takes an [`Order`] and answers a [`Report`], both as JSON. Orders are
-//! idempotent: a start that is already in the ledger is not started again. A report contains only the
-//! changes of the ledger after the version that the order acknowledges.
+//! `POST BASE/exchange` takes an [`Order`] and answers a [`Report`], both as JSON. An order
+//! may be repeated: a start that is already in the ledger is not started again. A report contains only
+//! the changes of the ledger after the version that the order acknowledges.
 
 use {
     crate::size::Size,
@@ -93,8 +93,8 @@
     pub cell: Arc<str>,
     /// The owner's epoch; a worker refuses one older than the newest it has received.
     pub epoch: u64,
-    /// Increases with each order of the epoch. A worker refuses an order older than the last one, so
-    /// that an order delayed in the network does not start a task again.
+    /// Increases with each order of the epoch. A worker refuses an order that is not newer than
+    /// the last one, so that an order delayed in the network does not start a task again.
     pub number: u64,
     /// The version of the ledger that the owner has received.
     pub seen: u64,
@@ -192,8 +192,8 @@
     ///
     /// # Errors
     ///
-    /// `Conflict` when the worker has received a newer epoch, `Refused` when it has received a newer
-    /// order; otherwise the failure of the call.
+    /// `Conflict` when the worker has received a newer epoch, `Refused` when it has received this
+    /// order or a newer one; otherwise the failure of the call.
     fn exchange(&self, base: &str, order: &Order) -> Result<Report, Failure>;
 }
 
@@ -238,7 +238,7 @@
 /// The HTTP status with which a worker refuses an old epoch.
 pub const FENCED_STATUS: u16 = 409;
 
-/// The HTTP status with which a worker refuses an order older than the last one.
+/// The HTTP status with which a worker refuses an order that is not newer than the last one.
 pub const STALE_STATUS: u16 = 410;
 
 /// Returns the failure for a refused epoch.
@@ -246,7 +246,10 @@
     Failure::not_run(Cause::Conflict, "the worker has received a newer epoch")
 }
 
-/// Returns the failure for an order that arrived out of sequence.
+/// Returns the failure for an order that is not newer than the last one.
 pub fn stale() -> Failure {
-    Failure::not_run(Cause::Refused, "the worker has received a newer order")
+    Failure::not_run(
+        Cause::Refused,
+        "the worker has received this order or a newer one",
+    )
 }
--- a/components/job/src/progress.rs
+++ b/components/job/src/progress.rs
@@ -19,7 +19,7 @@
 pub enum Phase {
     /// Not placed on any worker.
     Waiting,
-    /// Placed on the worker of this name: start ordered, or running. The worker's slot tells them apart.
+    /// Placed on the worker of this name, either ordered or running; the worker's slot has the details.
     Placed(Arc<str>),
     /// Finished successfully.
     Done,
--- a/components/job/src/queue.rs
+++ b/components/job/src/queue.rs
@@ -44,7 +44,7 @@
 pub struct Limits {
     /// The maximum body size, in bytes.
     pub max_body: usize,
-    /// The maximum size of request line and headers, in bytes.
+    /// The maximum size of the request headers, in bytes.
     pub max_header: usize,
     /// The time within which the headers must arrive.
     pub header_timeout: Duration,
--- a/components/job/src/record.rs
+++ b/components/job/src/record.rs
@@ -39,7 +39,7 @@
 }
 
 impl State {
-    /// The name of the state in responses to callers.
+    /// Returns the name of the state in responses to callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             State::Queued => "queued",
--- a/components/job/src/spec.rs
+++ b/components/job/src/spec.rs
@@ -140,7 +140,7 @@
     pub text: Arc<str>,
     /// The steps, each after the steps it depends on.
     pub steps: Vec<Step>,
-    /// The timetable; `None` runs the steps once, at once.
+    /// The timetable; `None` runs the steps once, immediately.
     pub timetable: Option<Timetable>,
 }
 
--- a/components/job/tests/progress.rs
+++ b/components/job/tests/progress.rs
@@ -138,8 +138,8 @@
     assert_eq!(resumed.remaining_tasks(0, 0), 8);
 }
 
-/// Crash counts survive in the persisted record, which is encoded without field names. A record written by a
-/// version without this field still decodes, with no crashes.
+/// Crash counts survive in the persisted record, which is encoded without field names. A record
+/// written by a version without this field still decodes, with no crashes.
 #[test]
 fn record_keeps_crashes() {
     let submission = submission(spec(vec![step(3, &[])], None));
@@ -158,7 +158,8 @@
     assert_eq!((record.run, record.crashed.len()), (7, 0));
 }
 
-/// A completed task is not suspected of crashing workers, so marking it as done resets its crash counts.
+/// A completed task, or one that continues in a completed gang, is not suspected of crashing workers,
+/// so marking it as done resets its crash counts.
 #[test]
 fn mark_done_resets_crashes() {
     let submission = submission(spec(vec![step(2, &[])], None));
--- a/components/lease/src/ownership.rs
+++ b/components/lease/src/ownership.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Bits for the count of starts within one epoch; with more starts, numbers of epochs would overlap.
+/// Bits for the count of starts within one epoch; with more starts, numbers would repeat.
 const COUNT_BITS: u32 = 40;
 
 /// Returns the number of a start: the epoch in the high bits, the count in the low bits.
