--- a/components/sched/src/commit.rs
+++ b/components/sched/src/commit.rs
@@ -7,8 +7,10 @@
         job::Job,
         journal::{Done, Effect},
     },
-    infra::budget::Rank,
-    kernel::{Failure, sync::lock, verdict::Cause, wall_clock, wire},
+    infra::budget::Priority,
+    kernel::sync::lock,
+    kernel::verdict::Cause,
+    kernel::{Failure, wall_clock, wire},
     std::sync::{Arc, Mutex},
 };
 
@@ -78,7 +80,7 @@
             ));
         }
         self.journal.dirty = false;
-        self.journal.rank = Rank::Read;
+        self.journal.rank = Priority::Read;
         self.journal.sending = true;
         let staged = std::mem::take(&mut self.journal.staged);
         self.journal.sent.extend(staged);
