--- a/components/sched/benches/decide.rs
+++ b/components/sched/benches/decide.rs
@@ -9,8 +9,8 @@
         worker::Task,
     },
     magpie_sched_core::{
-        fleet::{Fleet, Heard},
-        placement::{self, Need},
+        fleet::{Fleet, LastReport},
+        placement::{self, Demand},
     },
     std::{sync::Arc, time::Instant},
     table::Row,
@@ -43,9 +43,9 @@
 fn fleet(workers: usize, now: Instant) -> Fleet {
     let items: Vec<Item> = (0..workers).map(worker).collect();
     let mut fleet = Fleet::default();
-    fleet.merge(&items.iter().collect::<Vec<_>>());
+    fleet.update(&items.iter().collect::<Vec<_>>());
     for at in 0..workers {
-        fleet.slot_mut(at).heard = Some(Heard {
+        fleet.worker_mut(at).last_report = Some(LastReport {
             boot: 1,
             clock: 0,
             version: 0,
@@ -63,10 +63,10 @@
     let job: Arc<str> = Arc::from("h1.0000000000000001");
     bencher
         .counter(divan::counter::ItemsCount::new(TASKS))
-        .with_inputs(|| (fleet(workers, now), placement::make(name)))
+        .with_inputs(|| (fleet(workers, now), placement::create(name)))
         .bench_local_values(|(mut fleet, policy)| {
             let Ok(mut policy) = policy else { return };
-            let need = Need {
+            let need = Demand {
                 size: TASK,
                 row: &row,
                 now,
@@ -76,7 +76,7 @@
                     return;
                 };
                 let job = job.clone();
-                fleet.commit(at, &Task { job, index }, TASK);
+                fleet.allocate(at, &Task { job, index }, TASK);
             }
         });
 }
--- a/components/sched/examples/place.rs
+++ b/components/sched/examples/place.rs
@@ -8,8 +8,8 @@
     },
     kernel::{Failure, plugin},
     magpie_sched_core::{
-        fleet::{Fleet, Heard},
-        placement::{self, Need},
+        fleet::{Fleet, LastReport},
+        placement::{self, Demand},
     },
     std::{sync::Arc, time::Instant},
     table::Row,
@@ -32,11 +32,11 @@
 fn main() -> Result<(), Failure> {
     let mut fleet = Fleet::default();
     let items = [worker("w1", 16_000), worker("w2", 64_000)];
-    fleet.merge(&items.iter().collect::<Vec<_>>());
+    fleet.update(&items.iter().collect::<Vec<_>>());
     let now = Instant::now();
     for at in 0..items.len() {
         // As if each had just reported; a worker that was not heard gets no work.
-        fleet.slot_mut(at).heard = Some(Heard {
+        fleet.worker_mut(at).last_report = Some(LastReport {
             boot: 1,
             clock: 0,
             version: 0,
@@ -44,16 +44,16 @@
         });
     }
     let row = Row::batch("manifest");
-    let need = Need {
+    let need = Demand {
         size: Size::new(2000, 1000, 0),
         row: &row,
         now,
     };
     for entry in plugin::of_kind(placement::KIND) {
-        let mut policy = placement::make(entry.name)?;
+        let mut policy = placement::create(entry.name)?;
         let chosen = policy
             .choose(&need, &fleet)
-            .map(|at| fleet.slot(at).name.clone());
+            .map(|at| fleet.worker(at).name.clone());
         println!("{}: {chosen:?}. {}", entry.name, entry.about);
     }
     Ok(())
--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -3,12 +3,12 @@
 use {
     super::Scheduler,
     crate::{
-        commit,
+        cell_selection,
         job::{self, Status},
-        journal::{Done, Effect},
         message::{Drain, Worker},
-        plan,
+        persistence,
         spec::Spec,
+        write_queue::{AfterWrite, WriteCallback},
     },
     kernel::{Failure, host::Answerer, verdict::Cause},
     std::{collections::BTreeSet, sync::Arc, time::Instant},
@@ -20,8 +20,8 @@
     /// # Errors
     ///
     /// The job breaks a rule or can never run.
-    pub fn plan(&self, spec: &Spec) -> Result<Arc<str>, Failure> {
-        plan::choose(spec, &self.table, &self.list, &self.directory)
+    pub fn select_cell(&self, spec: &Spec) -> Result<Arc<str>, Failure> {
+        cell_selection::select(spec, &self.table, &self.list, &self.directory)
     }
 
     /// True when this process owns the cell.
@@ -36,7 +36,7 @@
     }
 
     /// Takes a job in; `done` is called once it is written down, or refused.
-    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, done: Done) {
+    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, done: WriteCallback) {
         let cell = job::cell_of(id).unwrap_or_default().to_owned();
         let Some(owned) = self.cells.get_mut(cell.as_str()) else {
             return done(Err(Failure::not_run(
@@ -48,8 +48,11 @@
         if let Err(failure) = owned.cell.submit(id, spec, at) {
             return done(Err(failure));
         }
-        owned.cell.journal.stage(Effect::Begin(id.clone()));
-        owned.cell.journal.stage(Effect::Answer(done));
+        owned
+            .cell
+            .write_queue
+            .stage(AfterWrite::ActivateJob(id.clone()));
+        owned.cell.write_queue.stage(AfterWrite::Respond(done));
         owned.writer.ring();
     }
 
@@ -76,21 +79,24 @@
         let done = Box::new(move |result: Result<(), Failure>| {
             answerer.send(result.map(|()| missing));
         });
-        for (cell, part) in cells.iter().zip(commit::split(done, cells.len())) {
-            self.ring_all(cell);
+        for (cell, part) in cells
+            .iter()
+            .zip(persistence::split_callback(done, cells.len()))
+        {
+            self.notify_workers(cell);
             if let Some(owned) = self.cells.get_mut(cell) {
-                owned.cell.journal.stage(Effect::Answer(part));
+                owned.cell.write_queue.stage(AfterWrite::Respond(part));
                 owned.writer.ring();
             }
         }
     }
 
     /// Wakes the tasks of workers that have something to be told.
-    fn ring_all(&mut self, cell: &str) {
+    fn notify_workers(&mut self, cell: &str) {
         let Some(owned) = self.cells.get(cell) else {
             return;
         };
-        for (slot, bell) in owned.cell.fleet.slots().iter().zip(&owned.bells) {
+        for (slot, bell) in owned.cell.fleet.workers().iter().zip(&owned.worker_signals) {
             if !slot.outbox.is_empty() {
                 bell.ring();
             }
@@ -125,7 +131,7 @@
     pub fn workers(&self, now: Instant) -> Vec<Worker> {
         let mut workers = Vec::new();
         for (cell, owned) in &self.cells {
-            for slot in owned.cell.fleet.slots() {
+            for slot in owned.cell.fleet.workers() {
                 workers.push(Worker {
                     name: slot.name.clone(),
                     cell: cell.clone(),
@@ -144,13 +150,13 @@
     /// written down; false when no cell here has the worker.
     pub fn drain(&mut self, drain: &Drain, answerer: Answerer<Result<bool, Failure>>) {
         let mut cells = self.cells.values_mut();
-        let having = cells.find(|owned| owned.cell.fleet.place(&drain.worker).is_some());
+        let having = cells.find(|owned| owned.cell.fleet.index_of(&drain.worker).is_some());
         let Some(owned) = having else {
             return answerer.send(Ok(false));
         };
         owned.cell.drain(&drain.worker, drain.drained);
-        let done: Done = Box::new(move |result| answerer.send(result.map(|()| true)));
-        owned.cell.journal.stage(Effect::Answer(done));
+        let done: WriteCallback = Box::new(move |result| answerer.send(result.map(|()| true)));
+        owned.cell.write_queue.stage(AfterWrite::Respond(done));
         owned.writer.ring();
     }
 }
--- a/components/sched/src/actor/membership.rs
+++ b/components/sched/src/actor/membership.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{Owned, Scheduler, Shared},
-    crate::{claim::Cells, directory::Summary, plan},
+    crate::{cell_selection, claim::CellOwner, directory::Summary},
     infra::boxes::{Item, Kind, State},
     members::owner,
     std::{
@@ -12,7 +12,7 @@
 };
 
 /// How long an assignment must stand before a cell is moved without need.
-const SETTLED: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// One call that keeps the directory fresh.
 #[derive(Debug, Clone)]
@@ -22,15 +22,15 @@
     /// The base address of its scheduler.
     pub url: Arc<str>,
     /// The cell asked for; `None` for all.
-    pub want: Option<Arc<str>>,
+    pub cell: Option<Arc<str>>,
 }
 
 impl Scheduler {
     /// Puts the cells owned here into the directory, with their next beat.
-    pub(super) fn sum_up(&mut self, now: Instant) {
+    pub(super) fn publish_summaries(&mut self, now: Instant) {
         let mut summaries = Vec::new();
         for (name, owned) in &mut self.cells {
-            owned.beat += 1;
+            owned.heartbeat += 1;
             summaries.push(summary(name, owned, &self.shared, now));
         }
         self.directory.merge(summaries, now);
@@ -51,7 +51,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in lost {
-            self.give_way(&name, "another has a newer epoch", now);
+            self.yield_cell(&name, "another has a newer epoch", now);
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// The live boxes that have a scheduler and are not suspected, with this one.
-    fn alive(&self, now: Instant) -> Vec<Arc<str>> {
+    fn available_boxes(&self, now: Instant) -> Vec<Arc<str>> {
         let mut names = Vec::new();
         for item in self.list.of_kind(Kind::Entry) {
             let answers =
@@ -77,14 +77,14 @@
     }
 
     /// The cells to be taken over by this process now.
-    pub fn claims(&mut self, now: Instant) -> Vec<Arc<str>> {
-        let young = |since| now <= since + SETTLED / 2;
-        if self.stopping || self.listed.is_none_or(young) {
+    pub fn cells_to_claim(&mut self, now: Instant) -> Vec<Arc<str>> {
+        let young = |since| now <= since + SETTLE_TIME / 2;
+        if self.stopping || self.first_listing.is_none_or(young) {
             return Vec::new();
         }
-        let mut claims = std::mem::take(&mut self.handed);
-        let cells = plan::cells(&self.list);
-        let owners = owner::assign(&cells, &self.alive(now));
+        let mut claims = std::mem::take(&mut self.handovers);
+        let cells = cell_selection::cells(&self.list);
+        let owners = owner::assign(&cells, &self.available_boxes(now));
         for cell in cells {
             if owners.get(&cell) != Some(&self.shared.name) {
                 self.assigned.remove(&cell);
@@ -95,12 +95,12 @@
                 continue;
             }
             // Who took it from here lately is heard of first, so that two do not take it in turns.
-            let lately = |at: &Instant| now < *at + SETTLED;
+            let lately = |at: &Instant| now < *at + SETTLE_TIME;
             if self.yielded.get(&cell).is_some_and(lately) {
                 continue;
             }
             // A silent owner is replaced at once; one that lives, once the assignment is settled.
-            if !self.directory.is_fresh(&cell, now) || now > since + SETTLED {
+            if !self.directory.is_fresh(&cell, now) || now > since + SETTLE_TIME {
                 claims.push(cell);
             }
         }
@@ -108,16 +108,16 @@
     }
 
     /// Notes that a cell was handed over by its owner.
-    pub fn hand(&mut self, cell: Arc<str>) {
-        self.handed.push(cell);
+    pub fn accept_handover(&mut self, cell: Arc<str>) {
+        self.handovers.push(cell);
     }
 
     /// The calls by which this process watches over the owners whose successor it is: the first
     /// successor watches the owner, the second watches both.
-    pub fn targets(&self, now: Instant) -> Vec<Target> {
-        let cells = plan::cells(&self.list);
-        let names = self.alive_or_suspect();
-        let assigned = owner::assign(&cells, &self.alive(now));
+    pub fn watch_targets(&self, now: Instant) -> Vec<Target> {
+        let cells = cell_selection::cells(&self.list);
+        let names = self.live_boxes();
+        let assigned = owner::assign(&cells, &self.available_boxes(now));
         let mut targets = Vec::new();
         for cell in &cells {
             let holder = self.directory.get(cell).map(|known| known.owner.clone());
@@ -137,17 +137,17 @@
             };
             let third = without(&[&first, &second]);
             if second == self.shared.name {
-                targets.extend(self.target(&first, cell));
+                targets.extend(self.target_for(&first, cell));
             }
             if third.as_ref() == Some(&self.shared.name) {
-                targets.extend(self.target(&first, cell));
-                targets.extend(self.target(&second, cell));
+                targets.extend(self.target_for(&first, cell));
+                targets.extend(self.target_for(&second, cell));
             }
         }
         targets
     }
 
-    fn alive_or_suspect(&self) -> Vec<Arc<str>> {
+    fn live_boxes(&self) -> Vec<Arc<str>> {
         let live = |item: &&Item| item.state == State::Live && item.url("sched").is_some();
         self.list
             .of_kind(Kind::Entry)
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    fn target(&self, name: &Arc<str>, cell: &Arc<str>) -> Option<Target> {
+    fn target_for(&self, name: &Arc<str>, cell: &Arc<str>) -> Option<Target> {
         if *name == self.shared.name {
             return None;
         }
@@ -167,12 +167,12 @@
         Some(Target {
             name: name.clone(),
             url: item.url("sched")?.clone(),
-            want: Some(cell.clone()),
+            cell: Some(cell.clone()),
         })
     }
 
     /// The other boxes that have a scheduler.
-    pub fn others(&self) -> Vec<Target> {
+    pub fn exchange_targets(&self) -> Vec<Target> {
         let mut targets = Vec::new();
         for item in self.list.of_kind(Kind::Entry) {
             let Some(url) = item.url("sched") else {
@@ -182,7 +182,7 @@
                 targets.push(Target {
                     name: item.name.clone(),
                     url: url.clone(),
-                    want: None,
+                    cell: None,
                 });
             }
         }
@@ -190,39 +190,39 @@
     }
 
     /// Notes how a call on another scheduler went.
-    pub fn note_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
-        self.directory.note_call(name, answered, now);
+    pub fn record_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
+        self.directory.record_call(name, answered, now);
     }
 
     /// The successor to hand a cell over to.
     pub fn successor(&self, cell: &Arc<str>, now: Instant) -> Option<Target> {
-        let cells = plan::cells(&self.list);
-        let mut alive = self.alive(now);
+        let cells = cell_selection::cells(&self.list);
+        let mut alive = self.available_boxes(now);
         alive.retain(|name| *name != self.shared.name);
         let name = owner::assign(&cells, &alive).get(cell).cloned()?;
-        self.target(&name, cell)
+        self.target_for(&name, cell)
     }
 }
 
 fn summary(name: &Arc<str>, owned: &Owned, shared: &Shared, now: Instant) -> Summary {
     let cell = &owned.cell;
-    let slots = cell.fleet.slots();
+    let slots = cell.fleet.workers();
     let aside = slots
         .iter()
-        .filter(|slot| slot.listed && !slot.is_usable(now))
+        .filter(|slot| slot.listed && !slot.is_schedulable(now))
         .count();
     Summary {
         cell: name.clone(),
         epoch: cell.epoch(),
-        beat: owned.beat,
+        beat: owned.heartbeat,
         owner: shared.name.clone(),
         url: shared.url.clone(),
-        holding: cell.is_holding(),
+        holding: cell.is_active(),
         workers: slots.iter().filter(|slot| slot.listed).count() as u32,
         aside: aside as u32,
         total: cell.fleet.total(),
         free: cell.fleet.free(now),
-        queued: cell.queued(),
+        queued: cell.queued_tasks(),
         running: cell.running.len() as u32,
         starts: cell.counts.starts,
         finished: cell.counts.finished,
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -12,12 +12,11 @@
 use {
     crate::{
         cell::Cell,
-        claim::{self, Cells},
-        directory::{Directory, SILENT},
+        claim::{self, CellOwner},
+        directory::{Directory, OWNER_TIMEOUT},
         limits::Limits,
-        pass,
-        peer::{self, Orders},
-        placement,
+        pass, placement,
+        worker_link::{self, OrderSource},
     },
     infra::{
         boxes::{Kind, List},
@@ -42,10 +41,10 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// How long several reasons for a pass are gathered before it runs.
-const PASS_AFTER: Duration = Duration::from_millis(2);
+const PASS_DELAY: Duration = Duration::from_millis(2);
 
 /// Tasks placed in one pass, so that the actor answers in between.
-const PASS_MOST: usize = 512;
+const MAX_PASS_TASKS: usize = 512;
 
 /// What the actor and its tasks share.
 #[derive(Clone)]
@@ -59,7 +58,7 @@
     /// The store.
     pub store: Arc<dyn infra::Store>,
     /// The terms of the leases.
-    pub term: Term,
+    pub timing: Term,
     /// How often a worker is exchanged with when nothing is due.
     pub heartbeat: Duration,
     /// The name of the placement policy.
@@ -69,8 +68,8 @@
 /// A cell that this process owns, with its tasks' signals.
 struct Owned {
     cell: Cell,
-    beat: u64,
-    bells: Vec<Signal>,
+    heartbeat: u64,
+    worker_signals: Vec<Signal>,
     writer: Signal,
     pass_due: bool,
 }
@@ -84,15 +83,15 @@
     table: Arc<Table>,
     list: Arc<List>,
     /// When the first list came.
-    listed: Option<Instant>,
+    first_listing: Option<Instant>,
     /// The cells assigned to this box, and since when.
     assigned: BTreeMap<Arc<str>, Instant>,
     /// Cells that another owner handed over.
-    handed: Vec<Arc<str>>,
+    handovers: Vec<Arc<str>>,
     /// Cells that a newer owner took from this one, and when.
     yielded: BTreeMap<Arc<str>, Instant>,
     /// When the time was last let pass.
-    ticked: Instant,
+    last_tick: Instant,
     stopping: bool,
 }
 
@@ -107,11 +106,11 @@
             directory: Directory::default(),
             table: Arc::default(),
             list: Arc::default(),
-            listed: None,
+            first_listing: None,
             assigned: BTreeMap::new(),
-            handed: Vec::new(),
+            handovers: Vec::new(),
             yielded: BTreeMap::new(),
-            ticked: cx.now(),
+            last_tick: cx.now(),
             stopping: false,
         }
     }
@@ -133,14 +132,14 @@
 
     /// Takes a new list of boxes over.
     pub fn set_list(&mut self, cx: CX![], list: Arc<List>) {
-        self.listed.get_or_insert(cx.now());
+        self.first_listing.get_or_insert(cx.now());
         self.list = list;
         self.refresh(cx);
     }
 
     /// True once there are a table and a list to work by.
     pub fn is_ready(&self) -> bool {
-        self.listed.is_some() && self.table.version > 0 && !self.stopping
+        self.first_listing.is_some() && self.table.version > 0 && !self.stopping
     }
 
     fn refresh(&mut self, cx: CX![]) {
@@ -166,8 +165,8 @@
         let epoch = owned.cell.epoch();
         for at in fresh {
             let signal = Signal::new();
-            owned.bells.push(signal.clone());
-            let peer = peer::Peer {
+            owned.worker_signals.push(signal.clone());
+            let peer = worker_link::WorkerLink {
                 cell: name.clone(),
                 epoch,
                 at,
@@ -176,16 +175,16 @@
                 workers: self.shared.workers.clone(),
                 heartbeat: self.shared.heartbeat,
             };
-            let thread = format!("worker-{}", owned.cell.fleet.slot(at).name);
+            let thread = format!("worker-{}", owned.cell.fleet.worker(at).name);
             if task::spawn(&thread, move || peer.run()).is_err() {
                 log::error!(target: "sched", "No room for a worker's task. cell={name}");
             }
         }
-        self.pass_soon(cx, name);
+        self.schedule_pass(cx, name);
     }
 
     /// Begins to own a cell.
-    fn begin(&mut self, cx: CX![], cell: Arc<str>, claimed: claim::Claimed) {
+    fn install(&mut self, cx: CX![], cell: Arc<str>, claimed: claim::Claimed) {
         let claim::Claimed {
             record,
             before,
@@ -199,8 +198,8 @@
         {
             return;
         }
-        self.disown(&cell, "its epoch was raised here");
-        let policy = match placement::make(&self.shared.placement) {
+        self.end_ownership(&cell, "its epoch was raised here");
+        let policy = match placement::create(&self.shared.placement) {
             Ok(policy) => policy,
             Err(failure) => {
                 log::error!(target: "sched", "A cell cannot be owned. cell={cell} {failure}");
@@ -212,12 +211,12 @@
         log::info!(target: "sched", "A cell is taken over. cell={cell} epoch={}", record.epoch);
         metrics::counter!("magpie_takeovers_total").increment(1);
         let writer = Signal::new();
-        let mut owner = Cell::new(tenure, book, version, self.shared.term, policy, now);
-        owner.before = before;
+        let mut owner = Cell::new(tenure, book, version, self.shared.timing, policy, now);
+        owner.predecessor = before;
         let owned = Owned {
             cell: owner,
-            beat: 0,
-            bells: Vec::new(),
+            heartbeat: 0,
+            worker_signals: Vec::new(),
             writer: writer.clone(),
             pass_due: false,
         };
@@ -233,11 +232,11 @@
             log::error!(target: "sched", "No room for a cell's writer. cell={cell}");
         }
         self.refresh_cell(cx, &cell);
-        self.sum_up(now);
+        self.publish_summaries(now);
     }
 
     /// Stops owning a cell; nothing more is told to its workers.
-    pub fn disown(&mut self, cell: &str, reason: &str) {
+    pub fn end_ownership(&mut self, cell: &str, reason: &str) {
         let Some(owned) = self.cells.remove(cell) else {
             return;
         };
@@ -247,7 +246,7 @@
             owned.cell.epoch()
         );
         owned.writer.stop();
-        for bell in owned.bells {
+        for bell in owned.worker_signals {
             bell.stop();
         }
     }
@@ -259,7 +258,7 @@
     }
 
     /// Runs a pass over a cell soon, once for all reasons until then.
-    fn pass_soon(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>) {
+    fn schedule_pass(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>) {
         let Some(owned) = self.cells.get_mut(cell) else {
             return;
         };
@@ -268,7 +267,7 @@
         }
         owned.pass_due = true;
         let cell = cell.clone();
-        after!(PASS_AFTER, [cx], pass(cell));
+        after!(PASS_DELAY, [cx], pass(cell));
     }
 
     fn pass(&mut self, cx: CX![], cell: Arc<str>) {
@@ -282,11 +281,11 @@
             return;
         }
         let started = Instant::now();
-        let passed = pass::run(&mut owned.cell, PASS_MOST, now);
-        for at in &passed.rung {
-            owned.bells[*at].ring();
+        let passed = pass::run(&mut owned.cell, MAX_PASS_TASKS, now);
+        for at in &passed.notified {
+            owned.worker_signals[*at].ring();
         }
-        if owned.cell.journal.is_dirty() {
+        if owned.cell.write_queue.is_dirty() {
             owned.writer.ring();
         }
         if passed.placed + passed.evicted > 0 {
@@ -296,34 +295,34 @@
             metrics::counter!("magpie_evictions_total").increment(passed.evicted as u64);
         }
         if passed.more {
-            self.pass_soon(cx, &cell);
+            self.schedule_pass(cx, &cell);
         }
     }
 
     /// Lets the time pass.
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        if now > self.ticked + SILENT {
+        if now > self.last_tick + OWNER_TIMEOUT {
             // The process was paused: others may own its cells by now, so it first listens, as
             // after a start.
-            log::warn!(target: "sched", "The process was paused. for={:?}", now - self.ticked);
-            self.listed = self.listed.map(|_| now);
+            log::warn!(target: "sched", "The process was paused. for={:?}", now - self.last_tick);
+            self.first_listing = self.first_listing.map(|_| now);
         }
-        self.ticked = now;
+        self.last_tick = now;
         let names: Vec<Arc<str>> = self.cells.keys().cloned().collect();
         for name in names {
             if let Some(owned) = self.cells.get_mut(&name) {
-                if is_gone(&owned.cell.before, &self.shared.name, &self.list) {
-                    owned.cell.owner_gone(now);
+                if is_predecessor_gone(&owned.cell.predecessor, &self.shared.name, &self.list) {
+                    owned.cell.handle_predecessor_gone(now);
                 }
                 owned.cell.tick(now);
-                if owned.cell.journal.is_dirty() {
+                if owned.cell.write_queue.is_dirty() {
                     owned.writer.ring();
                 }
             }
-            self.pass_soon(cx, &name);
+            self.schedule_pass(cx, &name);
         }
-        self.sum_up(now);
+        self.publish_summaries(now);
         after!(TICK, [cx], tick());
     }
 
@@ -336,19 +335,19 @@
 
 /// True when the box that owned a cell before surely gives no orders any more: there was none, it
 /// left the list, or it is an earlier life of this one.
-fn is_gone(before: &Option<Arc<str>>, own: &Arc<str>, list: &List) -> bool {
+fn is_predecessor_gone(before: &Option<Arc<str>>, own: &Arc<str>, list: &List) -> bool {
     let Some(before) = before else { return true };
     before == own || !list.items.iter().any(|item| item.name == *before)
 }
 
-impl Orders for Scheduler {
+impl OrderSource for Scheduler {
     fn next_order(&mut self, cell: &str, epoch: u64, at: usize) -> Option<(Arc<str>, Order)> {
         let owned = self.owned(cell, epoch)?;
         let order = owned.cell.next_order(at);
-        Some((owned.cell.fleet.slot(at).url.clone(), order))
+        Some((owned.cell.fleet.worker(at).url.clone(), order))
     }
 
-    fn on_exchange(
+    fn handle_exchange(
         &mut self,
         cx: CX![],
         (cell, epoch, at): (&Arc<str>, u64, usize),
@@ -361,22 +360,22 @@
         match result {
             Ok(report) => {
                 owned.cell.on_report(at, order, report, now);
-                let wait = match owned.cell.fleet.slot(at).outbox.is_empty() {
-                    true => owned.cell.next_wait(at, heartbeat, now),
+                let wait = match owned.cell.fleet.worker(at).outbox.is_empty() {
+                    true => owned.cell.exchange_wait(at, heartbeat, now),
                     false => Duration::ZERO,
                 };
-                if owned.cell.journal.is_dirty() {
+                if owned.cell.write_queue.is_dirty() {
                     owned.writer.ring();
                 }
-                self.pass_soon(cx, cell);
+                self.schedule_pass(cx, cell);
                 Some(wait)
             }
             Err(failure) if failure.cause == Cause::Conflict => {
-                self.give_way(cell, "a worker has seen a newer epoch", now);
+                self.yield_cell(cell, "a worker has seen a newer epoch", now);
                 None
             }
             Err(failure) => {
-                let name = &owned.cell.fleet.slot(at).name;
+                let name = &owned.cell.fleet.worker(at).name;
                 log::debug!(target: "sched", "An exchange failed. worker={name} {failure}");
                 None
             }
--- a/components/sched/src/actor/writes.rs
+++ b/components/sched/src/actor/writes.rs
@@ -3,43 +3,48 @@
 use {
     super::Scheduler,
     crate::{
-        claim::{Cells, Claimed},
-        commit::Batch,
+        claim::{CellOwner, Claimed},
+        persistence::WriteBatch,
     },
     infra::budget::Rank,
     kernel::{Failure, stakker::CX, verdict::Cause},
     std::{sync::Arc, time::Instant},
 };
 
-impl Cells for Scheduler {
-    fn own(&mut self, cx: CX![], cell: Arc<str>, claimed: Claimed) {
-        self.begin(cx, cell, claimed);
+impl CellOwner for Scheduler {
+    fn begin_ownership(&mut self, cx: CX![], cell: Arc<str>, claimed: Claimed) {
+        self.install(cx, cell, claimed);
     }
 
-    fn give_way(&mut self, cell: &str, reason: &str, now: Instant) {
+    fn yield_cell(&mut self, cell: &str, reason: &str, now: Instant) {
         self.yielded.insert(Arc::from(cell), now);
-        self.disown(cell, reason);
+        self.end_ownership(cell, reason);
     }
 
-    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<Rank>, Failure> {
-        Ok(self.owned(cell, epoch).ok_or_else(gone)?.cell.journal.due())
+    fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<Rank>, Failure> {
+        Ok(self
+            .owned(cell, epoch)
+            .ok_or_else(gone)?
+            .cell
+            .write_queue
+            .due_priority())
     }
 
-    fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<Batch>, Failure> {
+    fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<WriteBatch>, Failure> {
         self.owned(cell, epoch).ok_or_else(gone)?.cell.take_batch()
     }
 
-    fn committed(&mut self, cx: CX![], cell: &Arc<str>, epoch: u64, version: u64) {
+    fn batch_written(&mut self, cx: CX![], cell: &Arc<str>, epoch: u64, version: u64) {
         let Some(owned) = self.owned(cell, epoch) else {
             return;
         };
-        owned.cell.committed(version);
-        self.pass_soon(cx, cell);
+        owned.cell.batch_written(version);
+        self.schedule_pass(cx, cell);
     }
 
-    fn not_committed(&mut self, cell: &str, epoch: u64) {
+    fn batch_failed(&mut self, cell: &str, epoch: u64) {
         if let Some(owned) = self.owned(cell, epoch) {
-            owned.cell.not_committed();
+            owned.cell.batch_failed();
         }
     }
 }
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -5,7 +5,7 @@
         actor::Scheduler,
         directory::Summary,
         job::{self, Status},
-        message::{Ask, Cancel, Drain, Exchange, Named, Submit, Takeover, Worker},
+        message::{Cancel, Drain, Exchange, JobQuery, ListQuery, Submit, Takeover, Worker},
     },
     kernel::{
         Client, Failure, Remote, Reply, Request,
@@ -24,11 +24,11 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The time for one that lists all jobs or workers of a cell.
-const LIST_TIME: Time = Time::once(PEER_TIMEOUT).flowing();
+const LIST_TIMEOUT: Time = Time::once(PEER_TIMEOUT).flowing();
 
 /// How long a task of the port waits for a book's write. While the store is down the port must go
 /// on answering other schedulers.
-const WRITE_MOST: Duration = Duration::from_secs(3);
+const MAX_WRITE_WAIT: Duration = Duration::from_secs(3);
 
 /// The time for an owner's answer before a message is passed on to it.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -44,7 +44,7 @@
 }
 
 /// Answers a request by what a closure makes of its message.
-fn answer<M: DeserializeOwned, R: Serialize>(
+fn respond_with<M: DeserializeOwned, R: Serialize>(
     request: Request,
     run: impl FnOnce(M) -> Result<R, Failure>,
 ) {
@@ -62,19 +62,22 @@
         };
         let path = request.path.clone();
         match path.as_str() {
-            "/jobs/plan" => answer(request, |submit: Submit| {
+            "/jobs/plan" => respond_with(request, |submit: Submit| {
                 self.route(&submit).map(|(id, _)| id)
             }),
             "/jobs/submit" => self.submit(request),
-            "/jobs/show" => answer(request, |named: Named| self.show(&named)),
-            "/jobs/list" => answer(request, |ask: Ask| self.list(&ask)),
+            "/jobs/show" => respond_with(request, |named: JobQuery| self.show(&named)),
+            "/jobs/list" => respond_with(request, |ask: ListQuery| self.list(&ask)),
             "/jobs/cancel" => self.cancel(request),
-            "/workers/list" => answer(request, |ask: Ask| self.workers(&ask)),
-            "/workers/drain" => answer(request, |drain: Drain| self.drain(&drain)),
-            "/cells/list" => answer(request, |_: Ask| self.cells()),
-            "/cells/exchange" => answer(request, |exchange: Exchange| self.exchange(exchange)),
-            "/cells/takeover" => answer(request, |takeover: Takeover| {
-                self.remote.ask(move |sched, _| sched.hand(takeover.cell))
+            "/workers/list" => respond_with(request, |ask: ListQuery| self.workers(&ask)),
+            "/workers/drain" => respond_with(request, |drain: Drain| self.drain(&drain)),
+            "/cells/list" => respond_with(request, |_: ListQuery| self.cells()),
+            "/cells/exchange" => {
+                respond_with(request, |exchange: Exchange| self.exchange(exchange))
+            }
+            "/cells/takeover" => respond_with(request, |takeover: Takeover| {
+                self.remote
+                    .ask(move |sched, _| sched.accept_handover(takeover.cell))
             }),
             _ => request.respond(Reply::text(404, "no such path\n")),
         }
@@ -98,7 +101,7 @@
                 ..submit
             };
             let status: Result<Status, Failure> =
-                self.pass_on(&id, submit.passed, "/jobs/submit", &passed);
+                self.forward(&id, submit.passed, "/jobs/submit", &passed);
             return request.respond(Reply::message(&status));
         }
         let remote = self.remote.clone();
@@ -121,7 +124,7 @@
         self.remote.ask(move |sched, _| {
             let id = match submit.id {
                 Some(id) => id,
-                None => job::id(&sched.plan(&submit.spec)?, submit.key),
+                None => job::id(&sched.select_cell(&submit.spec)?, submit.key),
             };
             let Some(cell) = job::cell_of(&id) else {
                 return Err(Failure::not_run(
@@ -135,7 +138,7 @@
     }
 
     /// Passes a message on to the owner of a job's cell, once.
-    fn pass_on<T: Serialize, R: DeserializeOwned>(
+    fn forward<T: Serialize, R: DeserializeOwned>(
         &self,
         id: &str,
         passed: bool,
@@ -148,7 +151,7 @@
         if passed {
             return Err(unknown);
         }
-        let url = self.answering_owner(cell)?.ok_or(unknown)?;
+        let url = self.reachable_owner(cell)?.ok_or(unknown)?;
         self.client
             .post(&format!("{url}{path}"), message, PEER_TIMEOUT)
     }
@@ -157,7 +160,7 @@
     ///
     /// An owner that hangs would hold the message for long and make its outcome doubtful, so it is
     /// asked for its summary first.
-    fn answering_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
+    fn reachable_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
         let asked = cell.to_owned();
         let url = self.remote.ask(move |sched, _| sched.owner_url(&asked))?;
         let Some(url) = url else { return Ok(None) };
@@ -181,16 +184,16 @@
         }
     }
 
-    fn show(&self, named: &Named) -> Result<Status, Failure> {
+    fn show(&self, named: &JobQuery) -> Result<Status, Failure> {
         let id = named.id.clone();
         let here = self.remote.ask(move |sched, _| sched.status(&id))?;
         match here {
             Err(failure) if failure.cause == Cause::Refused => {
-                let passed = Named {
+                let passed = JobQuery {
                     passed: true,
                     ..named.clone()
                 };
-                self.pass_on(&named.id, named.passed, "/jobs/show", &passed)
+                self.forward(&named.id, named.passed, "/jobs/show", &passed)
             }
             here => here,
         }
@@ -205,7 +208,7 @@
         let theirs = cancel.clone();
         let cancelled = self
             .remote
-            .ask_within(WRITE_MOST, move |sched, _, answerer| {
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
                 sched.cancel(&theirs.ids, answerer);
             });
         let missing = match cancelled {
@@ -232,7 +235,7 @@
             }
             let first = ids[0].clone();
             let passed = Cancel { ids, passed: true };
-            total += self.pass_on::<_, u64>(&first, false, "/jobs/cancel", &passed)?;
+            total += self.forward::<_, u64>(&first, false, "/jobs/cancel", &passed)?;
         }
         Ok(total)
     }
@@ -240,7 +243,7 @@
     /// Asks the other owners of cells too, when all are wanted.
     fn gather<R: DeserializeOwned>(
         &self,
-        ask: &Ask,
+        ask: &ListQuery,
         path: &str,
         mut all: Vec<R>,
     ) -> Result<Vec<R>, Failure> {
@@ -255,20 +258,22 @@
             urls.extend(url.filter(|url| !urls.contains(url)));
         }
         for url in urls {
-            let more: Vec<R> =
-                self.client
-                    .post(&format!("{url}{path}"), &Ask { all: false }, LIST_TIME)?;
+            let more: Vec<R> = self.client.post(
+                &format!("{url}{path}"),
+                &ListQuery { all: false },
+                LIST_TIMEOUT,
+            )?;
             all.extend(more);
         }
         Ok(all)
     }
 
-    fn list(&self, ask: &Ask) -> Result<Vec<Status>, Failure> {
+    fn list(&self, ask: &ListQuery) -> Result<Vec<Status>, Failure> {
         let here = self.remote.ask(|sched, _| sched.statuses())?;
         self.gather(ask, "/jobs/list", here)
     }
 
-    fn workers(&self, ask: &Ask) -> Result<Vec<Worker>, Failure> {
+    fn workers(&self, ask: &ListQuery) -> Result<Vec<Worker>, Failure> {
         let here = self.remote.ask(|sched, cx| sched.workers(cx.now()))?;
         self.gather(ask, "/workers/list", here)
     }
@@ -277,7 +282,7 @@
         let theirs = drain.clone();
         let drained = self
             .remote
-            .ask_within(WRITE_MOST, move |sched, _, answerer| {
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
                 sched.drain(&theirs, answerer);
             })??;
         if drained {
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -2,15 +2,15 @@
 
 use {
     crate::{
-        book::Book,
+        cell_selection,
         fleet::Fleet,
         job::{self, Job, Status},
-        journal::Journal,
         limits::Limits,
         placement::Placement,
-        plan,
-        queue::Queue,
+        queue::Queues,
+        record::CellRecord,
         spec::Spec,
+        write_queue::WriteQueue,
     },
     infra::{
         Size,
@@ -28,13 +28,13 @@
 };
 
 /// How long the fencing waits for workers that do not answer.
-const FENCING_MOST: Duration = Duration::from_millis(700);
+const MAX_FENCING: Duration = Duration::from_millis(700);
 
 /// The priority whose submissions are written down before others.
 const URGENT: u8 = 9;
 
 /// The least time between two exchanges with a worker that has nothing due.
-const WAIT_LEAST: Duration = Duration::from_millis(100);
+const MIN_EXCHANGE_WAIT: Duration = Duration::from_millis(100);
 
 /// A task that runs, or was ordered to.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     /// When it was placed or adopted.
     pub since: Instant,
     /// When it should end by its declared length; `None` for a task without an end.
-    pub due: Option<Instant>,
+    pub expected_end: Option<Instant>,
     /// True when it is being stopped.
     pub stopping: bool,
 }
@@ -61,7 +61,7 @@
     /// Workers are being fenced and read.
     Fencing(Tenure<Fencing>),
     /// Work is placed.
-    Holding(Tenure<Holding>),
+    Active(Tenure<Holding>),
 }
 
 impl Stage {
@@ -69,7 +69,7 @@
     pub fn epoch(&self) -> u64 {
         match self {
             Stage::Fencing(tenure) => tenure.epoch(),
-            Stage::Holding(tenure) => tenure.epoch(),
+            Stage::Active(tenure) => tenure.epoch(),
         }
     }
 }
@@ -96,13 +96,13 @@
     /// The stage; `None` only while it changes.
     pub(crate) stage: Option<Stage>,
     /// The terms of the leases.
-    pub term: Term,
+    pub timing: Term,
     /// The workers.
     pub fleet: Fleet,
     /// The jobs.
     pub jobs: BTreeMap<Arc<str>, Job>,
     /// The lines.
-    pub queue: Queue,
+    pub queues: Queues,
     /// The tasks that run.
     pub running: HashMap<Task, Run>,
     /// The limits.
@@ -110,26 +110,26 @@
     /// The policy.
     pub placement: Box<dyn Placement>,
     /// What waits to be written down.
-    pub journal: Journal,
+    pub write_queue: WriteQueue,
     /// The counts.
     pub counts: Counts,
     /// When the ownership began.
     pub(crate) since: Instant,
     /// Since when the earlier owner surely gives no orders.
-    gone: Option<Instant>,
+    predecessor_gone: Option<Instant>,
     /// True when the leases that the earlier owner may have extended are surely over.
-    released: bool,
+    leases_expired: bool,
     /// The box that owned the cell before; `None` when none did.
-    pub before: Option<Arc<str>>,
+    pub predecessor: Option<Arc<str>>,
 }
 
 impl Cell {
     /// Begins an ownership with a raised epoch and the claimed book.
     pub fn new(
         tenure: Tenure<Fencing>,
-        book: Book,
+        book: CellRecord,
         version: u64,
-        term: Term,
+        timing: Term,
         placement: Box<dyn Placement>,
         now: Instant,
     ) -> Self {
@@ -140,19 +140,19 @@
         Cell {
             name: tenure.cell().clone(),
             stage: Some(Stage::Fencing(tenure)),
-            term,
+            timing: timing,
             fleet: Fleet::default(),
             jobs: jobs.collect(),
-            queue: Queue::default(),
+            queues: Queues::default(),
             running: HashMap::new(),
             limits: Limits::default(),
             placement,
-            journal: Journal::new(version, book.write, book.drained),
+            write_queue: WriteQueue::new(version, book.write, book.drained),
             counts: Counts::default(),
             since: now,
-            gone: None,
-            released: false,
-            before: None,
+            predecessor_gone: None,
+            leases_expired: false,
+            predecessor: None,
         }
     }
 
@@ -162,14 +162,14 @@
     }
 
     /// True when work is placed.
-    pub fn is_holding(&self) -> bool {
-        matches!(self.stage, Some(Stage::Holding(_)))
+    pub fn is_active(&self) -> bool {
+        matches!(self.stage, Some(Stage::Active(_)))
     }
 
     /// Takes over what the list says of the cell's workers. Returns the places of new ones.
     pub fn merge(&mut self, items: &[&Item]) -> Vec<usize> {
-        let fresh = self.fleet.merge(items);
-        let drained = self.journal.drained.clone();
+        let fresh = self.fleet.update(items);
+        let drained = self.write_queue.drained.clone();
         for name in drained {
             self.set_drained(&name, true);
         }
@@ -180,65 +180,65 @@
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let limits = &self.limits;
-        self.queue
-            .recount(|class| limits.row(class).map(|row| &row.team));
+        self.queues
+            .recount_teams(|class| limits.row(class).map(|row| &row.team));
     }
 
     /// The next order to a worker.
     pub fn next_order(&mut self, at: usize) -> Order {
-        let (epoch, length) = (self.epoch(), self.term.length);
+        let (epoch, length) = (self.epoch(), self.timing.length);
         let name = self.name.clone();
-        self.fleet.slot_mut(at).order(&name, epoch, length)
+        self.fleet.worker_mut(at).order(&name, epoch, length)
     }
 
     /// How long the next exchange with a worker may wait: until the first of its tasks should end,
     /// so that its room is not idle until the next heartbeat. A task that is past its time waits
     /// for the heartbeat.
-    pub fn next_wait(&self, at: usize, heartbeat: Duration, now: Instant) -> Duration {
+    pub fn exchange_wait(&self, at: usize, heartbeat: Duration, now: Instant) -> Duration {
         let mut wait = heartbeat;
-        for task in &self.fleet.slot(at).tasks {
-            let due = self.running.get(task).and_then(|run| run.due);
+        for task in &self.fleet.worker(at).tasks {
+            let due = self.running.get(task).and_then(|run| run.expected_end);
             let Some(due) = due else { continue };
             if due > now {
                 wait = wait.min(due - now);
             }
         }
-        wait.max(WAIT_LEAST)
+        wait.max(MIN_EXCHANGE_WAIT)
     }
 
     /// Lets the time pass: the fencing may end, workers may be lost, held tasks may be released.
     pub fn tick(&mut self, now: Instant) {
-        self.lose_silent(now);
-        if !self.is_holding() {
-            let patient = now < self.since + FENCING_MOST;
-            if !(self.unheard() && patient) {
-                self.hold();
+        self.expire_unreachable(now);
+        if !self.is_active() {
+            let patient = now < self.since + MAX_FENCING;
+            if !(self.has_unread_workers() && patient) {
+                self.activate();
             }
         }
-        let unheard = self.unheard();
-        if self.is_holding() && (!unheard || self.released) {
-            self.release_held();
+        let unheard = self.has_unread_workers();
+        if self.is_active() && (!unheard || self.leases_expired) {
+            self.release_unconfirmed();
         }
     }
 
     /// True while a worker that may run tasks of an earlier owner was not heard.
-    fn unheard(&self) -> bool {
+    fn has_unread_workers(&self) -> bool {
         self.fleet
-            .slots()
+            .workers()
             .iter()
-            .any(|slot| slot.listed && !slot.read)
+            .any(|slot| slot.listed && !slot.ledger_read)
     }
 
     /// Tells that the earlier owner surely gives no orders any more, from now at the latest. Once
     /// the leases that it may have extended until then are over, what is held may run elsewhere.
-    pub fn owner_gone(&mut self, now: Instant) {
-        let gone = *self.gone.get_or_insert(now);
-        self.released = self.term.is_over(gone, now);
+    pub fn handle_predecessor_gone(&mut self, now: Instant) {
+        let gone = *self.predecessor_gone.get_or_insert(now);
+        self.leases_expired = self.timing.is_over(gone, now);
     }
 
     /// Ends the fencing: what was not found running may be placed, but for what may run on a
     /// worker that was not heard.
-    fn hold(&mut self) {
+    fn activate(&mut self) {
         let Some(Stage::Fencing(tenure)) = self.stage.take() else {
             return;
         };
@@ -247,8 +247,8 @@
             "A cell is held. cell={} epoch={} adopted={}",
             self.name, tenure.epoch(), self.counts.adopted
         );
-        self.stage = Some(Stage::Holding(tenure.hold()));
-        let unheard = self.unheard();
+        self.stage = Some(Stage::Active(tenure.hold()));
+        let unheard = self.has_unread_workers();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -257,56 +257,56 @@
             if job.entry.ended.is_some() {
                 continue;
             }
-            job.begin(unheard);
-            self.line_up(&id);
-            self.conclude(&id);
+            job.classify_tasks(unheard);
+            self.enqueue(&id);
+            self.check_ended(&id);
         }
-        self.journal.touch();
+        self.write_queue.mark_dirty();
     }
 
     /// Frees the tasks that were held for workers which have by now been heard or are gone.
-    fn release_held(&mut self) {
+    fn release_unconfirmed(&mut self) {
         let ids: Vec<Arc<str>> = self
             .jobs
             .values()
-            .filter(|job| !job.held.is_empty())
+            .filter(|job| !job.unconfirmed.is_empty())
             .map(|job| job.entry.id.clone())
             .collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.release();
-            self.line_up(&id);
-            self.conclude(&id);
-            self.journal.touch();
+            job.release_unconfirmed();
+            self.enqueue(&id);
+            self.check_ended(&id);
+            self.write_queue.mark_dirty();
         }
     }
 
     /// Puts a job into its class's line if it has tasks that may be started.
-    pub(crate) fn line_up(&mut self, id: &Arc<str>) {
+    pub(crate) fn enqueue(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.lined || job.ready.is_empty() {
+        if job.queued || job.ready.is_empty() {
             return;
         }
-        job.lined = true;
-        self.queue
-            .line(&job.entry.spec.class)
+        job.queued = true;
+        self.queues
+            .class_mut(&job.entry.spec.class)
             .jobs
             .push_back(id.clone());
     }
 
     /// Notes the end of a job whose tasks all ended.
-    pub(crate) fn conclude(&mut self, id: &Arc<str>) {
+    pub(crate) fn check_ended(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.entry.ended.is_none() && job.is_over() {
+        if job.entry.ended.is_none() && job.is_finished() {
             job.entry.ended = Some(kernel::wall::millis());
             job.entry.resume.clear();
-            self.journal.touch();
+            self.write_queue.mark_dirty();
         }
     }
 
@@ -327,20 +327,20 @@
             ));
         }
         let row = self.limits.row(&spec.class);
-        spec.check(row)?;
+        spec.validate(row)?;
         if let Some(row) = row {
-            plan::admitted(&self.name, &self.limits, row, &spec)?;
+            cell_selection::check_limits(&self.name, &self.limits, row, &spec)?;
         }
-        self.journal.admit()?;
+        self.write_queue.check_capacity()?;
         let urgent = row.is_some_and(|row| row.priority == URGENT);
-        self.journal.hurry(if urgent {
+        self.write_queue.raise_priority(if urgent {
             Rank::Takeover
         } else {
             Rank::Durable
         });
-        let entry = crate::book::Entry::new(id.clone(), spec, at);
+        let entry = crate::record::JobRecord::new(id.clone(), spec, at);
         self.jobs.insert(id.clone(), Job::new(entry));
-        self.journal.touch();
+        self.write_queue.mark_dirty();
         Ok(())
     }
 
@@ -349,10 +349,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.begun {
-            job.begin(false);
+        if !job.classified {
+            job.classify_tasks(false);
         }
-        self.line_up(id);
+        self.enqueue(id);
     }
 
     /// Cancels a job: no task is started any more, and those that run are stopped.
@@ -383,8 +383,8 @@
                 Manner::Kill,
             );
         }
-        self.journal.touch();
-        self.conclude(id);
+        self.write_queue.mark_dirty();
+        self.check_ended(id);
         Ok(())
     }
 
@@ -396,7 +396,7 @@
         if run.stopping && manner == Manner::Checkpoint {
             return;
         }
-        let slot = self.fleet.slot_mut(run.worker);
+        let slot = self.fleet.worker_mut(run.worker);
         if !run.stopping {
             slot.freeing = slot.freeing.plus(run.size);
         }
@@ -413,19 +413,19 @@
         if !self.set_drained(name, drained) {
             return false;
         }
-        self.journal.drained.retain(|other| other != name);
+        self.write_queue.drained.retain(|other| other != name);
         if drained {
-            self.journal.drained.push(name.clone());
+            self.write_queue.drained.push(name.clone());
         }
-        self.journal.touch();
+        self.write_queue.mark_dirty();
         true
     }
 
     fn set_drained(&mut self, name: &str, drained: bool) -> bool {
-        let Some(at) = self.fleet.place(name) else {
+        let Some(at) = self.fleet.index_of(name) else {
             return false;
         };
-        let slot = self.fleet.slot_mut(at);
+        let slot = self.fleet.worker_mut(at);
         slot.drained = drained;
         slot.draining = drained;
         true
@@ -447,9 +447,11 @@
     }
 
     /// Tasks that wait.
-    pub fn queued(&self) -> u32 {
+    pub fn queued_tasks(&self) -> u32 {
         let waiting = |job: &Job| {
-            job::size_of(&job.ready) + job::size_of(&job.unmarked) + job::size_of(&job.held)
+            job::count_of(&job.ready)
+                + job::count_of(&job.unmarked)
+                + job::count_of(&job.unconfirmed)
         };
         self.jobs
             .values()
@@ -460,6 +462,6 @@
 
     /// True when nothing waits to be written down.
     pub fn is_flushed(&self) -> bool {
-        !self.is_holding() || !(self.journal.is_dirty() || self.journal.is_sending())
+        !self.is_active() || !(self.write_queue.is_dirty() || self.write_queue.is_writing())
     }
 }
--- a/components/sched/src/plan.rs
+++ b/components/sched/src/cell_selection.rs
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// `Refused` with the limit that rules it out.
-pub fn admitted(cell: &str, limits: &Limits, row: &Row, spec: &Spec) -> Result<(), Failure> {
+pub fn check_limits(cell: &str, limits: &Limits, row: &Row, spec: &Spec) -> Result<(), Failure> {
     let never = |text: String| Err(Failure::not_run(Cause::Refused, text));
     let class = &row.class;
     let Some(limit) = limits.limit(class) else {
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// `Refused` with the generation or the resource that rules it out.
-pub fn has_worker(cell: &str, list: &List, row: &Row, spec: &Spec) -> Result<(), Failure> {
+pub fn check_workers(cell: &str, list: &List, row: &Row, spec: &Spec) -> Result<(), Failure> {
     let mut largest = Size::default();
     let mut admits = false;
     for item in list.of_kind(Kind::Worker) {
@@ -93,14 +93,14 @@
 ///
 /// `Invalid` when the spec breaks a rule; `Refused` with the reason of each cell when it can run
 /// in none.
-pub fn choose(
+pub fn select(
     spec: &Spec,
     table: &Arc<Table>,
     list: &List,
     directory: &Directory,
 ) -> Result<Arc<str>, Failure> {
     let row = table.rows.get(&spec.class);
-    spec.check(row)?;
+    spec.validate(row)?;
     let Some(row) = row else {
         return Err(Failure::not_run(Cause::Invalid, "no row"));
     };
@@ -111,8 +111,8 @@
             continue;
         }
         let limits = Limits::of(&cell, table.clone(), list);
-        let judged =
-            admitted(&cell, &limits, row, spec).and_then(|()| has_worker(&cell, list, row, spec));
+        let judged = check_limits(&cell, &limits, row, spec)
+            .and_then(|()| check_workers(&cell, list, row, spec));
         if let Err(failure) = judged {
             reasons.push(failure.text);
             continue;
@@ -201,7 +201,7 @@
     #[test_case(Spec { hall: Some(Arc::from("h9")), ..spec(1, 0) }, Row::batch("b"),
         Err("no data hall"); "unknown hall")]
     fn choose_cell(spec: Spec, row: Row, expected: Result<&str, &str>) {
-        let chosen = choose(&spec, &table(row), &list(), &Directory::default());
+        let chosen = select(&spec, &table(row), &list(), &Directory::default());
         match (chosen, expected) {
             (Ok(cell), Ok(name)) => assert_eq!(&*cell, name),
             (Err(failure), Err(part)) => assert!(failure.text.contains(part), "{failure}"),
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        book::{self, Book},
-        commit::Batch,
+        persistence::WriteBatch,
+        record::{self, CellRecord},
     },
     infra::{
         Store,
@@ -26,7 +26,7 @@
 const WRITE_BURST: f64 = 5.0;
 
 /// How often the writer looks without being rung.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The waits after failures of the store.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
@@ -40,36 +40,36 @@
     /// The version of the claimed book.
     pub version: u64,
     /// The book.
-    pub book: Book,
+    pub book: CellRecord,
 }
 
 /// The actor that the tasks of cells ask and tell.
-pub trait Cells: Sized + 'static {
+pub trait CellOwner: Sized + 'static {
     /// Begins to own a cell.
-    fn own(&mut self, cx: &mut Cx<'_, Self>, cell: Arc<str>, claimed: Claimed);
+    fn begin_ownership(&mut self, cx: &mut Cx<'_, Self>, cell: Arc<str>, claimed: Claimed);
 
     /// Stops owning a cell that a newer owner has, and leaves it to that owner for a while.
-    fn give_way(&mut self, cell: &str, reason: &str, now: Instant);
+    fn yield_cell(&mut self, cell: &str, reason: &str, now: Instant);
 
     /// How urgent the next write of a cell's book is; `None` when none is due.
     ///
     /// # Errors
     ///
     /// The cell is not owned here any more, as `Stopping`.
-    fn write_due(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Rank>, Failure>;
+    fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Rank>, Failure>;
 
     /// The next batch of a cell's book; `None` when none is due.
     ///
     /// # Errors
     ///
     /// The cell is not owned here any more, as `Stopping`; or its book is too large.
-    fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<Batch>, Failure>;
+    fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<WriteBatch>, Failure>;
 
     /// A batch was written, as this version.
-    fn committed(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>, epoch: u64, version: u64);
+    fn batch_written(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>, epoch: u64, version: u64);
 
     /// A batch was surely not written.
-    fn not_committed(&mut self, cell: &str, epoch: u64);
+    fn batch_failed(&mut self, cell: &str, epoch: u64);
 }
 
 /// Takes one cell over: raises its epoch, claims its book, and hands both to the actor.
@@ -77,14 +77,14 @@
 /// # Errors
 ///
 /// The store fails, or another took the cell over at the same moment.
-pub fn take_over<A: Cells>(
+pub fn take_over<A: CellOwner>(
     remote: &Remote<A>,
     store: &dyn Store,
     (name, url): (&Arc<str>, &Arc<str>),
     cell: &Arc<str>,
 ) -> Result<(), Failure> {
     let (record, before) = epoch::raise(store, cell, name, url, fastrand::u64(..))?;
-    let (version, book) = book::claim(store, cell, record.epoch)?;
+    let (version, book) = record::claim(store, cell, record.epoch)?;
     let claimed = Claimed {
         record,
         before,
@@ -92,11 +92,11 @@
         book,
     };
     let cell = cell.clone();
-    remote.ask(move |sched, cx| sched.own(cx, cell, claimed))
+    remote.ask(move |sched, cx| sched.begin_ownership(cx, cell, claimed))
 }
 
 /// The task that writes one cell's book.
-pub struct Writer<A: Cells> {
+pub struct Writer<A: CellOwner> {
     /// The cell.
     pub cell: Arc<str>,
     /// The epoch in which the task works.
@@ -109,7 +109,7 @@
     pub store: Arc<dyn Store>,
 }
 
-impl<A: Cells> Writer<A> {
+impl<A: CellOwner> Writer<A> {
     /// Writes until the cell has another owner or the process stops.
     pub fn run(self) {
         let mut bucket = Bucket::new(WRITE_RATE, WRITE_BURST, Instant::now());
@@ -118,10 +118,10 @@
             let (cell, epoch) = (self.cell.clone(), self.epoch);
             let due = self
                 .remote
-                .ask(move |sched, _| sched.write_due(&cell, epoch));
+                .ask(move |sched, _| sched.due_priority(&cell, epoch));
             let Ok(Ok(due)) = due else { return };
             let Some(rank) = due else {
-                self.signal.wait(LOOK_EVERY);
+                self.signal.wait(CHECK_INTERVAL);
                 continue;
             };
             let now = Instant::now();
@@ -133,7 +133,7 @@
             match self.write_next() {
                 Some(true) => failures = 0,
                 Some(false) => {
-                    self.rest(failures);
+                    self.back_off(failures);
                     failures += 1;
                 }
                 None => return,
@@ -164,7 +164,7 @@
     /// Writes one batch. True when it is written, false when it surely is not, `None` when the
     /// cell has another owner or the task ends.
     fn write(&self, version: u64, bytes: &[u8]) -> Option<bool> {
-        let key = book::key(&self.cell);
+        let key = record::key(&self.cell);
         let (cell, epoch) = (self.cell.clone(), self.epoch);
         let mut tries = 0;
         while !self.signal.is_stopped() {
@@ -172,12 +172,12 @@
                 Settled::Done(version) => {
                     metrics::counter!("magpie_book_writes_total").increment(1);
                     self.remote
-                        .tell(move |sched, cx| sched.committed(cx, &cell, epoch, version));
+                        .tell(move |sched, cx| sched.batch_written(cx, &cell, epoch, version));
                     return Some(true);
                 }
                 Settled::Lost(_) | Settled::Overtaken(_) => {
                     self.remote.tell(move |sched, cx| {
-                        sched.give_way(&cell, "its book was taken over", cx.now())
+                        sched.yield_cell(&cell, "its book was taken over", cx.now())
                     });
                     return None;
                 }
@@ -185,14 +185,14 @@
                 Settled::NotRun(failure) if tries == 0 => {
                     log::warn!(target: "sched", "A book was not written. cell={cell} {failure}");
                     self.remote
-                        .tell(move |sched, _| sched.not_committed(&cell, epoch));
+                        .tell(move |sched, _| sched.batch_failed(&cell, epoch));
                     return Some(false);
                 }
                 Settled::NotRun(failure) | Settled::Unknown(failure) => {
                     if tries == 0 {
                         log::warn!(target: "sched", "A book's write is open. cell={cell} {failure}");
                     }
-                    self.rest(tries);
+                    self.back_off(tries);
                     tries += 1;
                 }
             }
@@ -201,7 +201,7 @@
     }
 
     /// Waits after failures, also when the signal is rung.
-    fn rest(&self, failures: u32) {
+    fn back_off(&self, failures: u32) {
         let time = budget::backoff(BACKOFF.0, BACKOFF.1, failures, fastrand::f64());
         let end = Instant::now() + time;
         let mut rung = false;
--- a/components/sched/src/directory.rs
+++ b/components/sched/src/directory.rs
@@ -14,10 +14,10 @@
 };
 
 /// How long a beat may stand still before the owner counts as silent.
-pub const SILENT: Duration = Duration::from_millis(1000);
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long a box is left out after calls on it failed.
-const SUSPECTED: Duration = Duration::from_secs(30);
+const SUSPECT_TTL: Duration = Duration::from_secs(30);
 
 /// A cell in a few numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,11 +112,11 @@
     pub fn is_fresh(&self, cell: &str, now: Instant) -> bool {
         self.known
             .get(cell)
-            .is_some_and(|known| now < known.advanced + SILENT)
+            .is_some_and(|known| now < known.advanced + OWNER_TIMEOUT)
     }
 
     /// Notes how a call on a box went.
-    pub fn note_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
+    pub fn record_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
         if answered {
             self.suspects.remove(name);
             return;
@@ -130,7 +130,8 @@
 
     /// True when calls on a box have failed for a while.
     pub fn is_suspect(&self, name: &str, now: Instant) -> bool {
-        let lasting = |s: &Suspect| s.last >= s.since + SILENT / 2 && now < s.last + SUSPECTED;
+        let lasting =
+            |s: &Suspect| s.last >= s.since + OWNER_TIMEOUT / 2 && now < s.last + SUSPECT_TTL;
         self.suspects.get(name).is_some_and(lasting)
     }
 }
@@ -178,9 +179,9 @@
         let mut directory = Directory::default();
         directory.merge(vec![summary(1, 5)], now);
         // The same beat again is no sign of life.
-        directory.merge(vec![summary(1, 5)], now + SILENT);
+        directory.merge(vec![summary(1, 5)], now + OWNER_TIMEOUT);
         assert!(directory.is_fresh("h1", now));
-        assert!(!directory.is_fresh("h1", now + SILENT));
+        assert!(!directory.is_fresh("h1", now + OWNER_TIMEOUT));
     }
 
     #[test]
@@ -188,11 +189,11 @@
         let now = Instant::now();
         let name = Arc::from("b1");
         let mut directory = Directory::default();
-        directory.note_call(&name, false, now);
+        directory.record_call(&name, false, now);
         assert!(!directory.is_suspect("b1", now));
-        directory.note_call(&name, false, now + SILENT);
-        assert!(directory.is_suspect("b1", now + SILENT));
-        directory.note_call(&name, true, now + SILENT);
-        assert!(!directory.is_suspect("b1", now + SILENT));
+        directory.record_call(&name, false, now + OWNER_TIMEOUT);
+        assert!(directory.is_suspect("b1", now + OWNER_TIMEOUT));
+        directory.record_call(&name, true, now + OWNER_TIMEOUT);
+        assert!(!directory.is_suspect("b1", now + OWNER_TIMEOUT));
     }
 }
--- a/components/sched/src/evict.rs
+++ b/components/sched/src/evict.rs
@@ -1,7 +1,7 @@
 //! Making room for more urgent work, by checkpoint and stop.
 
 use {
-    crate::{cell::Cell, job, placement::Need},
+    crate::{cell::Cell, job, placement::Demand},
     infra::{
         Size,
         worker::{Manner, Task},
@@ -15,23 +15,23 @@
 };
 
 /// A task is not stopped before it ran this long, so that work is not moved to and fro.
-const RUN_LEAST: Duration = Duration::from_secs(2);
+const MIN_RUN_TIME: Duration = Duration::from_secs(2);
 
 /// Workers that are looked at for one task.
-const LOOKED_AT: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 
 /// Room that is being freed and was promised in this pass, by worker.
-pub type Promised = HashMap<usize, Size>;
+pub type ReservedCapacity = HashMap<usize, Size>;
 
 /// Stops tasks of lower priority so that the next task of a class fits on some worker. Returns
 /// the worker's place once for each task that is told to stop.
-pub fn make_room(
+pub fn preempt(
     cell: &mut Cell,
     class: &Arc<str>,
-    promised: &mut Promised,
+    promised: &mut ReservedCapacity,
     now: Instant,
 ) -> Vec<usize> {
-    let Some(id) = cell.queue.line(class).jobs.front() else {
+    let Some(id) = cell.queues.class_mut(class).jobs.front() else {
         return Vec::new();
     };
     let Some(size) = cell.jobs.get(id).map(|job| job.entry.spec.size) else {
@@ -40,10 +40,10 @@
     let Some(row) = cell.limits.row(class) else {
         return Vec::new();
     };
-    let need = Need { size, row, now };
+    let need = Demand { size, row, now };
     let mut best: Option<(usize, Vec<Task>)> = None;
     for at in candidates(cell, &need) {
-        let slot = cell.fleet.slot(at);
+        let slot = cell.fleet.worker(at);
         let taken = promised.get(&at).copied().unwrap_or_default();
         let coming = slot.free.plus(slot.freeing).minus(taken);
         if size.fits(coming) {
@@ -74,15 +74,17 @@
 }
 
 /// Workers on which the task could run if they were empty.
-fn candidates(cell: &Cell, need: &Need<'_>) -> Vec<usize> {
+fn candidates(cell: &Cell, need: &Demand<'_>) -> Vec<usize> {
     let suits = |at: &usize| {
-        let slot = cell.fleet.slot(*at);
-        need.size.fits(slot.size) && need.row.admits(&slot.generation) && slot.is_usable(need.now)
+        let slot = cell.fleet.worker(*at);
+        need.size.fits(slot.size)
+            && need.row.admits(&slot.generation)
+            && slot.is_schedulable(need.now)
     };
     cell.fleet
-        .from_emptiest(0)
+        .by_most_free(0)
         .filter(suits)
-        .take(LOOKED_AT)
+        .take(MAX_CANDIDATES)
         .collect()
 }
 
@@ -97,7 +99,7 @@
     now: Instant,
 ) -> Option<Vec<Task>> {
     let mut movable = Vec::new();
-    for task in &cell.fleet.slot(at).tasks {
+    for task in &cell.fleet.worker(at).tasks {
         let Some(run) = cell.running.get(task) else {
             continue;
         };
@@ -108,7 +110,7 @@
             .jobs
             .get(&task.job)
             .is_none_or(|job: &job::Job| job.entry.spec.once);
-        let settled = now.saturating_duration_since(run.since) < RUN_LEAST;
+        let settled = now.saturating_duration_since(run.since) < MIN_RUN_TIME;
         if run.stopping || once || settled || row.kind == Kind::Service || row.priority >= priority
         {
             continue;
--- a/components/sched/src/fleet.rs
+++ b/components/sched/src/fleet.rs
@@ -14,16 +14,16 @@
 };
 
 /// Failures in a row after which a worker is set aside.
-const FAILURES_ASIDE: u32 = 3;
+const QUARANTINE_FAILURES: u32 = 3;
 
 /// How long a worker is set aside; doubled with each time, up to the most.
-const ASIDE: Duration = Duration::from_secs(10);
+const QUARANTINE: Duration = Duration::from_secs(10);
 
 /// How long a worker may be silent and still get new work.
-const FRESH: Duration = Duration::from_secs(6);
+const SCHEDULABLE_WITHIN: Duration = Duration::from_secs(6);
 
 /// The longest time that a worker is set aside.
-const ASIDE_MOST: Duration = Duration::from_secs(600);
+const MAX_QUARANTINE: Duration = Duration::from_secs(600);
 
 /// What is to be told to a worker with the next orders.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
 
 /// What the last report told.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
+pub struct LastReport {
     /// The box's life.
     pub boot: u64,
     /// Its clock, in milliseconds.
@@ -63,7 +63,7 @@
 
 /// One worker.
 #[derive(Debug)]
-pub struct Slot {
+pub struct WorkerState {
     /// The name.
     pub name: Arc<str>,
     /// The base address.
@@ -81,11 +81,11 @@
     /// What waits for the next order.
     pub outbox: Outbox,
     /// True once its ledger was read by this owner.
-    pub read: bool,
+    pub ledger_read: bool,
     /// The last report; `None` before the first and after the worker was lost.
-    pub heard: Option<Heard>,
+    pub last_report: Option<LastReport>,
     /// The number of the last order.
-    pub number: u64,
+    pub order_number: u64,
     /// True when the platform's list has it.
     pub listed: bool,
     /// True when it gets no new work: it is leaving, or operators drain it.
@@ -95,16 +95,18 @@
     /// Failures of tasks in a row.
     pub failures: u32,
     /// Until when it is set aside.
-    pub aside: Option<Instant>,
+    pub quarantined_until: Option<Instant>,
     /// How often it was set aside without a success since.
-    pub asides: u32,
+    pub quarantines: u32,
 }
 
-impl Slot {
+impl WorkerState {
     /// True when it may get new work.
-    pub fn is_usable(&self, now: Instant) -> bool {
-        let set_aside = self.aside.is_some_and(|until| now < until);
-        let fresh = self.heard.is_some_and(|heard| now < heard.at + FRESH);
+    pub fn is_schedulable(&self, now: Instant) -> bool {
+        let set_aside = self.quarantined_until.is_some_and(|until| now < until);
+        let fresh = self
+            .last_report
+            .is_some_and(|heard| now < heard.at + SCHEDULABLE_WITHIN);
         fresh && self.listed && !self.draining && !set_aside
     }
 
@@ -116,10 +118,10 @@
         if self.draining {
             return "draining";
         }
-        if self.aside.is_some_and(|until| now < until) {
+        if self.quarantined_until.is_some_and(|until| now < until) {
             return "aside";
         }
-        if self.is_usable(now) {
+        if self.is_schedulable(now) {
             "live"
         } else {
             "silent"
@@ -127,45 +129,45 @@
     }
 
     /// A task ended well here.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
-        self.asides = 0;
+        self.quarantines = 0;
     }
 
     /// A task failed here. True when the worker is set aside and was not before.
-    pub fn fail(&mut self, now: Instant) -> bool {
+    pub fn record_failure(&mut self, now: Instant) -> bool {
         self.failures += 1;
-        if self.failures < FAILURES_ASIDE {
+        if self.failures < QUARANTINE_FAILURES {
             return false;
         }
-        let before = self.aside.is_some_and(|until| now < until);
+        let before = self.quarantined_until.is_some_and(|until| now < until);
         if before {
             return false;
         }
-        let time = ASIDE
-            .saturating_mul(1 << self.asides.min(6))
-            .min(ASIDE_MOST);
-        self.aside = Some(now + time);
-        self.asides += 1;
+        let time = QUARANTINE
+            .saturating_mul(1 << self.quarantines.min(6))
+            .min(MAX_QUARANTINE);
+        self.quarantined_until = Some(now + time);
+        self.quarantines += 1;
         // The next failure, after it is probed back, sets it aside again at once.
-        self.failures = FAILURES_ASIDE - 1;
+        self.failures = QUARANTINE_FAILURES - 1;
         true
     }
 
     /// The next order. The lease goes with the worker's own clock in the last report.
     pub fn order(&mut self, cell: &Arc<str>, epoch: u64, term: Duration) -> Order {
-        self.number += 1;
+        self.order_number += 1;
         let length = term.as_millis() as u64;
-        let extend = self.heard.map(|heard| Extension {
+        let extend = self.last_report.map(|heard| Extension {
             from: heard.clock,
             length,
         });
         Order {
             cell: cell.clone(),
             epoch,
-            number: self.number,
-            seen: self.heard.map_or(0, |heard| heard.version),
-            boot: self.heard.map_or(0, |heard| heard.boot),
+            number: self.order_number,
+            seen: self.last_report.map_or(0, |heard| heard.version),
+            boot: self.last_report.map_or(0, |heard| heard.boot),
             extend,
             // Before the lease is known to run, a start would only be refused.
             starts: if extend.is_some() {
@@ -173,7 +175,7 @@
             } else {
                 Vec::new()
             },
-            stops: self.due_stops(),
+            stops: self.sendable_stops(),
             throttles: self.outbox.throttles.clone(),
             forget: self.outbox.forget.clone(),
         }
@@ -181,7 +183,7 @@
 
     /// The oldest stops, up to one whose start is not known as told. A worker carries the stops of an
     /// order out before its starts: that one would find nothing to stop, and the task would run on.
-    fn due_stops(&self) -> Vec<Stop> {
+    fn sendable_stops(&self) -> Vec<Stop> {
         let is_due = |stop: &&Stop| {
             let begins = |start: &Start| start.task == stop.task && start.attempt == stop.attempt;
             !self.outbox.starts.iter().any(begins)
@@ -191,7 +193,7 @@
     }
 
     /// Drops from the outbox what a carried-out order held; it holds the oldest of each kind.
-    pub fn sent(&mut self, order: &Order) {
+    pub fn order_delivered(&mut self, order: &Order) {
         self.outbox
             .starts
             .drain(..order.starts.len().min(self.outbox.starts.len()));
@@ -210,7 +212,7 @@
 /// The workers of a cell, with an index by free processors.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    slots: Vec<Slot>,
+    slots: Vec<WorkerState>,
     names: HashMap<Arc<str>, usize>,
     by_free: BTreeSet<(u32, usize)>,
     total: Size,
@@ -218,22 +220,22 @@
 
 impl Fleet {
     /// All workers; a worker keeps its place.
-    pub fn slots(&self) -> &[Slot] {
+    pub fn workers(&self) -> &[WorkerState] {
         &self.slots
     }
 
     /// One worker.
-    pub fn slot(&self, at: usize) -> &Slot {
+    pub fn worker(&self, at: usize) -> &WorkerState {
         &self.slots[at]
     }
 
     /// One worker, to change anything but what is free.
-    pub fn slot_mut(&mut self, at: usize) -> &mut Slot {
+    pub fn worker_mut(&mut self, at: usize) -> &mut WorkerState {
         &mut self.slots[at]
     }
 
     /// The place of a worker.
-    pub fn place(&self, name: &str) -> Option<usize> {
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.get(name).copied()
     }
 
@@ -244,23 +246,23 @@
 
     /// What is not committed on usable workers.
     pub fn free(&self, now: Instant) -> Size {
-        let usable = self.slots.iter().filter(|slot| slot.is_usable(now));
+        let usable = self.slots.iter().filter(|slot| slot.is_schedulable(now));
         usable.fold(Size::default(), |sum, slot| sum.plus(slot.free))
     }
 
     /// The places of workers with at least this many free processors, the fullest first.
-    pub fn from_fullest(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
+    pub fn by_least_free(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
         self.by_free.range((cpu, 0)..).map(|(_, at)| *at)
     }
 
     /// The places of workers with at least this many free processors, the emptiest first.
-    pub fn from_emptiest(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
+    pub fn by_most_free(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
         self.by_free.range((cpu, 0)..).rev().map(|(_, at)| *at)
     }
 
     /// Takes over what the platform's list says of the cell's workers. Returns the places of
     /// workers that are new.
-    pub fn merge(&mut self, items: &[&Item]) -> Vec<usize> {
+    pub fn update(&mut self, items: &[&Item]) -> Vec<usize> {
         let mut fresh = Vec::new();
         for slot in &mut self.slots {
             slot.listed = false;
@@ -269,11 +271,11 @@
             let Some(url) = item.url("worker") else {
                 continue;
             };
-            let at = match self.place(&item.name) {
+            let at = match self.index_of(&item.name) {
                 Some(at) => at,
                 None => {
                     fresh.push(self.slots.len());
-                    self.add(item, url)
+                    self.add_worker(item, url)
                 }
             };
             let slot = &mut self.slots[at];
@@ -286,11 +288,11 @@
         fresh
     }
 
-    fn add(&mut self, item: &Item, url: &Arc<str>) -> usize {
+    fn add_worker(&mut self, item: &Item, url: &Arc<str>) -> usize {
         let at = self.slots.len();
         self.names.insert(item.name.clone(), at);
         self.by_free.insert((item.size.cpu, at));
-        self.slots.push(Slot {
+        self.slots.push(WorkerState {
             name: item.name.clone(),
             url: url.clone(),
             size: item.size,
@@ -299,21 +301,21 @@
             freeing: Size::default(),
             tasks: Vec::new(),
             outbox: Outbox::default(),
-            read: false,
-            heard: None,
-            number: 0,
+            ledger_read: false,
+            last_report: None,
+            order_number: 0,
             listed: true,
             draining: false,
             drained: false,
             failures: 0,
-            aside: None,
-            asides: 0,
+            quarantined_until: None,
+            quarantines: 0,
         });
         at
     }
 
     /// Commits room on a worker to a task.
-    pub fn commit(&mut self, at: usize, task: &Task, size: Size) {
+    pub fn allocate(&mut self, at: usize, task: &Task, size: Size) {
         let slot = &mut self.slots[at];
         self.by_free.remove(&(slot.free.cpu, at));
         slot.free = slot.free.minus(size);
@@ -363,40 +365,44 @@
     fn commit_release_keeps_index() {
         let mut fleet = Fleet::default();
         let items = [item("a", 4000), item("b", 8000)];
-        assert_eq!(fleet.merge(&items.iter().collect::<Vec<_>>()), [0, 1]);
-        fleet.commit(1, &task(0), Size::new(5000, 10, 0));
-        assert_eq!(fleet.from_fullest(3500).collect::<Vec<_>>(), [0]);
-        assert_eq!(fleet.from_emptiest(0).collect::<Vec<_>>(), [0, 1]);
+        assert_eq!(fleet.update(&items.iter().collect::<Vec<_>>()), [0, 1]);
+        fleet.allocate(1, &task(0), Size::new(5000, 10, 0));
+        assert_eq!(fleet.by_least_free(3500).collect::<Vec<_>>(), [0]);
+        assert_eq!(fleet.by_most_free(0).collect::<Vec<_>>(), [0, 1]);
         fleet.release(1, &task(0), Size::new(5000, 10, 0));
         fleet.release(1, &task(0), Size::new(5000, 10, 0));
-        assert_eq!(fleet.slot(1).free, fleet.slot(1).size);
-        assert_eq!(fleet.from_emptiest(0).next(), Some(1));
+        assert_eq!(fleet.worker(1).free, fleet.worker(1).size);
+        assert_eq!(fleet.by_most_free(0).next(), Some(1));
     }
 
     #[test]
     fn merge_keeps_places() {
         let mut fleet = Fleet::default();
         let items = [item("a", 4000), item("b", 8000)];
-        fleet.merge(&items.iter().collect::<Vec<_>>());
-        assert!(fleet.merge(&[&items[1]]).is_empty());
-        assert!(!fleet.slot(0).listed);
+        fleet.update(&items.iter().collect::<Vec<_>>());
+        assert!(fleet.update(&[&items[1]]).is_empty());
+        assert!(!fleet.worker(0).listed);
         assert_eq!(fleet.total().cpu, 8000);
     }
 
     #[test]
     fn fail_sets_aside_longer() {
         let mut fleet = Fleet::default();
-        fleet.merge(&[&item("a", 4000)]);
+        fleet.update(&[&item("a", 4000)]);
         let now = Instant::now();
-        let slot = fleet.slot_mut(0);
+        let slot = fleet.worker_mut(0);
         assert_eq!(
-            [slot.fail(now), slot.fail(now), slot.fail(now)],
+            [
+                slot.record_failure(now),
+                slot.record_failure(now),
+                slot.record_failure(now)
+            ],
             [false, false, true]
         );
-        let first = slot.aside.unwrap();
-        assert!(!slot.fail(now));
-        assert!(slot.fail(first) && slot.aside.unwrap() > first + ASIDE);
-        slot.succeed();
-        assert!(!slot.fail(now));
+        let first = slot.quarantined_until.unwrap();
+        assert!(!slot.record_failure(now));
+        assert!(slot.record_failure(first) && slot.quarantined_until.unwrap() > first + QUARANTINE);
+        slot.record_success();
+        assert!(!slot.record_failure(now));
     }
 }
--- a/components/sched/src/job.rs
+++ b/components/sched/src/job.rs
@@ -1,7 +1,7 @@
 //! Jobs: arrays of tasks of one class, and where their tasks stand.
 
 use {
-    crate::book::Entry,
+    crate::record::JobRecord,
     kernel::settings,
     rangemap::RangeInclusiveSet,
     serde::{Deserialize, Serialize},
@@ -54,17 +54,17 @@
 /// A job in the memory of its cell's owner.
 pub struct Job {
     /// What lasts.
-    pub entry: Entry,
+    pub entry: JobRecord,
     /// Tasks that may be started now.
     pub ready: RangeInclusiveSet<u32>,
     /// Tasks that must be marked in the store before they may be started.
     pub unmarked: RangeInclusiveSet<u32>,
     /// Tasks that may run on a worker which was not heard yet.
-    pub held: RangeInclusiveSet<u32>,
+    pub unconfirmed: RangeInclusiveSet<u32>,
     /// Tasks that run.
     pub running: BTreeSet<u32>,
     /// True once the job is written down and its tasks are sorted.
-    pub begun: bool,
+    pub classified: bool,
     /// Tasks below this place may be started, as the store knows.
     pub reserved: u32,
     /// Tasks below this place may have been started.
@@ -75,30 +75,30 @@
     /// counts anew.
     pub losses: BTreeMap<u32, u32>,
     /// True while the job stands in its class's line.
-    pub lined: bool,
+    pub queued: bool,
     /// Why the next task is not placed.
     pub blocked: Option<&'static str>,
 }
 
 /// The number of values in a set of ranges.
-pub fn size_of(set: &RangeInclusiveSet<u32>) -> u32 {
+pub fn count_of(set: &RangeInclusiveSet<u32>) -> u32 {
     set.iter()
         .map(|range| range.end() - range.start() + 1)
         .sum()
 }
 
 /// Adds one value.
-pub fn put(set: &mut RangeInclusiveSet<u32>, index: u32) {
+pub fn insert(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.insert(index..=index);
 }
 
 /// Takes one value out.
-pub fn take(set: &mut RangeInclusiveSet<u32>, index: u32) {
+pub fn remove(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.remove(index..=index);
 }
 
 /// Adds all values of another set.
-fn add_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
+fn insert_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
     for range in other.iter() {
         set.insert(range.clone());
     }
@@ -112,32 +112,32 @@
 }
 
 /// The smallest value.
-pub fn first(set: &RangeInclusiveSet<u32>) -> Option<u32> {
+pub fn first_of(set: &RangeInclusiveSet<u32>) -> Option<u32> {
     set.iter().next().map(|range| *range.start())
 }
 
 impl Job {
     /// A job of which nothing was started as far as this owner knows.
-    pub fn new(entry: Entry) -> Self {
+    pub fn new(entry: JobRecord) -> Self {
         let reserved = entry.reserved;
         Job {
             entry,
             ready: RangeInclusiveSet::new(),
             unmarked: RangeInclusiveSet::new(),
-            held: RangeInclusiveSet::new(),
+            unconfirmed: RangeInclusiveSet::new(),
             running: BTreeSet::new(),
-            begun: false,
+            classified: false,
             reserved,
             started: reserved,
             failures: BTreeMap::new(),
             losses: BTreeMap::new(),
-            lined: false,
+            queued: false,
             blocked: None,
         }
     }
 
     /// Tasks that need nothing more: finished, given up, or unknown.
-    pub fn settled(&self) -> RangeInclusiveSet<u32> {
+    pub fn terminal_tasks(&self) -> RangeInclusiveSet<u32> {
         let mut set = self.entry.done.clone();
         for range in self.entry.failed.iter().chain(self.entry.unknown.iter()) {
             set.insert(range.clone());
@@ -146,8 +146,8 @@
     }
 
     /// True when this task needs nothing more.
-    pub fn is_settled(&self, index: u32) -> bool {
-        let Entry {
+    pub fn is_terminal(&self, index: u32) -> bool {
+        let JobRecord {
             done,
             failed,
             unknown,
@@ -157,35 +157,35 @@
     }
 
     /// True when no task runs or will run.
-    pub fn is_over(&self) -> bool {
-        if !self.running.is_empty() || !self.held.is_empty() {
+    pub fn is_finished(&self) -> bool {
+        if !self.running.is_empty() || !self.unconfirmed.is_empty() {
             return false;
         }
-        let waits = !self.begun || !self.ready.is_empty() || !self.unmarked.is_empty();
+        let waits = !self.classified || !self.ready.is_empty() || !self.unmarked.is_empty();
         self.entry.cancelled || !waits
     }
 
     /// Lets a task wait again, after it was stopped or lost.
     pub fn requeue(&mut self, index: u32) {
-        if self.entry.cancelled || self.is_settled(index) {
+        if self.entry.cancelled || self.is_terminal(index) {
             return;
         }
-        put(&mut self.ready, index);
+        insert(&mut self.ready, index);
     }
 
     /// Sorts the tasks that neither run nor are settled into ready, unmarked, unknown and held.
     ///
     /// `unheard` says that some may run on a worker that was not heard yet.
-    pub fn begin(&mut self, unheard: bool) {
-        self.begun = true;
+    pub fn classify_tasks(&mut self, unheard: bool) {
+        self.classified = true;
         if self.entry.cancelled {
             return;
         }
         let mut waiting = RangeInclusiveSet::new();
         waiting.insert(0..=self.entry.spec.count - 1);
-        remove_all(&mut waiting, &self.settled());
+        remove_all(&mut waiting, &self.terminal_tasks());
         for index in &self.running {
-            take(&mut waiting, *index);
+            remove(&mut waiting, *index);
         }
         let mut untouched = waiting.clone();
         if self.entry.spec.once {
@@ -195,7 +195,7 @@
         }
         remove_all(&mut waiting, &untouched);
         let (touched, once) = (waiting, self.entry.spec.once);
-        add_all(
+        insert_all(
             if once {
                 &mut self.unmarked
             } else {
@@ -204,21 +204,21 @@
             &untouched,
         );
         let doubtful = match (unheard, once) {
-            (true, _) => &mut self.held,
+            (true, _) => &mut self.unconfirmed,
             (false, true) => &mut self.entry.unknown,
             (false, false) => &mut self.ready,
         };
-        add_all(doubtful, &touched);
+        insert_all(doubtful, &touched);
     }
 
     /// Frees the tasks that were held: they surely run nowhere.
-    pub fn release(&mut self) {
-        let held = std::mem::take(&mut self.held);
+    pub fn release_unconfirmed(&mut self) {
+        let held = std::mem::take(&mut self.unconfirmed);
         if self.entry.cancelled {
             return;
         }
         let once = self.entry.spec.once;
-        add_all(
+        insert_all(
             if once {
                 &mut self.entry.unknown
             } else {
@@ -229,28 +229,29 @@
     }
 
     /// Lets tasks be started whose mark is written. True when there were some.
-    pub fn open_marked(&mut self) -> bool {
+    pub fn release_marked(&mut self) -> bool {
         let mut rest = self.unmarked.clone();
         remove_all(&mut rest, &self.entry.marked);
         let mut marked = std::mem::replace(&mut self.unmarked, rest.clone());
         remove_all(&mut marked, &rest);
-        add_all(&mut self.ready, &marked);
+        insert_all(&mut self.ready, &marked);
         !marked.is_empty()
     }
 
     /// Where the tasks stand.
     pub fn status(&self) -> Status {
         let entry = &self.entry;
-        let waiting = size_of(&self.ready) + size_of(&self.unmarked) + size_of(&self.held);
+        let waiting =
+            count_of(&self.ready) + count_of(&self.unmarked) + count_of(&self.unconfirmed);
         Status {
             id: entry.id.clone(),
             class: entry.spec.class.clone(),
             count: entry.spec.count,
             queued: if entry.cancelled { 0 } else { waiting },
             running: self.running.len() as u32,
-            finished: size_of(&entry.done),
-            failed: size_of(&entry.failed),
-            unknown: size_of(&entry.unknown),
+            finished: count_of(&entry.done),
+            failed: count_of(&entry.failed),
+            unknown: count_of(&entry.unknown),
             cancelled: entry.cancelled,
             ended: entry.ended.is_some(),
             blocked: self.blocked.map(str::to_owned),
@@ -268,7 +269,7 @@
 
     /// A job of eight tasks: 0 is done, 1 runs, four are reserved, 0 to 2 are marked.
     fn taken_over(once: bool) -> Job {
-        let mut entry = Entry::new(
+        let mut entry = JobRecord::new(
             id("h1", 1),
             Spec {
                 count: 8,
@@ -278,7 +279,7 @@
             0,
         );
         entry.reserved = 4;
-        put(&mut entry.done, 0);
+        insert(&mut entry.done, 0);
         entry.marked.insert(0..=2);
         let mut job = Job::new(entry);
         job.running.insert(1);
@@ -291,25 +292,25 @@
     #[test_case(true, true, (0, 5, 1, 0); "once with a silent worker")]
     fn begin_sorts(once: bool, unheard: bool, expected: (u32, u32, u32, u32)) {
         let mut job = taken_over(once);
-        job.begin(unheard);
+        job.classify_tasks(unheard);
         let Job {
             ready,
             unmarked,
-            held,
+            unconfirmed: held,
             entry,
             ..
         } = &job;
-        let sizes = [ready, unmarked, held, &entry.unknown].map(size_of);
+        let sizes = [ready, unmarked, held, &entry.unknown].map(count_of);
         assert_eq!((sizes[0], sizes[1], sizes[2], sizes[3]), expected);
     }
 
     #[test]
     fn open_marked_moves() {
         let mut job = taken_over(true);
-        job.begin(false);
+        job.classify_tasks(false);
         job.entry.marked.insert(3..=5);
-        assert!(job.open_marked() && !job.open_marked());
-        assert_eq!((size_of(&job.ready), size_of(&job.unmarked)), (3, 2));
+        assert!(job.release_marked() && !job.release_marked());
+        assert_eq!((count_of(&job.ready), count_of(&job.unmarked)), (3, 2));
     }
 
     #[test_case("h1.00000000000000ff", Some("h1"); "an id")]
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -15,14 +15,14 @@
 
 /// Where a cell lies in the fleet's capacity: what comes before it, its own, and all.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Span {
+pub struct CapacityShare {
     before: [u64; 3],
     own: [u64; 3],
     all: [u64; 3],
 }
 
 /// The kinds of an amount, in the order of a span's fields.
-fn kinds(size: Size) -> [u64; 3] {
+fn amounts(size: Size) -> [u64; 3] {
     [
         u64::from(size.cpu),
         u64::from(size.memory),
@@ -30,17 +30,17 @@
     ]
 }
 
-impl Span {
+impl CapacityShare {
     /// The span of a cell among all workers in the list.
     pub fn of(cell: &str, list: &List) -> Self {
         let mut halls: BTreeMap<&str, [u64; 3]> = BTreeMap::new();
         for item in list.of_kind(Kind::Worker) {
             let sum = halls.entry(&item.hall).or_default();
-            for (part, amount) in sum.iter_mut().zip(kinds(item.size)) {
+            for (part, amount) in sum.iter_mut().zip(amounts(item.size)) {
                 *part += amount;
             }
         }
-        let mut span = Span::default();
+        let mut span = CapacityShare::default();
         for (hall, amounts) in halls {
             for (kind, amount) in amounts.into_iter().enumerate() {
                 span.all[kind] += amount;
@@ -56,7 +56,7 @@
     }
 
     /// The cell's part of an amount, by the capacity of a kind.
-    fn part(&self, amount: u32, kind: usize) -> u32 {
+    fn share_of(&self, amount: u32, kind: usize) -> u32 {
         let all = self.all[kind];
         if all == 0 {
             return 0;
@@ -68,7 +68,7 @@
 
 /// A cell's limits on one class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limit {
+pub struct ClassLimit {
     /// What its running tasks may be committed.
     pub ceiling: Size,
     /// How many of its tasks may run.
@@ -81,13 +81,13 @@
 #[derive(Debug, Default)]
 pub struct Limits {
     table: Arc<Table>,
-    limits: BTreeMap<Arc<str>, Limit>,
+    limits: BTreeMap<Arc<str>, ClassLimit>,
 }
 
 impl Limits {
     /// The limits of a cell.
     pub fn of(cell: &str, table: Arc<Table>, list: &List) -> Self {
-        let span = Span::of(cell, list);
+        let span = CapacityShare::of(cell, list);
         let limits = table
             .rows
             .iter()
@@ -109,15 +109,15 @@
     }
 
     /// The limits on a class.
-    pub fn limit(&self, class: &str) -> Option<Limit> {
+    pub fn limit(&self, class: &str) -> Option<ClassLimit> {
         self.limits.get(class).copied()
     }
 }
 
-fn limit(row: &Row, span: &Span) -> Limit {
-    let part = |limit: Option<u32>, kind| limit.map_or(u32::MAX, |most| span.part(most, kind));
+fn limit(row: &Row, span: &CapacityShare) -> ClassLimit {
+    let part = |limit: Option<u32>, kind| limit.map_or(u32::MAX, |most| span.share_of(most, kind));
     let ceiling = Size::new(part(row.cpu, 0), part(row.memory, 1), part(row.accel, 2));
-    Limit {
+    ClassLimit {
         ceiling,
         running: part(row.running, 0),
         quota: part(row.quota, 0),
--- a/components/sched/src/message.rs
+++ b/components/sched/src/message.rs
@@ -23,7 +23,7 @@
 
 /// Names a job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Named {
+pub struct JobQuery {
     /// The job's id.
     pub id: Arc<str>,
     /// True when another scheduler passed it on.
@@ -43,7 +43,7 @@
 
 /// Asks for what the receiver's cells hold, or for all cells'.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ListQuery {
     /// True for all cells; the receiver asks their owners.
     pub all: bool,
 }
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         cell::{Cell, Run, Stage},
-        commit, evict, job,
-        placement::Need,
+        evict, job, persistence,
+        placement::Demand,
     },
     infra::{
         Size,
@@ -21,7 +21,7 @@
 
 /// What one pass did.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct PassResult {
     /// Tasks placed.
     pub placed: usize,
     /// Tasks told to stop for more urgent ones.
@@ -29,11 +29,11 @@
     /// True when the pass ended at its bound and more may fit.
     pub more: bool,
     /// Workers that have something new to be told.
-    pub rung: BTreeSet<usize>,
+    pub notified: BTreeSet<usize>,
 }
 
 /// How much later than declared a task is expected to end: the way of its start.
-const DUE_LATER: Duration = Duration::from_millis(20);
+const START_ALLOWANCE: Duration = Duration::from_millis(20);
 
 /// The parts in which shares are counted; fine enough to be divided by weights.
 const SHARE_PARTS: u64 = 1_000_000_000;
@@ -52,17 +52,17 @@
 }
 
 /// Places up to `most` tasks.
-pub fn run(cell: &mut Cell, most: usize, now: Instant) -> Passed {
-    let mut passed = Passed::default();
-    if !cell.is_holding() {
+pub fn run(cell: &mut Cell, most: usize, now: Instant) -> PassResult {
+    let mut passed = PassResult::default();
+    if !cell.is_active() {
         return passed;
     }
     let mut heap = BinaryHeap::new();
-    let classes: Vec<Arc<str>> = cell.queue.lines().keys().cloned().collect();
+    let classes: Vec<Arc<str>> = cell.queues.classes().keys().cloned().collect();
     for class in classes {
-        heap.extend(rank(cell, &class));
+        heap.extend(class_order(cell, &class));
     }
-    let mut promised = evict::Promised::new();
+    let mut promised = evict::ReservedCapacity::new();
     while let Some((_, _, Reverse(class))) = heap.pop() {
         if passed.placed >= most {
             passed.more = true;
@@ -71,16 +71,16 @@
         match place_next(cell, &class, now) {
             Ok(at) => {
                 passed.placed += 1;
-                passed.rung.insert(at);
-                heap.extend(rank(cell, &class));
+                passed.notified.insert(at);
+                heap.extend(class_order(cell, &class));
             }
             Err(Blocked::Empty) => {}
-            Err(Blocked::Reason(reason)) => note(cell, &class, Some(reason)),
+            Err(Blocked::Reason(reason)) => set_blocked(cell, &class, Some(reason)),
             Err(Blocked::Room) => {
-                note(cell, &class, Some("no worker has room now"));
-                let evicted = evict::make_room(cell, &class, &mut promised, now);
+                set_blocked(cell, &class, Some("no worker has room now"));
+                let evicted = evict::preempt(cell, &class, &mut promised, now);
                 passed.evicted += evicted.len();
-                passed.rung.extend(evicted);
+                passed.notified.extend(evicted);
             }
         }
     }
@@ -88,11 +88,11 @@
 }
 
 /// Where a class stands in the order; `None` when nothing of it waits.
-fn rank(cell: &mut Cell, class: &Arc<str>) -> Option<Rank> {
+fn class_order(cell: &mut Cell, class: &Arc<str>) -> Option<Rank> {
     let total = cell.fleet.total();
     let row = cell.limits.row(class)?;
     let (priority, weight) = (row.priority, u64::from(row.weight.max(1)));
-    let line = cell.queue.line(class);
+    let line = cell.queues.class_mut(class);
     if line.jobs.is_empty() {
         return None;
     }
@@ -101,8 +101,8 @@
 }
 
 /// Notes for those who ask why the first job of a class waits.
-fn note(cell: &mut Cell, class: &Arc<str>, reason: Option<&'static str>) {
-    let Some(id) = cell.queue.line(class).jobs.front().cloned() else {
+fn set_blocked(cell: &mut Cell, class: &Arc<str>, reason: Option<&'static str>) {
+    let Some(id) = cell.queues.class_mut(class).jobs.front().cloned() else {
         return;
     };
     if let Some(job) = cell.jobs.get_mut(&id) {
@@ -111,19 +111,19 @@
 }
 
 /// The first job of a class with a task that may be started; others leave the line.
-fn front(cell: &mut Cell, class: &Arc<str>) -> Option<(Arc<str>, u32)> {
+fn next_task(cell: &mut Cell, class: &Arc<str>) -> Option<(Arc<str>, u32)> {
     loop {
-        let id = cell.queue.line(class).jobs.front()?.clone();
+        let id = cell.queues.class_mut(class).jobs.front()?.clone();
         let Some(job) = cell.jobs.get_mut(&id) else {
-            cell.queue.line(class).jobs.pop_front();
+            cell.queues.class_mut(class).jobs.pop_front();
             continue;
         };
-        match job::first(&job.ready) {
+        match job::first_of(&job.ready) {
             Some(index) => return Some((id, index)),
             None => {
-                job.lined = false;
+                job.queued = false;
                 job.blocked = None;
-                cell.queue.line(class).jobs.pop_front();
+                cell.queues.class_mut(class).jobs.pop_front();
             }
         }
     }
@@ -131,7 +131,7 @@
 
 /// Places the next task of a class. Returns the worker's place.
 fn place_next(cell: &mut Cell, class: &Arc<str>, now: Instant) -> Result<usize, Blocked> {
-    let Some((id, index)) = front(cell, class) else {
+    let Some((id, index)) = next_task(cell, class) else {
         return Err(Blocked::Empty);
     };
     let Some(job) = cell.jobs.get(&id) else {
@@ -144,8 +144,8 @@
     let Some(row) = cell.limits.row(class) else {
         return Err(Blocked::Reason("the class has no row in the table"));
     };
-    within(cell, row, size)?;
-    let need = Need { size, row, now };
+    check_limits(cell, row, size)?;
+    let need = Demand { size, row, now };
     let Some(at) = cell.placement.choose(&need, &cell.fleet) else {
         return Err(Blocked::Room);
     };
@@ -155,11 +155,11 @@
 }
 
 /// Tells whether a class's ceilings and its team's quota admit one more task.
-fn within(cell: &Cell, row: &Row, size: Size) -> Result<(), Blocked> {
+fn check_limits(cell: &Cell, row: &Row, size: Size) -> Result<(), Blocked> {
     let Some(limit) = cell.limits.limit(&row.class) else {
         return Err(Blocked::Reason("the class has no row in the table"));
     };
-    let Some(line) = cell.queue.lines().get(&row.class) else {
+    let Some(line) = cell.queues.classes().get(&row.class) else {
         return Ok(());
     };
     if line.running >= limit.running {
@@ -173,7 +173,7 @@
         Some(_) => return Err(Blocked::Reason("max_accelerators of the class is reached")),
         None => {}
     }
-    if cell.queue.team(&row.team).plus(size).cpu > limit.quota {
+    if cell.queues.team_usage(&row.team).plus(size).cpu > limit.quota {
         return Err(Blocked::Reason("team_processors of the team is reached"));
     }
     Ok(())
@@ -182,24 +182,24 @@
 /// When a task should end by its declared length.
 fn due(start: &Start, now: Instant) -> Option<Instant> {
     let left = Duration::from_millis(start.length.saturating_sub(start.resume));
-    (start.length > 0).then_some(now + left + DUE_LATER)
+    (start.length > 0).then_some(now + left + START_ALLOWANCE)
 }
 
 /// Commits room to a task and orders its start.
 fn start(cell: &mut Cell, id: &Arc<str>, index: u32, at: usize, team: &Arc<str>, now: Instant) {
-    let Some(Stage::Holding(tenure)) = &mut cell.stage else {
+    let Some(Stage::Active(tenure)) = &mut cell.stage else {
         return;
     };
     let attempt = tenure.attempt();
     let Some(job) = cell.jobs.get_mut(id) else {
         return;
     };
-    job::take(&mut job.ready, index);
+    job::remove(&mut job.ready, index);
     job.running.insert(index);
     job.started = job.started.max(index + 1);
     job.blocked = None;
-    if commit::is_short(job) {
-        cell.journal.touch();
+    if persistence::needs_reservation(job) {
+        cell.write_queue.mark_dirty();
     }
     let spec = &job.entry.spec;
     let (class, size) = (spec.class.clone(), spec.size);
@@ -216,8 +216,8 @@
         length: spec.length,
         resume,
     };
-    cell.queue.enter(&start.class, Some(team), size);
-    cell.fleet.commit(at, &start.task, size);
+    cell.queues.add_running(&start.class, Some(team), size);
+    cell.fleet.allocate(at, &start.task, size);
     cell.counts.starts += 1;
     let class = start.class.clone();
     let run = Run {
@@ -226,9 +226,9 @@
         class,
         size,
         since: now,
-        due: due(&start, now),
+        expected_end: due(&start, now),
         stopping: false,
     };
     cell.running.insert(start.task.clone(), run);
-    cell.fleet.slot_mut(at).outbox.starts.push(start);
+    cell.fleet.worker_mut(at).outbox.starts.push(start);
 }
--- a/components/sched/src/commit.rs
+++ b/components/sched/src/persistence.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        book::{Book, MAX_BOOK},
         cell::Cell,
         job::Job,
-        journal::{Done, Effect},
+        record::{CellRecord, MAX_RECORD},
+        write_queue::{AfterWrite, WriteCallback},
     },
     infra::budget::Rank,
     kernel::{Failure, sync::lock, verdict::Cause, wall, wire},
@@ -13,18 +13,18 @@
 };
 
 /// How many places of a job are reserved ahead of those started.
-const RESERVE: u32 = 1024;
+const RESERVE_AHEAD: u32 = 1024;
 
 /// How many at-most-once tasks of a job are marked in one write.
-const MARKS: u32 = 512;
+const MARKS_PER_WRITE: u32 = 512;
 
 /// How long an ended job is kept for those who ask, in milliseconds.
-const KEEP_ENDED: u64 = 10 * 60 * 1000;
+const ENDED_RETENTION_MS: u64 = 10 * 60 * 1000;
 
 /// Makes one answer out of several: it is given with the last of them, or with the first failure.
-pub fn split(done: Done, parts: usize) -> Vec<Done> {
+pub fn split_callback(done: WriteCallback, parts: usize) -> Vec<WriteCallback> {
     let shared = Arc::new(Mutex::new((parts, Some(done))));
-    let part = |shared: Arc<Mutex<(usize, Option<Done>)>>| -> Done {
+    let part = |shared: Arc<Mutex<(usize, Option<WriteCallback>)>>| -> WriteCallback {
         Box::new(move |result| {
             let mut state = lock(&shared);
             state.0 -= 1;
@@ -40,7 +40,7 @@
 }
 
 /// A book that is on its way to the store.
-pub struct Batch {
+pub struct WriteBatch {
     /// The version that the store has.
     pub version: u64,
     /// The book's bytes.
@@ -53,88 +53,92 @@
     /// # Errors
     ///
     /// The book is larger than the store's values.
-    pub fn take_batch(&mut self) -> Result<Option<Batch>, Failure> {
-        if self.journal.sending || !self.journal.is_dirty() || !self.is_holding() {
+    pub fn take_batch(&mut self) -> Result<Option<WriteBatch>, Failure> {
+        if self.write_queue.writing || !self.write_queue.is_dirty() || !self.is_active() {
             return Ok(None);
         }
-        self.prune();
+        self.remove_ended();
         for job in self.jobs.values_mut() {
-            reserve(job);
-            mark(job);
+            reserve_ahead(job);
+            mark_next(job);
         }
-        self.journal.write += 1;
-        let book = Book {
+        self.write_queue.write_number += 1;
+        let book = CellRecord {
             epoch: self.epoch(),
-            write: self.journal.write,
+            write: self.write_queue.write_number,
             jobs: self.jobs.values().map(|job| job.entry.clone()).collect(),
-            drained: self.journal.drained.clone(),
+            drained: self.write_queue.drained.clone(),
         };
         let bytes = wire::encode(&book)?;
-        self.journal.bytes = bytes.len();
-        if bytes.len() > MAX_BOOK {
+        self.write_queue.record_bytes = bytes.len();
+        if bytes.len() > MAX_RECORD {
             return Err(Failure::not_run(
                 Cause::Busy,
                 "the cell's book is too large",
             ));
         }
-        self.journal.dirty = false;
-        self.journal.rank = Rank::Read;
-        self.journal.sending = true;
-        let staged = std::mem::take(&mut self.journal.staged);
-        self.journal.sent.extend(staged);
-        Ok(Some(Batch {
-            version: self.journal.version,
+        self.write_queue.dirty = false;
+        self.write_queue.priority = Rank::Read;
+        self.write_queue.writing = true;
+        let staged = std::mem::take(&mut self.write_queue.staged);
+        self.write_queue.in_flight.extend(staged);
+        Ok(Some(WriteBatch {
+            version: self.write_queue.store_version,
             bytes,
         }))
     }
 
     /// The batch on its way was written, as this version.
-    pub fn committed(&mut self, version: u64) {
-        self.journal.version = version;
-        self.journal.sending = false;
+    pub fn batch_written(&mut self, version: u64) {
+        self.write_queue.store_version = version;
+        self.write_queue.writing = false;
         for job in self.jobs.values_mut() {
             job.reserved = job.entry.reserved;
         }
-        for effect in std::mem::take(&mut self.journal.sent) {
+        for effect in std::mem::take(&mut self.write_queue.in_flight) {
             match effect {
-                Effect::Begin(id) => self.begin(&id),
-                Effect::Forget(at, task, attempt) => {
-                    self.fleet.slot_mut(at).outbox.forget.push((task, attempt));
+                AfterWrite::ActivateJob(id) => self.begin(&id),
+                AfterWrite::Forget(at, task, attempt) => {
+                    self.fleet
+                        .worker_mut(at)
+                        .outbox
+                        .forget
+                        .push((task, attempt));
                 }
-                Effect::Answer(done) => done(Ok(())),
+                AfterWrite::Respond(done) => done(Ok(())),
             }
         }
-        self.open_marked();
+        self.enqueue_marked();
     }
 
     /// The batch on its way was surely not written; it is due again with what came since.
-    pub fn not_committed(&mut self) {
-        self.journal.sending = false;
-        self.journal.dirty = true;
+    pub fn batch_failed(&mut self) {
+        self.write_queue.writing = false;
+        self.write_queue.dirty = true;
     }
 
     /// Lets tasks begin whose mark is written.
-    fn open_marked(&mut self) {
+    fn enqueue_marked(&mut self) {
         let mut ids = Vec::new();
         for job in self.jobs.values_mut() {
-            if job.entry.spec.once && job.open_marked() {
+            if job.entry.spec.once && job.release_marked() {
                 ids.push(job.entry.id.clone());
             }
         }
         for id in ids {
-            self.line_up(&id);
+            self.enqueue(&id);
         }
         // Tasks that still need a mark need a write, also when nothing else does.
         let unmarked = |job: &Job| !job.entry.cancelled && !job.unmarked.is_empty();
         if self.jobs.values().any(unmarked) {
-            self.journal.touch();
+            self.write_queue.mark_dirty();
         }
     }
 
     /// Drops jobs that ended long ago.
-    fn prune(&mut self) {
-        let limit = wall::millis().saturating_sub(KEEP_ENDED);
-        let full = self.journal.bytes > MAX_BOOK / 2;
+    fn remove_ended(&mut self) {
+        let limit = wall::millis().saturating_sub(ENDED_RETENTION_MS);
+        let full = self.write_queue.record_bytes > MAX_RECORD / 2;
         let kept = |ended: u64| ended > limit && !full;
         self.jobs
             .retain(|_, job| !job.running.is_empty() || job.entry.ended.is_none_or(kept));
@@ -142,10 +146,10 @@
 }
 
 /// Reserves places ahead of those that were started.
-fn reserve(job: &mut Job) {
+fn reserve_ahead(job: &mut Job) {
     let ahead = job
         .started
-        .saturating_add(RESERVE)
+        .saturating_add(RESERVE_AHEAD)
         .min(job.entry.spec.count);
     if job.entry.ended.is_none() && ahead > job.entry.reserved {
         job.entry.reserved = ahead;
@@ -153,16 +157,16 @@
 }
 
 /// True when a job will soon run out of reserved places.
-pub fn is_short(job: &Job) -> bool {
-    job.reserved < job.entry.spec.count && job.started + RESERVE / 2 > job.reserved
+pub fn needs_reservation(job: &Job) -> bool {
+    job.reserved < job.entry.spec.count && job.started + RESERVE_AHEAD / 2 > job.reserved
 }
 
 /// Marks the next tasks that must not be started twice.
-fn mark(job: &mut Job) {
+fn mark_next(job: &mut Job) {
     if !job.entry.spec.once || job.entry.cancelled {
         return;
     }
-    let mut left = MARKS;
+    let mut left = MARKS_PER_WRITE;
     for range in job.unmarked.iter() {
         let end = (*range.end()).min(range.start().saturating_add(left - 1));
         left -= end - range.start() + 1;
--- a/components/sched/src/placement.rs
+++ b/components/sched/src/placement.rs
@@ -16,7 +16,7 @@
 
 /// What a task needs.
 #[derive(Debug, Clone, Copy)]
-pub struct Need<'a> {
+pub struct Demand<'a> {
     /// Its size.
     pub size: Size,
     /// Its class's row.
@@ -28,7 +28,7 @@
 /// A policy.
 pub trait Placement: Send {
     /// The place of the worker to start the task on; `None` when it fits on none.
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize>;
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize>;
 }
 
 /// Makes the policy of this name.
@@ -36,23 +36,23 @@
 /// # Errors
 ///
 /// No policy has this name; the failure lists those that there are.
-pub fn make(name: &str) -> Result<Box<dyn Placement>, Failure> {
+pub fn create(name: &str) -> Result<Box<dyn Placement>, Failure> {
     plugin::make(KIND, name)
 }
 
 /// True when the task may and can run on the worker.
-pub fn fits(need: &Need<'_>, fleet: &Fleet, at: usize) -> bool {
-    let slot = fleet.slot(at);
-    need.size.fits(slot.free) && need.row.admits(&slot.generation) && slot.is_usable(need.now)
+pub fn fits(need: &Demand<'_>, fleet: &Fleet, at: usize) -> bool {
+    let slot = fleet.worker(at);
+    need.size.fits(slot.free) && need.row.admits(&slot.generation) && slot.is_schedulable(need.now)
 }
 
 /// The worker that has the least room left and still fits.
 struct Packing;
 
 impl Placement for Packing {
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         fleet
-            .from_fullest(need.size.cpu)
+            .by_least_free(need.size.cpu)
             .find(|at| fits(need, fleet, *at))
     }
 }
@@ -61,9 +61,9 @@
 struct Spread;
 
 impl Placement for Spread {
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         fleet
-            .from_emptiest(need.size.cpu)
+            .by_most_free(need.size.cpu)
             .find(|at| fits(need, fleet, *at))
     }
 }
@@ -72,8 +72,8 @@
 struct FirstFit;
 
 impl Placement for FirstFit {
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize> {
-        (0..fleet.slots().len()).find(|at| fits(need, fleet, *at))
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+        (0..fleet.workers().len()).find(|at| fits(need, fleet, *at))
     }
 }
 
@@ -81,9 +81,9 @@
 struct Random(fastrand::Rng);
 
 impl Placement for Random {
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         let mut found = None;
-        for (seen, at) in fleet.from_fullest(need.size.cpu).enumerate() {
+        for (seen, at) in fleet.by_least_free(need.size.cpu).enumerate() {
             if !fits(need, fleet, at) {
                 continue;
             }
@@ -99,7 +99,7 @@
 struct Mixed;
 
 impl Placement for Mixed {
-    fn choose(&mut self, need: &Need<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         match need.row.kind {
             Kind::Service => Spread.choose(need, fleet),
             Kind::Batch | Kind::Standing => Packing.choose(need, fleet),
@@ -166,9 +166,9 @@
     #[test_case("random"; "random")]
     #[test_case("mixed"; "mixed")]
     fn make_finds(name: &str) {
-        let mut policy = make(name).unwrap();
+        let mut policy = create(name).unwrap();
         let row = Row::batch("b");
-        let need = Need {
+        let need = Demand {
             size: Size::new(1, 1, 0),
             row: &row,
             now: Instant::now(),
--- a/components/sched/src/book.rs
+++ b/components/sched/src/record.rs
@@ -13,11 +13,11 @@
 };
 
 /// The largest book that is written, in bytes; the store's limit and some room.
-pub const MAX_BOOK: usize = 1000 * 1024;
+pub const MAX_RECORD: usize = 1000 * 1024;
 
 /// What lasts of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct JobRecord {
     /// The job's id.
     pub id: Arc<str>,
     /// What was asked for.
@@ -42,10 +42,10 @@
     pub ended: Option<u64>,
 }
 
-impl Entry {
+impl JobRecord {
     /// A job that was just submitted.
     pub fn new(id: Arc<str>, spec: Spec, at: u64) -> Self {
-        Entry {
+        JobRecord {
             id,
             spec,
             at,
@@ -63,13 +63,13 @@
 
 /// What lasts of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Book {
+pub struct CellRecord {
     /// The epoch of the owner that wrote it.
     pub epoch: u64,
     /// Goes up with each write of the epoch, so that no two writes have the same bytes.
     pub write: u64,
     /// The jobs.
-    pub jobs: Vec<Entry>,
+    pub jobs: Vec<JobRecord>,
     /// Workers that operators drain.
     #[serde(default)]
     pub drained: Vec<Arc<str>>,
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// The store fails; a newer epoch has the book; the value is no book.
-pub fn claim(store: &dyn Store, cell: &str, epoch: u64) -> Result<(u64, Book), Failure> {
+pub fn claim(store: &dyn Store, cell: &str, epoch: u64) -> Result<(u64, CellRecord), Failure> {
     let mut last = Failure::not_run(
         kernel::verdict::Cause::Conflict,
         "the book changes too fast",
@@ -97,8 +97,8 @@
     for write in 0..CLAIM_TRIES {
         let found = store.get(&key(cell))?;
         let (version, mut book) = match &found {
-            Some(value) => (value.version, wire::decode::<Book>(&value.bytes)?),
-            None => (0, Book::default()),
+            Some(value) => (value.version, wire::decode::<CellRecord>(&value.bytes)?),
+            None => (0, CellRecord::default()),
         };
         if book.epoch > epoch {
             let text = format!("epoch {} has the book of {cell}", book.epoch);
--- a/components/sched/src/report.rs
+++ b/components/sched/src/report.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         cell::{Cell, Run},
-        fleet::Heard,
+        fleet::LastReport,
         job,
-        journal::Effect,
+        write_queue::AfterWrite,
     },
     infra::worker::{Manner, Order, Phase, Record, Refusal, Report, Stop, Task},
     std::{
@@ -15,21 +15,23 @@
 };
 
 /// Workers on which a task may fail before it is given up.
-const MAX_FAILURES: usize = 4;
+const MAX_FAILED_WORKERS: usize = 4;
 /// How often in a row a task may be lost with its worker soon after it had started, before it is given up: then it is
 /// taken to crash its workers. Without a bound one task takes a worker at each of its starts, for ever (seen in a test of 20 rounds); a task that
 /// runs for long and loses its worker now and then is not meant.
-const MAX_LOSSES: u32 = 5;
+const MAX_EARLY_LOSSES: u32 = 5;
 /// A task that has run for this long with its worker was not lost by starting: as for a cell of the users' platform, ten
 /// times as long as most tasks run.
-const SOON: Duration = Duration::from_secs(30);
+const EARLY_LOSS: Duration = Duration::from_secs(30);
 
 impl Cell {
     /// Takes a report over that answers this order.
     pub fn on_report(&mut self, at: usize, order: &Order, report: Report, now: Instant) {
-        let slot = self.fleet.slot_mut(at);
-        let rebooted = slot.heard.is_some_and(|heard| heard.boot != report.boot);
-        slot.sent(order);
+        let slot = self.fleet.worker_mut(at);
+        let rebooted = slot
+            .last_report
+            .is_some_and(|heard| heard.boot != report.boot);
+        slot.order_delivered(order);
         let Report {
             boot,
             clock,
@@ -38,15 +40,15 @@
             refusals,
             ..
         } = report;
-        slot.heard = Some(Heard {
+        slot.last_report = Some(LastReport {
             boot,
             clock,
             version,
             at: now,
         });
-        slot.read = true;
+        slot.ledger_read = true;
         if rebooted {
-            self.lose_tasks(at, now);
+            self.release_lost_tasks(at, now);
         }
         for record in records {
             self.on_record(at, record, now);
@@ -67,7 +69,7 @@
                     attempt,
                     manner: Manner::Kill,
                 };
-                self.fleet.slot_mut(at).outbox.stops.push(stop);
+                self.fleet.worker_mut(at).outbox.stops.push(stop);
             }
             Phase::Finished => self.on_finished(at, &record),
             Phase::Failed => self.on_failed(at, &record, now),
@@ -85,7 +87,7 @@
                     attempt,
                     manner: Manner::Kill,
                 };
-                self.fleet.slot_mut(at).outbox.stops.push(stop);
+                self.fleet.worker_mut(at).outbox.stops.push(stop);
             }
             return;
         }
@@ -93,14 +95,15 @@
             return;
         };
         let index = record.task.index;
-        job::take(&mut job.held, index);
-        job::take(&mut job.ready, index);
+        job::remove(&mut job.unconfirmed, index);
+        job::remove(&mut job.ready, index);
         job.running.insert(index);
         let cancelled = job.entry.cancelled;
         self.counts.adopted += 1;
         let team = self.limits.row(&record.class).map(|row| row.team.clone());
-        self.queue.enter(&record.class, team.as_ref(), record.size);
-        self.fleet.commit(at, &record.task, record.size);
+        self.queues
+            .add_running(&record.class, team.as_ref(), record.size);
+        self.fleet.allocate(at, &record.task, record.size);
         let Record {
             task,
             attempt,
@@ -114,7 +117,7 @@
             class,
             size,
             since: now,
-            due: None,
+            expected_end: None,
             stopping: false,
         };
         self.running.insert(task.clone(), run);
@@ -130,10 +133,11 @@
         }
         let run = self.running.remove(task)?;
         let team = self.limits.row(&run.class).map(|row| row.team.clone());
-        self.queue.leave(&run.class, team.as_ref(), run.size);
+        self.queues
+            .remove_running(&run.class, team.as_ref(), run.size);
         self.fleet.release(run.worker, task, run.size);
         if run.stopping {
-            let slot = self.fleet.slot_mut(run.worker);
+            let slot = self.fleet.worker_mut(run.worker);
             slot.freeing = slot.freeing.minus(run.size);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -142,15 +146,15 @@
         Some(run)
     }
 
-    fn forget_later(&mut self, at: usize, record: &Record) {
-        self.journal
-            .stage(Effect::Forget(at, record.task.clone(), record.attempt));
+    fn stage_forget(&mut self, at: usize, record: &Record) {
+        self.write_queue
+            .stage(AfterWrite::Forget(at, record.task.clone(), record.attempt));
     }
 
     fn on_finished(&mut self, at: usize, record: &Record) {
         self.leave(&record.task, record.attempt);
-        self.fleet.slot_mut(at).succeed();
-        self.forget_later(at, record);
+        self.fleet.worker_mut(at).record_success();
+        self.stage_forget(at, record);
         let index = record.task.index;
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
@@ -158,26 +162,26 @@
         if job.entry.done.contains(&index) {
             return;
         }
-        job::put(&mut job.entry.done, index);
-        job::take(&mut job.ready, index);
-        job::take(&mut job.held, index);
-        job::take(&mut job.entry.unknown, index);
+        job::insert(&mut job.entry.done, index);
+        job::remove(&mut job.ready, index);
+        job::remove(&mut job.unconfirmed, index);
+        job::remove(&mut job.entry.unknown, index);
         job.entry.resume.remove(&index);
         job.failures.remove(&index);
         job.losses.remove(&index);
         self.counts.finished += 1;
         // A later start of the same task has nothing more to do.
         self.stop(&record.task, Manner::Kill);
-        self.conclude(&record.task.job);
+        self.check_ended(&record.task.job);
     }
 
     fn on_failed(&mut self, at: usize, record: &Record, now: Instant) {
-        let slot = self.fleet.slot_mut(at);
+        let slot = self.fleet.worker_mut(at);
         let name = slot.name.clone();
-        if slot.fail(now) {
+        if slot.record_failure(now) {
             log::warn!(target: "sched", "A worker is set aside, tasks fail on it. worker={name}");
         }
-        self.forget_later(at, record);
+        self.stage_forget(at, record);
         if self.leave(&record.task, record.attempt).is_none() {
             return;
         }
@@ -187,23 +191,23 @@
         };
         let workers = job.failures.entry(index).or_default();
         workers.insert(name);
-        if workers.len() >= MAX_FAILURES || job.entry.spec.once {
+        if workers.len() >= MAX_FAILED_WORKERS || job.entry.spec.once {
             log::warn!(
                 target: "sched",
                 "A task is given up after failures. task={} workers={}",
                 record.task, workers.iter().map(|w| &**w).collect::<Vec<_>>().join(",")
             );
-            job::put(&mut job.entry.failed, index);
-            self.conclude(&record.task.job);
+            job::insert(&mut job.entry.failed, index);
+            self.check_ended(&record.task.job);
         } else {
             job.requeue(index);
-            self.line_up(&record.task.job);
+            self.enqueue(&record.task.job);
         }
-        self.journal.touch();
+        self.write_queue.mark_dirty();
     }
 
     fn on_stopped(&mut self, at: usize, record: &Record) {
-        self.forget_later(at, record);
+        self.stage_forget(at, record);
         let ran = self.leave(&record.task, record.attempt);
         let index = record.task.index;
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
@@ -212,25 +216,25 @@
         let resume = job.entry.resume.entry(index).or_default();
         *resume = record.checkpoint.max(*resume);
         if ran.is_some() {
-            self.put_back(&record.task);
+            self.return_to_queue(&record.task);
         }
-        self.journal.touch();
-        self.conclude(&record.task.job);
+        self.write_queue.mark_dirty();
+        self.check_ended(&record.task.job);
     }
 
     /// A task that ran and did not end by itself waits again, or is unknown if it must not.
-    fn put_back(&mut self, task: &Task) {
+    fn return_to_queue(&mut self, task: &Task) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if job.entry.spec.once && !job.entry.cancelled {
-            job::put(&mut job.entry.unknown, task.index);
+            job::insert(&mut job.entry.unknown, task.index);
         } else {
             job.requeue(task.index);
         }
-        self.line_up(&task.job);
-        self.conclude(&task.job);
-        self.journal.touch();
+        self.enqueue(&task.job);
+        self.check_ended(&task.job);
+        self.write_queue.mark_dirty();
     }
 
     /// A start was refused: the task did not run, and the worker is read anew.
@@ -239,7 +243,7 @@
             target: "sched", "A start was refused. task={} reason={}",
             refusal.task, refusal.reason
         );
-        if let Some(heard) = &mut self.fleet.slot_mut(at).heard {
+        if let Some(heard) = &mut self.fleet.worker_mut(at).last_report {
             heard.version = 0;
         }
         if self.leave(&refusal.task, refusal.attempt).is_none() {
@@ -249,14 +253,14 @@
             return;
         };
         job.requeue(refusal.task.index);
-        self.line_up(&refusal.task.job);
-        self.conclude(&refusal.task.job);
+        self.enqueue(&refusal.task.job);
+        self.check_ended(&refusal.task.job);
     }
 
     /// Lets the tasks of a worker wait again: they surely do not run there any more.
-    pub(crate) fn lose_tasks(&mut self, at: usize, now: Instant) {
-        let tasks = self.fleet.slot(at).tasks.clone();
-        let slot = self.fleet.slot_mut(at);
+    pub(crate) fn release_lost_tasks(&mut self, at: usize, now: Instant) {
+        let tasks = self.fleet.worker(at).tasks.clone();
+        let slot = self.fleet.worker_mut(at);
         slot.outbox.starts.clear();
         slot.outbox.stops.clear();
         slot.outbox.throttles.clear();
@@ -268,17 +272,17 @@
             };
             self.leave(&task, attempt);
             self.counts.lost += 1;
-            let is_soon = now < since + SOON;
-            if self.note_loss(&task, is_soon) {
-                self.give_up(&task);
+            let is_soon = now < since + EARLY_LOSS;
+            if self.record_loss(&task, is_soon) {
+                self.fail_task(&task);
             } else {
-                self.put_back(&task);
+                self.return_to_queue(&task);
             }
         }
     }
 
     /// Counts the losses of a task in a row that came soon after its start. True when they are too many.
-    fn note_loss(&mut self, task: &Task, is_soon: bool) -> bool {
+    fn record_loss(&mut self, task: &Task, is_soon: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
@@ -288,32 +292,38 @@
         }
         let losses = job.losses.entry(task.index).or_default();
         *losses += 1;
-        *losses >= MAX_LOSSES
+        *losses >= MAX_EARLY_LOSSES
     }
 
     /// Starts a task no more that was lost with its worker again and again.
-    fn give_up(&mut self, task: &Task) {
+    fn fail_task(&mut self, task: &Task) {
         log::warn!(target: "sched", "A task is given up, its workers are lost. task={task}");
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job::put(&mut job.entry.failed, task.index);
+            job::insert(&mut job.entry.failed, task.index);
         }
-        self.conclude(&task.job);
-        self.journal.touch();
+        self.check_ended(&task.job);
+        self.write_queue.mark_dirty();
     }
 
     /// Gives up workers that were silent until their leases were surely over.
-    pub(crate) fn lose_silent(&mut self, now: Instant) {
-        let term = self.term;
-        let over = |heard: &Heard| term.is_over(heard.at, now);
-        let silent: Vec<usize> = (0..self.fleet.slots().len())
-            .filter(|at| self.fleet.slot(*at).heard.as_ref().is_some_and(over))
+    pub(crate) fn expire_unreachable(&mut self, now: Instant) {
+        let term = self.timing;
+        let over = |heard: &LastReport| term.is_over(heard.at, now);
+        let silent: Vec<usize> = (0..self.fleet.workers().len())
+            .filter(|at| {
+                self.fleet
+                    .worker(*at)
+                    .last_report
+                    .as_ref()
+                    .is_some_and(over)
+            })
             .collect();
         for at in silent {
-            let name: Arc<str> = self.fleet.slot(at).name.clone();
+            let name: Arc<str> = self.fleet.worker(at).name.clone();
             log::warn!(target: "sched", "A worker was silent until its lease ended. worker={name}");
-            self.lose_tasks(at, now);
-            let slot = self.fleet.slot_mut(at);
-            slot.heard = None;
+            self.release_lost_tasks(at, now);
+            let slot = self.fleet.worker_mut(at);
+            slot.last_report = None;
         }
     }
 }
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -29,26 +29,26 @@
 };
 
 /// Tasks that serve the port.
-const TASKS: usize = 16;
+const CONCURRENCY: usize = 16;
 
 /// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How often cells to be taken over are looked for.
-const CLAIM_EVERY: Duration = Duration::from_millis(100);
+const CLAIM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often owners are watched over.
-const WATCH_EVERY: Duration = Duration::from_millis(300);
+const WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The time between two exchanges of all summaries with a random box, for each cell, so that their
 /// bytes a second do not grow with the cells.
-const EXCHANGE_EVERY: Duration = Duration::from_millis(250);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The time for one exchange of summaries.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a stop waits for books to be written.
-const FLUSH_MOST: Duration = Duration::from_secs(3);
+const MAX_FLUSH_WAIT: Duration = Duration::from_secs(3);
 
 /// What a scheduler process needs to start.
 pub struct Settings {
@@ -67,7 +67,7 @@
     /// The workers.
     pub workers: Arc<dyn Workers>,
     /// The terms of the leases.
-    pub term: Term,
+    pub timing: Term,
     /// How often a worker is exchanged with when nothing is due.
     pub heartbeat: Duration,
     /// The name of the placement policy.
@@ -89,7 +89,7 @@
     tasks: Tasks,
     server: Server,
     ready: Readiness,
-    host: Host<Scheduler>,
+    actor: Host<Scheduler>,
     _roster: Roster,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
@@ -119,14 +119,14 @@
             Some(port) => port.handle(request),
             None => request.respond(kernel::Reply::text(503, "starting\n")),
         });
-        let server = Server::open(settings.listen, TASKS, settings.token, handler)?;
+        let server = Server::open(settings.listen, CONCURRENCY, settings.token, handler)?;
         let url = settings.url.unwrap_or_else(|| Arc::from(server.url()));
         let shared = Shared {
             name: settings.name.clone(),
             url,
             workers: settings.workers,
             store: settings.store,
-            term: settings.term,
+            timing: settings.timing,
             heartbeat: settings.heartbeat,
             placement: settings.placement,
         };
@@ -146,7 +146,7 @@
             let list = list.clone();
             on_list.tell(move |sched, cx| sched.set_list(cx, list));
         });
-        let roster = Roster::start(settings.boxes, LIST_EVERY, changed)?;
+        let roster = Roster::start(settings.boxes, LIST_INTERVAL, changed)?;
         let on_table = remote.clone();
         let follower = Follower::start(
             settings.name,
@@ -168,7 +168,7 @@
             tasks,
             server,
             ready,
-            host,
+            actor: host,
             _roster: roster,
             follower,
             threads,
@@ -190,20 +190,20 @@
     pub fn stop(&mut self) {
         self.ready.set(false);
         self.tasks.hand_over();
-        self.halt();
+        self.shut_down();
     }
 
     /// Stops without handing anything over, as if the process had been killed.
     pub fn kill(&mut self) {
-        self.halt();
+        self.shut_down();
     }
 
-    fn halt(&mut self) {
+    fn shut_down(&mut self) {
         self.ready.set(false);
         self.tasks.signal.stop();
         let _ = self.tasks.remote.ask(|sched, _| {
             for cell in sched.begin_stop() {
-                sched.disown(&cell, "the process stops");
+                sched.end_ownership(&cell, "the process stops");
             }
         });
         self.follower.stop();
@@ -211,13 +211,13 @@
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
-        self.host.stop();
+        self.actor.stop();
     }
 }
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.halt();
+        self.shut_down();
     }
 }
 
@@ -239,7 +239,7 @@
         while !self.signal.is_stopped() {
             let claims = self
                 .remote
-                .ask(|sched, cx| sched.claims(cx.now()))
+                .ask(|sched, cx| sched.cells_to_claim(cx.now()))
                 .unwrap_or_default();
             let mut failed = false;
             for cell in claims {
@@ -256,8 +256,12 @@
             failures = if failed { failures + 1 } else { 0 };
             let most = Duration::from_secs(3);
             let jitter = fastrand::f64();
-            self.signal
-                .wait(infra::budget::backoff(CLAIM_EVERY, most, failures, jitter));
+            self.signal.wait(infra::budget::backoff(
+                CLAIM_INTERVAL,
+                most,
+                failures,
+                jitter,
+            ));
         }
     }
 
@@ -266,12 +270,12 @@
         while !self.signal.is_stopped() {
             let targets = self
                 .remote
-                .ask(|sched, cx| sched.targets(cx.now()))
+                .ask(|sched, cx| sched.watch_targets(cx.now()))
                 .unwrap_or_default();
             for target in targets {
                 self.call(&target);
             }
-            self.signal.wait(WATCH_EVERY);
+            self.signal.wait(WATCH_INTERVAL);
         }
     }
 
@@ -280,25 +284,25 @@
         while !self.signal.is_stopped() {
             let others = self
                 .remote
-                .ask(|sched, _| sched.others())
+                .ask(|sched, _| sched.exchange_targets())
                 .unwrap_or_default();
             if let Some(target) = fastrand::choice(&others) {
                 self.call(target);
             }
             let cells = self.remote.ask(|sched, _| sched.summaries(None).len());
             let cells = cells.unwrap_or(1).max(1) as u32;
-            self.signal.wait(EXCHANGE_EVERY * cells);
+            self.signal.wait(EXCHANGE_INTERVAL * cells);
         }
     }
 
     fn call(&self, target: &Target) {
-        let want = target.want.clone();
+        let want = target.cell.clone();
         let known = self
             .remote
             .ask(move |sched, _| sched.summaries(want.as_deref()));
         let Ok(summaries) = known else { return };
         let message = Exchange {
-            want: target.want.clone(),
+            want: target.cell.clone(),
             summaries,
         };
         let address = format!("{}/cells/exchange", target.url);
@@ -306,7 +310,7 @@
             self.client.post(&address, &message, EXCHANGE_TIMEOUT);
         let name = target.name.clone();
         self.remote.tell(move |sched, cx| {
-            sched.note_call(&name, answer.is_ok(), cx.now());
+            sched.record_call(&name, answer.is_ok(), cx.now());
             if let Ok(summaries) = answer {
                 sched.merge(summaries, cx.now());
             }
@@ -319,7 +323,7 @@
             .remote
             .ask(|sched, _| sched.begin_stop())
             .unwrap_or_default();
-        let end = Instant::now() + FLUSH_MOST;
+        let end = Instant::now() + MAX_FLUSH_WAIT;
         let wait = Signal::new();
         while Instant::now() < end && !self.remote.ask(|s, _| s.is_flushed()).unwrap_or(true) {
             wait.wait(Duration::from_millis(20));
--- a/components/sched/src/spec.rs
+++ b/components/sched/src/spec.rs
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// `Invalid`, with the field and what would be right.
-    pub fn check(&self, row: Option<&Row>) -> Result<(), Failure> {
+    pub fn validate(&self, row: Option<&Row>) -> Result<(), Failure> {
         let wrong = |text: String| Err(Failure::not_run(Cause::Invalid, text));
         let Some(row) = row else {
             return wrong(format!(
@@ -97,10 +97,10 @@
             kind,
             ..Row::batch("batch")
         };
-        match spec.check(Some(&row)) {
+        match spec.validate(Some(&row)) {
             Ok(()) => assert_eq!(field, ""),
             Err(failure) => assert!(failure.text.starts_with(&format!("{field}:")), "{failure}"),
         }
-        assert!(spec.check(None).is_err());
+        assert!(spec.validate(None).is_err());
     }
 }
--- a/components/sched/src/peer.rs
+++ b/components/sched/src/worker_link.rs
@@ -7,16 +7,16 @@
 };
 
 /// The longest wait between exchanges with a worker that does not answer.
-const BACKOFF_MOST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The actor that a worker's task asks and tells.
-pub trait Orders: Sized + 'static {
+pub trait OrderSource: Sized + 'static {
     /// The address of a worker and the next order to it; `None` ends the worker's task.
     fn next_order(&mut self, cell: &str, epoch: u64, at: usize) -> Option<(Arc<str>, Order)>;
 
     /// Takes the outcome of an exchange over. Returns how long the next may wait; `None` when the
     /// exchange failed.
-    fn on_exchange(
+    fn handle_exchange(
         &mut self,
         cx: &mut Cx<'_, Self>,
         place: (&Arc<str>, u64, usize),
@@ -26,7 +26,7 @@
 }
 
 /// What one worker's task needs.
-pub struct Peer<A: Orders> {
+pub struct WorkerLink<A: OrderSource> {
     /// The cell.
     pub cell: Arc<str>,
     /// The epoch in which the task works.
@@ -43,7 +43,7 @@
     pub heartbeat: Duration,
 }
 
-impl<A: Orders> Peer<A> {
+impl<A: OrderSource> WorkerLink<A> {
     /// Exchanges until the cell has another owner or the process stops.
     pub fn run(self) {
         let mut failures = 0;
@@ -59,9 +59,9 @@
             }
             failures = if result.is_ok() { 0 } else { failures + 1 };
             let cell = self.cell.clone();
-            let wait = self
-                .remote
-                .ask(move |sched, cx| sched.on_exchange(cx, (&cell, epoch, at), &order, result));
+            let wait = self.remote.ask(move |sched, cx| {
+                sched.handle_exchange(cx, (&cell, epoch, at), &order, result)
+            });
             match wait {
                 Ok(Some(wait)) if wait.is_zero() => {}
                 Ok(Some(wait)) => {
@@ -76,7 +76,7 @@
     /// Waits after a failure. A worker that fails is not asked sooner for being rung.
     fn back_off(&self, failures: u32) {
         let base = self.heartbeat / 4;
-        let time = infra::budget::backoff(base, BACKOFF_MOST, failures, fastrand::f64());
+        let time = infra::budget::backoff(base, MAX_BACKOFF, failures, fastrand::f64());
         std::thread::sleep(time);
     }
 }
--- a/components/sched/src/journal.rs
+++ b/components/sched/src/write_queue.rs
@@ -1,7 +1,7 @@
 //! What of a cell waits to be written down.
 
 use {
-    crate::book::MAX_BOOK,
+    crate::record::MAX_RECORD,
     infra::{budget::Rank, worker::Task},
     kernel::{Failure, verdict::Cause},
     std::sync::Arc,
@@ -11,50 +11,50 @@
 const MAX_STAGED: usize = 10_000;
 
 /// Answers whoever waits for the write.
-pub type Done = Box<dyn FnOnce(Result<(), Failure>) + Send>;
+pub type WriteCallback = Box<dyn FnOnce(Result<(), Failure>) + Send>;
 
 /// What happens once the book is written.
-pub enum Effect {
+pub enum AfterWrite {
     /// A job may begin.
-    Begin(Arc<str>),
+    ActivateJob(Arc<str>),
     /// A worker's ledger may forget a task.
     Forget(usize, Task, u64),
     /// Someone is answered.
-    Answer(Done),
+    Respond(WriteCallback),
 }
 
 /// What waits to be written down.
-pub struct Journal {
-    pub(crate) version: u64,
-    pub(crate) write: u64,
+pub struct WriteQueue {
+    pub(crate) store_version: u64,
+    pub(crate) write_number: u64,
     pub(crate) dirty: bool,
-    pub(crate) rank: Rank,
-    pub(crate) staged: Vec<Effect>,
-    pub(crate) sent: Vec<Effect>,
-    pub(crate) sending: bool,
-    pub(crate) bytes: usize,
+    pub(crate) priority: Rank,
+    pub(crate) staged: Vec<AfterWrite>,
+    pub(crate) in_flight: Vec<AfterWrite>,
+    pub(crate) writing: bool,
+    pub(crate) record_bytes: usize,
     /// Workers that operators drain.
     pub drained: Vec<Arc<str>>,
 }
 
-impl Journal {
+impl WriteQueue {
     /// A journal on a claimed book.
     pub fn new(version: u64, write: u64, drained: Vec<Arc<str>>) -> Self {
-        Journal {
-            version,
-            write,
+        WriteQueue {
+            store_version: version,
+            write_number: write,
             dirty: false,
-            rank: Rank::Read,
+            priority: Rank::Read,
             staged: Vec::new(),
-            sent: Vec::new(),
-            sending: false,
-            bytes: 0,
+            in_flight: Vec::new(),
+            writing: false,
+            record_bytes: 0,
             drained,
         }
     }
 
     /// Something changed that must be written.
-    pub fn touch(&mut self) {
+    pub fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
@@ -64,22 +64,22 @@
     }
 
     /// Makes the next write at least this urgent.
-    pub fn hurry(&mut self, rank: Rank) {
-        self.rank = self.rank.min(rank);
+    pub fn raise_priority(&mut self, rank: Rank) {
+        self.priority = self.priority.min(rank);
     }
 
     /// How urgent the next write is; `None` when none is due.
-    pub fn due(&self) -> Option<Rank> {
-        (self.is_dirty() && !self.sending).then_some(self.rank)
+    pub fn due_priority(&self) -> Option<Rank> {
+        (self.is_dirty() && !self.writing).then_some(self.priority)
     }
 
     /// True while a batch is on its way.
-    pub fn is_sending(&self) -> bool {
-        self.sending
+    pub fn is_writing(&self) -> bool {
+        self.writing
     }
 
     /// Lets something happen after the next write.
-    pub fn stage(&mut self, effect: Effect) {
+    pub fn stage(&mut self, effect: AfterWrite) {
         self.staged.push(effect);
     }
 
@@ -88,8 +88,8 @@
     /// # Errors
     ///
     /// `Busy` when the book is full or too many submissions wait for the store.
-    pub fn admit(&self) -> Result<(), Failure> {
-        if self.bytes > MAX_BOOK / 10 * 9 {
+    pub fn check_capacity(&self) -> Result<(), Failure> {
+        if self.record_bytes > MAX_RECORD / 10 * 9 {
             return Err(Failure::not_run(
                 Cause::Busy,
                 "the cell's book is full; try later",
--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -10,7 +10,8 @@
     },
     lease::{Tenure, Term},
     magpie_sched_core::{
-        Cell, Spec, book::Book, job, journal::Effect, limits::Limits, pass, placement,
+        Cell, Spec, job, limits::Limits, pass, placement, record::CellRecord,
+        write_queue::AfterWrite,
     },
     standin::{Farm, Witness, clock::Clock, ledger::Ledger},
     std::{
@@ -31,7 +32,7 @@
     witness: Witness,
     start: Instant,
     items: Vec<Item>,
-    book: Book,
+    book: CellRecord,
     epoch: u64,
     /// Workers that cannot be reached.
     cut: Vec<usize>,
@@ -79,7 +80,7 @@
         for item in &items {
             farm.add(&item.name, item.size);
         }
-        let (start, book, cut) = (Instant::now(), Book::default(), Vec::new());
+        let (start, book, cut) = (Instant::now(), CellRecord::default(), Vec::new());
         World {
             farm,
             clock,
@@ -104,7 +105,7 @@
             length: Duration::from_millis(LEASE),
             drift: 10,
         };
-        let policy = placement::make("packing").unwrap();
+        let policy = placement::create("packing").unwrap();
         let mut cell = Cell::new(
             tenure,
             self.book.clone(),
@@ -123,7 +124,7 @@
         let mut cell = self.take_over();
         self.step(&mut cell, 0);
         self.step(&mut cell, 1000);
-        assert!(cell.is_holding());
+        assert!(cell.is_active());
         cell
     }
 
@@ -164,14 +165,14 @@
     fn commit(&mut self, cell: &mut Cell) {
         if let Some(batch) = cell.take_batch().unwrap() {
             self.book = kernel::wire::decode(&batch.bytes).unwrap();
-            cell.committed(batch.version + 1);
+            cell.batch_written(batch.version + 1);
         }
     }
 
     fn submit(&mut self, cell: &mut Cell, key: u64, spec: Spec) -> Arc<str> {
         let id = job::id("h1", key);
         cell.submit(&id, spec, 0).unwrap();
-        cell.journal.stage(Effect::Begin(id.clone()));
+        cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
         self.commit(cell);
         id
     }
@@ -244,14 +245,14 @@
         world.step(&mut new, 400);
     }
     let status = new.status(&id).unwrap();
-    assert!(new.is_holding());
+    assert!(new.is_active());
     assert_eq!(
         (status.running, status.queued),
         (6 - unheard as u32, unheard as u32)
     );
     // The earlier owner left the list: once its leases are over the tasks run elsewhere.
     for _ in 0..6 {
-        new.owner_gone(world.now());
+        new.handle_predecessor_gone(world.now());
         world.step(&mut new, LEASE / 4);
     }
     assert_eq!(new.status(&id).unwrap().running, 4);
@@ -386,11 +387,11 @@
         0,
     )
     .unwrap();
-    cell.journal.stage(Effect::Begin(id.clone()));
+    cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
     world.commit(&mut cell);
     // Written down, but no task is marked yet.
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
-    cell.journal.touch();
+    cell.write_queue.mark_dirty();
     world.commit(&mut cell);
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 2);
 }
@@ -504,7 +505,7 @@
     }
     let status = cell.status(&id).unwrap();
     assert_eq!((status.finished, status.failed), (8, 0));
-    assert_eq!(cell.fleet.slot(0).state(world.now()), "aside");
+    assert_eq!(cell.fleet.worker(0).state(world.now()), "aside");
 }
 
 #[test]
@@ -538,13 +539,13 @@
     let mut cell = world.owner();
     let id = job::id("h1", 1);
     cell.submit(&id, spec(2, 1000), 0).unwrap();
-    cell.journal.stage(Effect::Begin(id.clone()));
+    cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
     let batch = cell.take_batch().unwrap().unwrap();
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
-    cell.not_committed();
+    cell.batch_failed();
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
     assert!(cell.take_batch().unwrap().is_some());
-    cell.committed(batch.version + 1);
+    cell.batch_written(batch.version + 1);
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 2);
 }
 
@@ -554,11 +555,11 @@
     let mut cell = world.take_over();
     let id = job::id("h1", 1);
     cell.submit(&id, spec(2, 1000), 0).unwrap();
-    cell.journal.stage(Effect::Begin(id));
+    cell.write_queue.stage(AfterWrite::ActivateJob(id));
     world.exchange(&mut cell);
     cell.tick(world.now());
     world.exchange(&mut cell);
-    assert!(cell.is_holding());
+    assert!(cell.is_active());
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
     world.commit(&mut cell);
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 2);
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -9,7 +9,7 @@
     },
     kernel::Host,
     lease::Term,
-    magpie_sched_core::{Scheduler, actor::Shared, claim::Cells},
+    magpie_sched_core::{Scheduler, actor::Shared, claim::CellOwner},
     standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
     std::{
         sync::Arc,
@@ -24,7 +24,7 @@
         url: Arc::from("http://127.0.0.1:1"),
         workers: Arc::new(Farm::new(clock.clone(), Witness::new())),
         store: Arc::new(Store::new(Rates::default(), clock)),
-        term: Term::default(),
+        timing: Term::default(),
         heartbeat: Duration::from_secs(2),
         placement: Arc::from("mixed"),
     };
@@ -56,11 +56,11 @@
     let host = scheduler();
     let claims = host.remote().ask(|sched, cx| {
         let now = cx.now();
-        let before = sched.claims(now + Duration::from_secs(9));
+        let before = sched.cells_to_claim(now + Duration::from_secs(9));
         sched.set_list(cx, list());
         // A process that has just started listens before it takes anything.
-        let young = sched.claims(now + Duration::from_millis(500));
-        let later = sched.claims(now + Duration::from_secs(2));
+        let young = sched.cells_to_claim(now + Duration::from_millis(500));
+        let later = sched.cells_to_claim(now + Duration::from_secs(2));
         [before.len(), young.len(), later.len()]
     });
     assert_eq!(claims, Ok([0, 0, 1]));
@@ -73,9 +73,9 @@
     let claims = host.remote().ask(|sched, cx| {
         let now: Instant = cx.now() + Duration::from_secs(9);
         sched.set_list(cx, list());
-        sched.give_way("h1", "a test", now);
-        let at_once = sched.claims(now);
-        let later = sched.claims(now + Duration::from_secs(3));
+        sched.yield_cell("h1", "a test", now);
+        let at_once = sched.cells_to_claim(now);
+        let later = sched.cells_to_claim(now + Duration::from_secs(3));
         [at_once.len(), later.len()]
     });
     assert_eq!(claims, Ok([0, 1]));
--- a/components/trial/src/entry.rs
+++ b/components/trial/src/entry.rs
@@ -49,7 +49,7 @@
             store,
             boxes: boxes.clone(),
             workers: Arc::new(worker::Http::new(sched::service::worker_client())),
-            term: lease::Term::default(),
+            timing: lease::Term::default(),
             heartbeat: Duration::from_secs(2),
             placement: Arc::from("mixed"),
         })?;
--- a/components/trial/tests/whole_path.rs
+++ b/components/trial/tests/whole_path.rs
@@ -11,7 +11,7 @@
     },
     sched::{
         Spec, Status, job,
-        message::{Cancel, Drain, Named, Submit},
+        message::{Cancel, Drain, JobQuery, Submit},
     },
     standin::{Deploy, backend, store},
     std::{
@@ -75,7 +75,7 @@
 }
 
 fn show(fleet: &Fleet, id: &Arc<str>) -> Result<Status, Failure> {
-    let named = Named {
+    let named = JobQuery {
         id: id.clone(),
         passed: false,
     };
--- a/programs/ctl/src/cell.rs
+++ b/programs/ctl/src/cell.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{cli::CellCommand, context::Context, exit::Error, show},
-    sched::{directory::Summary, message::Ask},
+    sched::{directory::Summary, message::ListQuery},
 };
 
 /// Runs a command on cells.
 pub fn run(context: &Context, command: CellCommand) -> Result<(), Error> {
     let CellCommand::List(command) = command;
-    let cells: Vec<Summary> = context.sched("/cells/list", &Ask { all: true })?;
+    let cells: Vec<Summary> = context.sched("/cells/list", &ListQuery { all: true })?;
     if command.json {
         show::json(&cells);
         return Ok(());
--- a/programs/ctl/src/job.rs
+++ b/programs/ctl/src/job.rs
@@ -10,7 +10,7 @@
     infra::Size,
     sched::{
         Spec, Status,
-        message::{Ask, Cancel, Named, Submit},
+        message::{Cancel, JobQuery, ListQuery, Submit},
     },
     std::{
         sync::Arc,
@@ -35,7 +35,7 @@
             Ok(())
         }
         JobCommand::List(command) => {
-            let mut jobs: Vec<Status> = context.sched("/jobs/list", &Ask { all: true })?;
+            let mut jobs: Vec<Status> = context.sched("/jobs/list", &ListQuery { all: true })?;
             jobs.sort_by(|a, b| a.id.cmp(&b.id));
             print(&jobs, command.json);
             Ok(())
@@ -48,7 +48,7 @@
 fn status(context: &Context, id: &str) -> Result<Status, Error> {
     context.sched(
         "/jobs/show",
-        &Named {
+        &JobQuery {
             id: Arc::from(id),
             passed: false,
         },
--- a/programs/ctl/src/worker.rs
+++ b/programs/ctl/src/worker.rs
@@ -7,7 +7,7 @@
         exit::Error,
         show,
     },
-    sched::message::{Ask, Drain, Worker},
+    sched::message::{Drain, ListQuery, Worker},
     std::sync::Arc,
 };
 
@@ -20,7 +20,7 @@
 }
 
 fn list(context: &Context, command: &WorkerList) -> Result<(), Error> {
-    let mut workers: Vec<Worker> = context.sched("/workers/list", &Ask { all: true })?;
+    let mut workers: Vec<Worker> = context.sched("/workers/list", &ListQuery { all: true })?;
     workers.sort_by(|a, b| a.name.cmp(&b.name));
     if command.json {
         show::json(&workers);
--- a/programs/demo/src/check.rs
+++ b/programs/demo/src/check.rs
@@ -3,7 +3,7 @@
 use {
     crate::world::World,
     kernel::{Failure, sync::lock},
-    sched::{Status, message::Named},
+    sched::{Status, message::JobQuery},
     std::{
         sync::Arc,
         thread,
@@ -36,7 +36,7 @@
 /// Asks for a job. True when nothing more is to be awaited of it.
 fn is_over(world: &World, id: &Arc<str>) -> bool {
     let url = format!("{}/jobs/show", world.fleet.any_sched());
-    let named = Named {
+    let named = JobQuery {
         id: id.clone(),
         passed: false,
     };
--- a/programs/load/src/slope/book.rs
+++ b/programs/load/src/slope/book.rs
@@ -31,7 +31,7 @@
         }
         let mut bytes = 0;
         let time = machine::shortest(RUNS, || {
-            rig.cell.journal.touch();
+            rig.cell.write_queue.mark_dirty();
             bytes = rig.commit();
         });
         sizes.push(Point {
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -7,7 +7,7 @@
         worker::Workers,
     },
     lease::{Tenure, Term},
-    sched::{Cell, Spec, book::Book, job, limits::Limits, pass, placement},
+    sched::{Cell, Spec, job, limits::Limits, pass, placement, record::CellRecord},
     standin::{Farm, Witness, clock::Clock},
     std::{
         sync::Arc,
@@ -71,10 +71,17 @@
         }
         let start = Instant::now();
         let tenure = Tenure::begin(Arc::from(CELL), 1);
-        let Ok(policy) = placement::make("mixed") else {
+        let Ok(policy) = placement::create("mixed") else {
             unreachable!("mixed is built in")
         };
-        let mut cell = Cell::new(tenure, Book::default(), 0, Term::default(), policy, start);
+        let mut cell = Cell::new(
+            tenure,
+            CellRecord::default(),
+            0,
+            Term::default(),
+            policy,
+            start,
+        );
         cell.merge(&items.iter().collect::<Vec<_>>());
         let list = List { version: 1, items };
         cell.set_limits(Limits::of(CELL, table(4), &list));
@@ -125,8 +132,8 @@
             if let Err(failure) = self.cell.submit(&id, spec, 0) {
                 unreachable!("a job of the rig was refused: {failure}");
             }
-            let begin = sched::journal::Effect::Begin(id);
-            self.cell.journal.stage(begin);
+            let begin = sched::write_queue::AfterWrite::ActivateJob(id);
+            self.cell.write_queue.stage(begin);
         }
         self.commit();
     }
@@ -137,7 +144,7 @@
             return 0;
         };
         self.version += 1;
-        self.cell.committed(self.version);
+        self.cell.batch_written(self.version);
         batch.bytes.len()
     }
 
@@ -151,11 +158,11 @@
     pub fn exchange(&mut self) -> Duration {
         let mut spent = Duration::ZERO;
         let now = self.now();
-        for at in 0..self.cell.fleet.slots().len() {
+        for at in 0..self.cell.fleet.workers().len() {
             let started = Instant::now();
             let order = self.cell.next_order(at);
             spent += started.elapsed();
-            let name = self.cell.fleet.slot(at).name.clone();
+            let name = self.cell.fleet.worker(at).name.clone();
             let Ok(report) = self.farm.exchange(&name, &order) else {
                 continue;
             };
--- a/programs/sched/src/cli.rs
+++ b/programs/sched/src/cli.rs
@@ -71,7 +71,7 @@
     let boxes = reader.url("boxes", arguments.boxes, None);
     let chosen = reader.name("placement", arguments.placement, Some("mixed"));
     if let Some(chosen) = &chosen
-        && let Err(failure) = placement::make(chosen)
+        && let Err(failure) = placement::create(chosen)
     {
         reader.fault("placement", chosen, &failure.text);
     }
@@ -99,7 +99,7 @@
             store: Arc::new(store::Http::new(&store?, client.clone())),
             boxes: Arc::new(boxes::Http::new(&boxes?, client)),
             workers: Arc::new(worker::Http::new(service::worker_client())),
-            term: Term {
+            timing: Term {
                 length: Duration::from_secs(lease?),
                 drift: drift? as u32,
             },
