--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -21,7 +21,7 @@
     },
     arc_swap::ArcSwapOption,
     job::Config,
-    kernel::{Client, Failure, Host, Remote, clock::Mark, sync::lock, task},
+    kernel::{ActorRef, ActorThread, Client, Failure, clock::ClockPair, sync::lock, task},
     std::{
         io,
         sync::{
@@ -52,7 +52,7 @@
     probe_started: AtomicU64,
     /// When the configuration in force was last verified to be the newest; `None` before the first
     /// verification.
-    config_verified: Mutex<Option<Mark>>,
+    config_verified: Mutex<Option<ClockPair>>,
     /// Store revision of the configuration that was read last.
     pub(crate) config_revision: AtomicU64,
     /// The `Retry-After` hint for refused callers.
@@ -63,7 +63,7 @@
 
 impl Shared {
     /// Records that the configuration in force was the newest one at `at`.
-    pub(crate) fn mark_config_current(&self, at: Mark) {
+    pub(crate) fn mark_config_current(&self, at: ClockPair) {
         *lock(&self.config_verified) = Some(at);
     }
 
@@ -75,7 +75,7 @@
 
     /// True when this box was suspended after the configuration was last verified to be the newest.
     pub fn is_config_unverified(&self) -> bool {
-        lock(&self.config_verified).is_some_and(Mark::has_slept)
+        lock(&self.config_verified).is_some_and(ClockPair::was_suspended)
     }
 
     /// True when calls to the store fail and it has not answered for [`STORE_UNREACHABLE`]. Without
@@ -247,7 +247,7 @@
     pub shared: Arc<Shared>,
     /// Client for calls to other boxes.
     pub client: Client,
-    pub(crate) remote: Remote<Core>,
+    pub(crate) remote: ActorRef<Core>,
     pub(crate) acceptor: accept::Sender,
     /// Queue of cancellations that the owner has not confirmed.
     pub(crate) unconfirmed: cancel::Sender,
@@ -259,7 +259,7 @@
 pub struct Running {
     /// The handle that tasks and request handlers use.
     pub node: Node,
-    _host: Host<Core>,
+    _host: ActorThread<Core>,
 }
 
 /// Starts the actor and the threads of a box.
@@ -281,7 +281,7 @@
     let (unconfirmed, cancellations) = cancel::channel();
     let settings = Arc::new(settings);
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
-    let host = Host::start("core", move |_, remote| {
+    let host = ActorThread::start("core", move |_, remote| {
         let node = Node {
             settings,
             external,
--- a/components/node/src/heartbeat.rs
+++ b/components/node/src/heartbeat.rs
@@ -62,7 +62,7 @@
         let config = heartbeat.config;
         let previous = std::mem::replace(&mut *lock(&self.last), LastHeartbeat { config, until });
         if previous.config != config {
-            self.config.ring();
+            self.config.notify();
         }
     }
 
@@ -70,8 +70,8 @@
     pub fn clear(&self) {
         let previous = std::mem::take(&mut *lock(&self.last));
         if previous.until != 0 {
-            self.config.ring();
-            self.owner.ring();
+            self.config.notify();
+            self.owner.notify();
         }
     }
 
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -11,9 +11,9 @@
     },
     kernel::{
         Failure,
-        host::Answerer,
+        actor::Responder,
         stakker::{Cx, after},
-        wall,
+        wall_clock,
     },
     std::time::Duration,
 };
@@ -25,7 +25,7 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        answerer: Answerer<Option<Group>>,
+        answerer: Responder<Option<Group>>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             answerer.send(None);
@@ -57,7 +57,7 @@
         };
         if elapsed >= gap {
             let retention = settings.retention.as_millis() as u64;
-            let before = wall::millis().saturating_sub(retention);
+            let before = wall_clock::millis().saturating_sub(retention);
             let group = Group::build(&settings, ownership, before);
             ownership.group_sent = time::now();
             if let Some(writer) = ownership.writer.take() {
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -3,7 +3,7 @@
 use {
     super::Ownership,
     crate::{core::Core, external::HallClosure, message::ClosedHall},
-    kernel::{stakker::Cx, wall},
+    kernel::{stakker::Cx, wall_clock},
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -57,7 +57,7 @@
                 log::warn!(target: "owner", hall = &*hall; "No known worker is in a closed data hall.");
             }
             set_metric(&hall, true);
-            let since = wall::millis();
+            let since = wall_clock::millis();
             self.halls.closed.push(ClosedHall { hall, by, since });
         }
         self.cell.set_closed_halls(names);
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -7,7 +7,7 @@
     crate::{owner_tasks, time},
     cell::{Advice, AdviceQuery, Entry, Listing, Machine, MaintenanceOrder, Wave, WaveStatus},
     job::{Id, State, Submission},
-    kernel::{stakker::Cx, wall},
+    kernel::{stakker::Cx, wall_clock},
     std::{collections::HashSet, sync::Arc},
 };
 
@@ -71,7 +71,7 @@
         let Some(ownership) = &mut self.ownership else {
             return;
         };
-        if ownership.cell.admit(submission, wall::millis()) {
+        if ownership.cell.admit(submission, wall_clock::millis()) {
             self.schedule_pass(cx);
         }
     }
@@ -83,7 +83,7 @@
             return false;
         };
         let is_confirmed = !ownership.is_unconfirmed();
-        let is_known = ownership.cell.cancel(id, time::now(), wall::millis()) && is_confirmed;
+        let is_known = ownership.cell.cancel(id, time::now(), wall_clock::millis()) && is_confirmed;
         self.schedule_pass(cx);
         is_known
     }
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -3,7 +3,7 @@
 
 use {
     cell::Timing,
-    kernel::client::Time,
+    kernel::client::Timeout,
     std::{sync::Arc, time::Duration},
 };
 
@@ -145,7 +145,7 @@
 /// Time-out of a call to another box.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time-out of a call to another box that may be retried once.
-pub const PEER_RETRY: Time = Time::twice(PEER_TIMEOUT, Duration::from_millis(200));
+pub const PEER_RETRY: Timeout = Timeout::with_retry(PEER_TIMEOUT, Duration::from_millis(200));
 /// Interval between two attempts to notify the owner of a cancellation.
 pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
 /// How long the owner is notified of a cancellation that it does not confirm, in milliseconds. A
@@ -187,8 +187,8 @@
 /// Time-out of one exchange of a relay. It may be retried, since the owner processes each request
 /// once. Requests and responses are sent again unchanged, and are large after a failure or in a
 /// burst.
-pub const RELAY_TIMEOUT: Time =
-    Time::twice(Duration::from_millis(800), Duration::from_millis(400)).flowing();
+pub const RELAY_TIMEOUT: Timeout =
+    Timeout::with_retry(Duration::from_millis(800), Duration::from_millis(400)).streaming();
 /// Boxes below this processor share, in thousandths of a core, leave the cell to stronger boxes.
 pub const LOW_SHARE: u32 = 200;
 /// How long such a box delays its claim, so that a stronger box can claim the cell first.
--- a/components/node/src/time.rs
+++ b/components/node/src/time.rs
@@ -2,13 +2,13 @@
 //! while the box is suspended, so that its leases and its state of owners and workers expire
 //! meanwhile.
 
-use {kernel::clock::Moment, std::sync::OnceLock};
+use {kernel::clock::BootInstant, std::sync::OnceLock};
 
-static START: OnceLock<Moment> = OnceLock::new();
+static START: OnceLock<BootInstant> = OnceLock::new();
 
-/// Milliseconds since the first call, by [`Moment`]. The first call returns 1, so that 0 can stand
+/// Milliseconds since the first call, by [`BootInstant`]. The first call returns 1, so that 0 can stand
 /// for "never".
 pub fn now() -> u64 {
-    let start = START.get_or_init(Moment::now);
+    let start = START.get_or_init(BootInstant::now);
     start.elapsed().as_millis() as u64 + 1
 }
--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -10,7 +10,7 @@
         spec::Spec,
         write_queue::{AfterWrite, WriteCallback},
     },
-    kernel::{Failure, host::Answerer, verdict::Cause},
+    kernel::{Failure, actor::Responder, verdict::Cause},
     std::{collections::BTreeSet, sync::Arc, time::Instant},
 };
 
@@ -44,7 +44,7 @@
                 "the cell is not owned here",
             )));
         };
-        let at = kernel::wall::millis();
+        let at = kernel::wall_clock::millis();
         if let Err(failure) = owned.cell.submit(id, spec, at) {
             return done(Err(failure));
         }
@@ -53,12 +53,16 @@
             .write_queue
             .stage(AfterWrite::ActivateJob(id.clone()));
         owned.cell.write_queue.stage(AfterWrite::Respond(done));
-        owned.writer.ring();
+        owned.writer.notify();
     }
 
     /// Cancels the jobs that are owned here. Once that is written down in every cell, the answer
     /// is the ids of no job here.
-    pub fn cancel(&mut self, ids: &[Arc<str>], answerer: Answerer<Result<Vec<Arc<str>>, Failure>>) {
+    pub fn cancel(
+        &mut self,
+        ids: &[Arc<str>],
+        answerer: Responder<Result<Vec<Arc<str>>, Failure>>,
+    ) {
         let mut missing = Vec::new();
         let mut cells = BTreeSet::new();
         for id in ids {
@@ -86,7 +90,7 @@
             self.notify_workers(cell);
             if let Some(owned) = self.cells.get_mut(cell) {
                 owned.cell.write_queue.stage(AfterWrite::Respond(part));
-                owned.writer.ring();
+                owned.writer.notify();
             }
         }
     }
@@ -98,7 +102,7 @@
         };
         for (slot, bell) in owned.cell.fleet.workers().iter().zip(&owned.worker_signals) {
             if !slot.outbox.is_empty() {
-                bell.ring();
+                bell.notify();
             }
         }
     }
@@ -148,7 +152,7 @@
 
     /// Drains a worker of a cell owned here, or takes that back. The answer comes once that is
     /// written down; false when no cell here has the worker.
-    pub fn drain(&mut self, drain: &Drain, answerer: Answerer<Result<bool, Failure>>) {
+    pub fn drain(&mut self, drain: &Drain, answerer: Responder<Result<bool, Failure>>) {
         let mut cells = self.cells.values_mut();
         let having = cells.find(|owned| owned.cell.fleet.index_of(&drain.worker).is_some());
         let Some(owned) = having else {
@@ -157,6 +161,6 @@
         owned.cell.drain(&drain.worker, drain.drained);
         let done: WriteCallback = Box::new(move |result| answerer.send(result.map(|()| true)));
         owned.cell.write_queue.stage(AfterWrite::Respond(done));
-        owned.writer.ring();
+        owned.writer.notify();
     }
 }
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -23,7 +23,7 @@
         worker::{Order, Report, Workers},
     },
     kernel::{
-        Failure, Remote,
+        ActorRef, Failure,
         stakker::{CX, Cx, after},
         task::{self, Signal},
         verdict::Cause,
@@ -77,7 +77,7 @@
 /// The state of a scheduler process.
 pub struct Scheduler {
     shared: Shared,
-    remote: Remote<Scheduler>,
+    remote: ActorRef<Scheduler>,
     cells: BTreeMap<Arc<str>, Owned>,
     directory: Directory,
     table: Arc<Table>,
@@ -97,7 +97,7 @@
 
 impl Scheduler {
     /// A scheduler that owns no cell yet.
-    pub fn new(cx: CX![], shared: Shared, remote: Remote<Scheduler>) -> Self {
+    pub fn new(cx: CX![], shared: Shared, remote: ActorRef<Scheduler>) -> Self {
         after!(TICK, [cx], tick());
         Scheduler {
             shared,
@@ -283,10 +283,10 @@
         let started = Instant::now();
         let passed = pass::run(&mut owned.cell, MAX_PASS_TASKS, now);
         for at in &passed.notified {
-            owned.worker_signals[*at].ring();
+            owned.worker_signals[*at].notify();
         }
         if owned.cell.write_queue.is_dirty() {
-            owned.writer.ring();
+            owned.writer.notify();
         }
         if passed.placed + passed.evicted > 0 {
             let time = started.elapsed().as_secs_f64();
@@ -317,7 +317,7 @@
                 }
                 owned.cell.tick(now);
                 if owned.cell.write_queue.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
             }
             self.schedule_pass(cx, &name);
@@ -365,7 +365,7 @@
                     false => Duration::ZERO,
                 };
                 if owned.cell.write_queue.is_dirty() {
-                    owned.writer.ring();
+                    owned.writer.notify();
                 }
                 self.schedule_pass(cx, cell);
                 Some(wait)
--- a/components/sched/src/persistence.rs
+++ b/components/sched/src/persistence.rs
@@ -8,7 +8,7 @@
         write_queue::{AfterWrite, WriteCallback},
     },
     infra::budget::Rank,
-    kernel::{Failure, sync::lock, verdict::Cause, wall, wire},
+    kernel::{Failure, sync::lock, verdict::Cause, wall_clock, wire},
     std::sync::{Arc, Mutex},
 };
 
@@ -137,7 +137,7 @@
 
     /// Drops jobs that ended long ago.
     fn remove_ended(&mut self) {
-        let limit = wall::millis().saturating_sub(ENDED_RETENTION_MS);
+        let limit = wall_clock::millis().saturating_sub(ENDED_RETENTION_MS);
         let full = self.write_queue.record_bytes > MAX_RECORD / 2;
         let kept = |ended: u64| ended > limit && !full;
         self.jobs
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -7,7 +7,7 @@
         Size,
         boxes::{Item, Kind, List, State},
     },
-    kernel::Host,
+    kernel::ActorThread,
     lease::Term,
     magpie_sched_core::{Scheduler, actor::Shared, claim::CellOwner},
     standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
@@ -17,7 +17,7 @@
     },
 };
 
-fn scheduler() -> Host<Scheduler> {
+fn scheduler() -> ActorThread<Scheduler> {
     let clock = Clock::manual();
     let shared = Shared {
         name: Arc::from("b1"),
@@ -28,7 +28,7 @@
         heartbeat: Duration::from_secs(2),
         placement: Arc::from("mixed"),
     };
-    Host::start("sched", |cx, remote| Scheduler::new(cx, shared, remote)).unwrap()
+    ActorThread::start("sched", |cx, remote| Scheduler::new(cx, shared, remote)).unwrap()
 }
 
 /// One entry box and one hall with a worker.
@@ -54,7 +54,7 @@
 #[test]
 fn claims_after_listening() {
     let host = scheduler();
-    let claims = host.remote().ask(|sched, cx| {
+    let claims = host.actor_ref().ask(|sched, cx| {
         let now = cx.now();
         let before = sched.cells_to_claim(now + Duration::from_secs(9));
         sched.set_list(cx, list());
@@ -70,7 +70,7 @@
 #[test]
 fn claims_leave_newer_owner() {
     let host = scheduler();
-    let claims = host.remote().ask(|sched, cx| {
+    let claims = host.actor_ref().ask(|sched, cx| {
         let now: Instant = cx.now() + Duration::from_secs(9);
         sched.set_list(cx, list());
         sched.yield_cell("h1", "a test", now);
--- a/programs/box/src/main.rs
+++ b/programs/box/src/main.rs
@@ -5,7 +5,7 @@
 mod signals;
 
 use {
-    kernel::{Client, client::Limits, daemon, traffic},
+    kernel::{Client, client::PoolLimits, daemon, traffic},
     std::time::Duration,
 };
 
@@ -18,22 +18,22 @@
 const MAX_IDLE_AGE: Duration = Duration::from_secs(120);
 
 fn main() {
-    let arguments: cli::Arguments = daemon::arguments();
+    let arguments: cli::Arguments = daemon::parse_arguments();
     let check = arguments.check;
-    let setup = kernel::settings::settle(cli::read(arguments), check);
-    daemon::begin_json(setup.level);
-    let limits = Limits {
-        idle: MAX_IDLE,
-        host: MAX_IDLE_PER_HOST,
-        age: MAX_IDLE_AGE,
+    let setup = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
+    daemon::init_telemetry_json(setup.level);
+    let limits = PoolLimits {
+        max_idle: MAX_IDLE,
+        per_host: MAX_IDLE_PER_HOST,
+        idle_timeout: MAX_IDLE_AGE,
     };
     let client = Client::with_limits(None, limits);
     let adapters = platform::adapters(&client, setup.store, setup.advisor, setup.machines);
-    let running = daemon::started(node::core::start(setup.node.clone(), adapters, client));
-    daemon::started(traffic::tell());
-    let ports = daemon::started(ports::open(&setup, &running.node));
+    let running = daemon::started_or_exit(node::core::start(setup.node.clone(), adapters, client));
+    daemon::started_or_exit(traffic::start_logging());
+    let ports = daemon::started_or_exit(ports::open(&setup, &running.node));
     log::info!(target: "box", name = &*setup.node.name, hall = &*setup.node.hall, callers:% = setup.callers, inside:% = setup.inside; "The box runs.");
-    let signal = daemon::started(signals::wait());
+    let signal = daemon::started_or_exit(signals::wait());
     log::info!(target: "box", signal; "The box received a signal to stop.");
     signals::stop(&running.node, &ports, setup.grace);
     log::info!(target: "box", "The box has stopped.");
