--- a/components/sched/benches/decide.rs
+++ b/components/sched/benches/decide.rs
@@ -1,6 +1,6 @@
-//! The cost of a placement against the number of workers: `cargo bench -p magpie-sched-core`.
+//! Benchmarks the cost of a placement by number of workers: `cargo bench -p magpie-sched-core`.
 //!
-//! Each size places the same number of tasks, so the columns compare cost by worker count.
+//! Each case places the same number of tasks, so the rows can be compared.
 
 use {
     infra::{
@@ -16,19 +16,19 @@
     table::Row,
 };
 
-/// Tasks placed in one run.
+/// Number of tasks placed in one iteration.
 const TASKS: u32 = 1000;
 
-/// What a task needs.
+/// The size of a task.
 const TASK: Size = Size::new(1000, 1000, 0);
 
 fn main() {
     divan::main();
 }
 
-fn worker(at: usize) -> Item {
+fn worker(worker_index: usize) -> Item {
     Item {
-        name: Arc::from(format!("w{at}")),
+        name: Arc::from(format!("w{worker_index}")),
         kind: Kind::Worker,
         hall: Arc::from("h1"),
         rack: Arc::from("r1"),
@@ -44,12 +44,12 @@
     let items: Vec<Item> = (0..workers).map(worker).collect();
     let mut fleet = Fleet::default();
     fleet.update(&items.iter().collect::<Vec<_>>());
-    for at in 0..workers {
-        fleet.worker_mut(at).last_report = Some(LastReport {
+    for worker_index in 0..workers {
+        fleet.worker_mut(worker_index).last_report = Some(LastReport {
             boot: 1,
             clock: 0,
             version: 0,
-            at: now,
+            received_at: now,
         });
     }
     fleet
@@ -66,17 +66,17 @@
         .with_inputs(|| (fleet(workers, now), placement::create(name)))
         .bench_local_values(|(mut fleet, policy)| {
             let Ok(mut policy) = policy else { return };
-            let need = Demand {
+            let demand = Demand {
                 size: TASK,
                 row: &row,
                 now,
             };
             for index in 0..TASKS {
-                let Some(at) = policy.choose(&need, &fleet) else {
+                let Some(worker_index) = policy.choose(&demand, &fleet) else {
                     return;
                 };
                 let job = job.clone();
-                fleet.allocate(at, &Task { job, index }, TASK);
+                fleet.allocate(worker_index, &Task { job, index }, TASK);
             }
         });
 }
--- a/components/sched/examples/place.rs
+++ b/components/sched/examples/place.rs
@@ -1,4 +1,4 @@
-//! Placing tasks with the policies that are built in:
+//! Places a task with each built-in policy:
 //! `cargo run -p magpie-sched-core --example place`.
 
 use {
@@ -34,17 +34,17 @@
     let items = [worker("w1", 16_000), worker("w2", 64_000)];
     fleet.update(&items.iter().collect::<Vec<_>>());
     let now = Instant::now();
-    for at in 0..items.len() {
-        // As if each had just reported; a worker that was not heard gets no work.
-        fleet.worker_mut(at).last_report = Some(LastReport {
+    for index in 0..items.len() {
+        // Simulates a recent report; a worker without one is not schedulable.
+        fleet.worker_mut(index).last_report = Some(LastReport {
             boot: 1,
             clock: 0,
             version: 0,
-            at: now,
+            received_at: now,
         });
     }
     let row = Row::batch("manifest");
-    let need = Demand {
+    let demand = Demand {
         size: Size::new(2000, 1000, 0),
         row: &row,
         now,
@@ -52,8 +52,8 @@
     for entry in plugin::of_kind(placement::KIND) {
         let mut policy = placement::create(entry.name)?;
         let chosen = policy
-            .choose(&need, &fleet)
-            .map(|at| fleet.worker(at).name.clone());
+            .choose(&demand, &fleet)
+            .map(|index| fleet.worker(index).name.clone());
         println!("{}: {chosen:?}. {}", entry.name, entry.about);
     }
     Ok(())
--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the cells owned here: jobs and workers.
+//! Requests of operators and clients for the owned cells: jobs and workers.
 
 use {
     super::Scheduler,
@@ -15,27 +15,27 @@
 };
 
 impl Scheduler {
-    /// The cell that a new job goes to.
+    /// Selects the cell for a new job.
     ///
     /// # Errors
     ///
-    /// The job breaks a rule or can never run.
+    /// Returns `Invalid` or `Refused` when the specification is invalid or the job can never run.
     pub fn select_cell(&self, spec: &Spec) -> Result<Arc<str>, Failure> {
         cell_selection::select(spec, &self.table, &self.list, &self.directory)
     }
 
-    /// True when this process owns the cell.
+    /// Returns true when this process owns the cell.
     pub fn owns(&self, cell: &str) -> bool {
         self.cells.contains_key(cell)
     }
 
-    /// The base address of the scheduler that owns a cell, as far as is known.
+    /// Returns the base URL of the known owner of a cell; `None` if it is unknown or this box.
     pub fn owner_url(&self, cell: &str) -> Option<Arc<str>> {
         let known = self.directory.get(cell)?;
         (known.owner != self.shared.name).then(|| known.url.clone())
     }
 
-    /// Takes a job in; `done` is called once it is written down, or refused.
+    /// Accepts a job. `done` is called once the job is persisted or refused.
     pub fn submit(&mut self, id: &Arc<str>, spec: Spec, done: WriteCallback) {
         let cell = job::cell_of(id).unwrap_or_default().to_owned();
         let Some(owned) = self.cells.get_mut(cell.as_str()) else {
@@ -44,8 +44,8 @@
                 "the cell is not owned here",
             )));
         };
-        let at = kernel::wall_clock::millis();
-        if let Err(failure) = owned.cell.submit(id, spec, at) {
+        let submitted_at = kernel::wall_clock::millis();
+        if let Err(failure) = owned.cell.submit(id, spec, submitted_at) {
             return done(Err(failure));
         }
         owned
@@ -56,8 +56,8 @@
         owned.writer.notify();
     }
 
-    /// Cancels the jobs that are owned here. Once that is written down in every cell, the answer
-    /// is the ids of no job here.
+    /// Cancels the jobs of owned cells. Responds once the cancellation is persisted in every cell, with
+    /// the ids of the jobs that no owned cell has.
     pub fn cancel(
         &mut self,
         ids: &[Arc<str>],
@@ -95,23 +95,23 @@
         }
     }
 
-    /// Wakes the tasks of workers that have something to be told.
+    /// Wakes the exchange tasks of workers with pending instructions.
     fn notify_workers(&mut self, cell: &str) {
         let Some(owned) = self.cells.get(cell) else {
             return;
         };
-        for (slot, bell) in owned.cell.fleet.workers().iter().zip(&owned.worker_signals) {
-            if !slot.outbox.is_empty() {
-                bell.notify();
+        for (worker, signal) in owned.cell.fleet.workers().iter().zip(&owned.worker_signals) {
+            if !worker.outbox.is_empty() {
+                signal.notify();
             }
         }
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     ///
     /// # Errors
     ///
-    /// It is not owned here.
+    /// Returns `Refused` when its cell is not owned here, and `Invalid` when there is no such job.
     pub fn status(&self, id: &str) -> Result<Status, Failure> {
         let cell = job::cell_of(id).unwrap_or_default();
         match self.cells.get(cell) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Where all jobs of the cells owned here stand.
+    /// Returns the status of all jobs of the owned cells.
     pub fn statuses(&self) -> Vec<Status> {
         let cells = self.cells.values();
         cells
@@ -131,31 +131,31 @@
             .collect()
     }
 
-    /// The workers of the cells owned here.
+    /// Returns the workers of the owned cells.
     pub fn workers(&self, now: Instant) -> Vec<Worker> {
         let mut workers = Vec::new();
         for (cell, owned) in &self.cells {
-            for slot in owned.cell.fleet.workers() {
+            for worker in owned.cell.fleet.workers() {
                 workers.push(Worker {
-                    name: slot.name.clone(),
+                    name: worker.name.clone(),
                     cell: cell.clone(),
-                    generation: slot.generation.clone(),
-                    state: Arc::from(slot.state(now)),
-                    size: slot.size,
-                    free: slot.free,
-                    tasks: slot.tasks.len() as u32,
+                    generation: worker.generation.clone(),
+                    state: Arc::from(worker.state(now)),
+                    size: worker.size,
+                    free: worker.free,
+                    tasks: worker.tasks.len() as u32,
                 });
             }
         }
         workers
     }
 
-    /// Drains a worker of a cell owned here, or takes that back. The answer comes once that is
-    /// written down; false when no cell here has the worker.
+    /// Drains a worker of an owned cell, or ends its drain. Responds with true once the change is
+    /// persisted, and with false when no owned cell has the worker.
     pub fn drain(&mut self, drain: &Drain, answerer: Responder<Result<bool, Failure>>) {
         let mut cells = self.cells.values_mut();
-        let having = cells.find(|owned| owned.cell.fleet.index_of(&drain.worker).is_some());
-        let Some(owned) = having else {
+        let owner = cells.find(|owned| owned.cell.fleet.index_of(&drain.worker).is_some());
+        let Some(owned) = owner else {
             return answerer.send(Ok(false));
         };
         owned.cell.drain(&drain.worker, drain.drained);
--- a/components/sched/src/actor/membership.rs
+++ b/components/sched/src/actor/membership.rs
@@ -1,4 +1,4 @@
-//! Which cells this process is to own, and whom it watches over.
+//! Decides which cells this process claims, and which owners it monitors.
 
 use {
     super::{Owned, Scheduler, Shared},
@@ -11,22 +11,23 @@
     },
 };
 
-/// How long an assignment must stand before a cell is moved without need.
+/// How long an assignment must be stable before a cell is moved from a healthy owner. A cell that was
+/// yielded is not claimed again within this time either.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// One call that keeps the directory fresh.
+/// A call that exchanges summaries with another scheduler.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// The box.
+    /// Name of the box.
     pub name: Arc<str>,
-    /// The base address of its scheduler.
+    /// Base URL of its scheduler.
     pub url: Arc<str>,
-    /// The cell asked for; `None` for all.
+    /// The requested cell; `None` for all cells.
     pub cell: Option<Arc<str>>,
 }
 
 impl Scheduler {
-    /// Puts the cells owned here into the directory, with their next beat.
+    /// Publishes summaries of the owned cells to the directory, with the next heartbeat.
     pub(super) fn publish_summaries(&mut self, now: Instant) {
         let mut summaries = Vec::new();
         for (name, owned) in &mut self.cells {
@@ -36,7 +37,7 @@
         self.directory.merge(summaries, now);
     }
 
-    /// Takes summaries over that another process knows, and gives up cells that have a newer owner.
+    /// Merges the summaries of another process, and yields owned cells that have a newer epoch.
     pub fn merge(&mut self, summaries: Vec<Summary>, now: Instant) {
         self.directory.merge(summaries, now);
         let older = |name: &Arc<str>, owned: &Owned| {
@@ -44,18 +45,18 @@
                 .get(name)
                 .is_some_and(|known| known.epoch > owned.cell.epoch())
         };
-        let lost: Vec<Arc<str>> = self
+        let superseded: Vec<Arc<str>> = self
             .cells
             .iter()
             .filter(|(name, owned)| older(name, owned))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in lost {
-            self.yield_cell(&name, "another has a newer epoch", now);
+        for name in superseded {
+            self.yield_cell(&name, "another box has a newer epoch", now);
         }
     }
 
-    /// The summaries known here, of one cell or of all.
+    /// Returns the known summaries, of one cell or of all.
     pub fn summaries(&self, want: Option<&str>) -> Vec<Summary> {
         match want {
             Some(cell) => self.directory.get(cell).cloned().into_iter().collect(),
@@ -63,23 +64,23 @@
         }
     }
 
-    /// The live boxes that have a scheduler and are not suspected, with this one.
+    /// Returns the live boxes with a scheduler that are not suspected, including this box.
     fn available_boxes(&self, now: Instant) -> Vec<Arc<str>> {
         let mut names = Vec::new();
         for item in self.list.of_kind(Kind::Entry) {
-            let answers =
+            let reachable =
                 item.name == self.shared.name || !self.directory.is_suspect(&item.name, now);
-            if item.state == State::Live && item.url("sched").is_some() && answers {
+            if item.state == State::Live && item.url("sched").is_some() && reachable {
                 names.push(item.name.clone());
             }
         }
         names
     }
 
-    /// The cells to be taken over by this process now.
+    /// Returns the cells that this process should take over.
     pub fn cells_to_claim(&mut self, now: Instant) -> Vec<Arc<str>> {
-        let young = |since| now <= since + SETTLE_TIME / 2;
-        if self.stopping || self.first_listing.is_none_or(young) {
+        let just_started = |since| now <= since + SETTLE_TIME / 2;
+        if self.stopping || self.first_listing.is_none_or(just_started) {
             return Vec::new();
         }
         let mut claims = std::mem::take(&mut self.handovers);
@@ -94,12 +95,13 @@
             if self.cells.contains_key(&cell) || claims.contains(&cell) {
                 continue;
             }
-            // Who took it from here lately is heard of first, so that two do not take it in turns.
-            let lately = |at: &Instant| now < *at + SETTLE_TIME;
-            if self.yielded.get(&cell).is_some_and(lately) {
+            // A recently yielded cell is left to its new owner until that owner can be known here, so that
+            // two boxes do not take the cell from each other in turns.
+            let recently = |yielded: &Instant| now < *yielded + SETTLE_TIME;
+            if self.yielded.get(&cell).is_some_and(recently) {
                 continue;
             }
-            // A silent owner is replaced at once; one that lives, once the assignment is settled.
+            // An unreachable owner is replaced at once, a healthy one when the assignment is stable.
             if !self.directory.is_fresh(&cell, now) || now > since + SETTLE_TIME {
                 claims.push(cell);
             }
@@ -107,35 +109,35 @@
         claims
     }
 
-    /// Notes that a cell was handed over by its owner.
+    /// Records that the owner of a cell has handed it over.
     pub fn accept_handover(&mut self, cell: Arc<str>) {
         self.handovers.push(cell);
     }
 
-    /// The calls by which this process watches over the owners whose successor it is: the first
-    /// successor watches the owner, the second watches both.
+    /// Returns the health checks of this process: the first successor of a cell monitors its owner, the
+    /// second successor monitors both.
     pub fn watch_targets(&self, now: Instant) -> Vec<Target> {
         let cells = cell_selection::cells(&self.list);
         let names = self.live_boxes();
         let assigned = owner::assign(&cells, &self.available_boxes(now));
         let mut targets = Vec::new();
         for cell in &cells {
-            let holder = self.directory.get(cell).map(|known| known.owner.clone());
-            let Some(first) = holder.or_else(|| assigned.get(cell).cloned()) else {
+            let owner_name = self.directory.get(cell).map(|known| known.owner.clone());
+            let Some(first) = owner_name.or_else(|| assigned.get(cell).cloned()) else {
                 continue;
             };
-            let without = |gone: &[&Arc<str>]| {
-                let left: Vec<Arc<str>> = names
+            let assigned_without = |excluded: &[&Arc<str>]| {
+                let remaining: Vec<Arc<str>> = names
                     .iter()
-                    .filter(|name| !gone.contains(name))
+                    .filter(|name| !excluded.contains(name))
                     .cloned()
                     .collect();
-                owner::assign(&cells, &left).get(cell).cloned()
+                owner::assign(&cells, &remaining).get(cell).cloned()
             };
-            let Some(second) = without(&[&first]) else {
+            let Some(second) = assigned_without(&[&first]) else {
                 continue;
             };
-            let third = without(&[&first, &second]);
+            let third = assigned_without(&[&first, &second]);
             if second == self.shared.name {
                 targets.extend(self.target_for(&first, cell));
             }
@@ -171,7 +173,7 @@
         })
     }
 
-    /// The other boxes that have a scheduler.
+    /// Returns the other live boxes with a scheduler.
     pub fn exchange_targets(&self) -> Vec<Target> {
         let mut targets = Vec::new();
         for item in self.list.of_kind(Kind::Entry) {
@@ -189,12 +191,12 @@
         targets
     }
 
-    /// Notes how a call on another scheduler went.
+    /// Records whether another scheduler answered a call.
     pub fn record_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
         self.directory.record_call(name, answered, now);
     }
 
-    /// The successor to hand a cell over to.
+    /// Returns the box that should take over a cell when this one stops.
     pub fn successor(&self, cell: &Arc<str>, now: Instant) -> Option<Target> {
         let cells = cell_selection::cells(&self.list);
         let mut alive = self.available_boxes(now);
@@ -206,10 +208,10 @@
 
 fn summary(name: &Arc<str>, owned: &Owned, shared: &Shared, now: Instant) -> Summary {
     let cell = &owned.cell;
-    let slots = cell.fleet.workers();
-    let aside = slots
+    let workers = cell.fleet.workers();
+    let aside = workers
         .iter()
-        .filter(|slot| slot.listed && !slot.is_schedulable(now))
+        .filter(|worker| worker.listed && !worker.is_schedulable(now))
         .count();
     Summary {
         cell: name.clone(),
@@ -218,7 +220,7 @@
         owner: shared.name.clone(),
         url: shared.url.clone(),
         holding: cell.is_active(),
-        workers: slots.iter().filter(|slot| slot.listed).count() as u32,
+        workers: workers.iter().filter(|worker| worker.listed).count() as u32,
         aside: aside as u32,
         total: cell.fleet.total(),
         free: cell.fleet.free(now),
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -1,7 +1,8 @@
-//! The actor that holds the cells which this process owns.
+//! The actor that owns the cells of this process.
 //!
-//! Here is the life of an ownership and the exchange with workers; [`membership`] decides which
-//! cells to own, [`writes`] hands books to the store, [`jobs`] answers operators.
+//! This module begins and ends ownerships, runs passes and handles exchanges with workers.
+//! [`membership`] decides which cells to own, [`writes`] provides the cell records to be written, and
+//! [`jobs`] serves the requests of operators and clients.
 
 mod jobs;
 mod membership;
@@ -37,35 +38,35 @@
     table::Table,
 };
 
-/// How often the time is let pass on every cell.
+/// Interval between timer ticks of every cell.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How long several reasons for a pass are gathered before it runs.
+/// Delay before a scheduling pass, which coalesces several triggers.
 const PASS_DELAY: Duration = Duration::from_millis(2);
 
-/// Tasks placed in one pass, so that the actor answers in between.
+/// Maximum number of tasks placed in one pass, so that the actor stays responsive.
 const MAX_PASS_TASKS: usize = 512;
 
-/// What the actor and its tasks share.
+/// Settings and clients shared by the actor and its tasks.
 #[derive(Clone)]
 pub struct Shared {
-    /// The box's name.
+    /// Name of this box.
     pub name: Arc<str>,
-    /// The base address of this process.
+    /// Base URL of this process.
     pub url: Arc<str>,
-    /// The workers.
+    /// The client for calls to workers.
     pub workers: Arc<dyn Workers>,
-    /// The store.
+    /// The store client.
     pub store: Arc<dyn infra::Store>,
-    /// The terms of the leases.
+    /// Lease duration and clock drift.
     pub timing: Term,
-    /// How often a worker is exchanged with when nothing is due.
+    /// Interval between exchanges with a worker when nothing is due.
     pub heartbeat: Duration,
-    /// The name of the placement policy.
+    /// Name of the placement policy.
     pub placement: Arc<str>,
 }
 
-/// A cell that this process owns, with its tasks' signals.
+/// A cell owned by this process, with the signals of its tasks.
 struct Owned {
     cell: Cell,
     heartbeat: u64,
@@ -74,7 +75,7 @@
     pass_due: bool,
 }
 
-/// The state of a scheduler process.
+/// The actor of a scheduler process.
 pub struct Scheduler {
     shared: Shared,
     remote: ActorRef<Scheduler>,
@@ -82,21 +83,21 @@
     directory: Directory,
     table: Arc<Table>,
     list: Arc<List>,
-    /// When the first list came.
+    /// When the first list of boxes was received, or the process resumed from a pause.
     first_listing: Option<Instant>,
-    /// The cells assigned to this box, and since when.
+    /// Since when each cell has been assigned to this box.
     assigned: BTreeMap<Arc<str>, Instant>,
-    /// Cells that another owner handed over.
+    /// Cells handed over by their owner and not claimed yet.
     handovers: Vec<Arc<str>>,
-    /// Cells that a newer owner took from this one, and when.
+    /// When each cell was yielded to a newer owner.
     yielded: BTreeMap<Arc<str>, Instant>,
-    /// When the time was last let pass.
+    /// Time of the last tick.
     last_tick: Instant,
     stopping: bool,
 }
 
 impl Scheduler {
-    /// A scheduler that owns no cell yet.
+    /// Creates a scheduler that owns no cells.
     pub fn new(cx: CX![], shared: Shared, remote: ActorRef<Scheduler>) -> Self {
         after!(TICK, [cx], tick());
         Scheduler {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes a newer table over.
+    /// Applies the table if it is newer.
     pub fn set_table(&mut self, cx: CX![], table: Arc<Table>) {
         if table.version <= self.table.version {
             return;
@@ -125,19 +126,19 @@
         self.refresh(cx);
     }
 
-    /// The version of the table in force.
+    /// Returns the version of the table in force.
     pub fn table_version(&self) -> u64 {
         self.table.version
     }
 
-    /// Takes a new list of boxes over.
+    /// Applies a new list of boxes.
     pub fn set_list(&mut self, cx: CX![], list: Arc<List>) {
         self.first_listing.get_or_insert(cx.now());
         self.list = list;
         self.refresh(cx);
     }
 
-    /// True once there are a table and a list to work by.
+    /// Returns true once a table and a list were received, until the process stops.
     pub fn is_ready(&self) -> bool {
         self.first_listing.is_some() && self.table.version > 0 && !self.stopping
     }
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Brings the limits and the workers of a cell up to date and starts tasks for new workers.
+    /// Updates the limits and the workers of a cell, and starts the exchange tasks of new workers.
     fn refresh_cell(&mut self, cx: CX![], name: &Arc<str>) {
         let limits = Limits::of(name, self.table.clone(), &self.list);
         let list = self.list.clone();
@@ -161,35 +162,35 @@
             return;
         };
         owned.cell.set_limits(limits);
-        let fresh = owned.cell.merge(&items);
+        let new_workers = owned.cell.merge(&items);
         let epoch = owned.cell.epoch();
-        for at in fresh {
+        for worker_index in new_workers {
             let signal = Signal::new();
             owned.worker_signals.push(signal.clone());
-            let peer = worker_link::WorkerLink {
+            let link = worker_link::WorkerLink {
                 cell: name.clone(),
                 epoch,
-                at,
+                worker_index,
                 signal,
                 remote: self.remote.clone(),
                 workers: self.shared.workers.clone(),
                 heartbeat: self.shared.heartbeat,
             };
-            let thread = format!("worker-{}", owned.cell.fleet.worker(at).name);
-            if task::spawn(&thread, move || peer.run()).is_err() {
-                log::error!(target: "sched", "No room for a worker's task. cell={name}");
+            let thread = format!("worker-{}", owned.cell.fleet.worker(worker_index).name);
+            if task::spawn(&thread, move || link.run()).is_err() {
+                log::error!(target: "sched", "Cannot spawn the thread of a worker. cell={name}");
             }
         }
         self.schedule_pass(cx, name);
     }
 
-    /// Begins to own a cell.
+    /// Begins the ownership of a claimed cell.
     fn install(&mut self, cx: CX![], cell: Arc<str>, claimed: claim::Claimed) {
         let claim::Claimed {
             record,
             before,
             version,
-            book,
+            cell_record,
         } = claimed;
         if self
             .cells
@@ -198,20 +199,27 @@
         {
             return;
         }
-        self.end_ownership(&cell, "its epoch was raised here");
+        self.end_ownership(&cell, "this process raised its epoch");
         let policy = match placement::create(&self.shared.placement) {
             Ok(policy) => policy,
             Err(failure) => {
-                log::error!(target: "sched", "A cell cannot be owned. cell={cell} {failure}");
+                log::error!(target: "sched", "Cannot own the cell. cell={cell} {failure}");
                 return;
             }
         };
         let tenure = Tenure::begin(cell.clone(), record.epoch);
         let now = cx.now();
-        log::info!(target: "sched", "A cell is taken over. cell={cell} epoch={}", record.epoch);
+        log::info!(target: "sched", "Cell taken over. cell={cell} epoch={}", record.epoch);
         metrics::counter!("magpie_takeovers_total").increment(1);
         let writer = Signal::new();
-        let mut owner = Cell::new(tenure, book, version, self.shared.timing, policy, now);
+        let mut owner = Cell::new(
+            tenure,
+            cell_record,
+            version,
+            self.shared.timing,
+            policy,
+            now,
+        );
         owner.predecessor = before;
         let owned = Owned {
             cell: owner,
@@ -229,25 +237,25 @@
             store: self.shared.store.clone(),
         };
         if task::spawn(&format!("book-{cell}"), move || writer.run()).is_err() {
-            log::error!(target: "sched", "No room for a cell's writer. cell={cell}");
+            log::error!(target: "sched", "Cannot spawn the writer thread of a cell. cell={cell}");
         }
         self.refresh_cell(cx, &cell);
         self.publish_summaries(now);
     }
 
-    /// Stops owning a cell; nothing more is told to its workers.
+    /// Ends the ownership of a cell and stops its tasks, so that its workers get no more orders.
     pub fn end_ownership(&mut self, cell: &str, reason: &str) {
         let Some(owned) = self.cells.remove(cell) else {
             return;
         };
         log::info!(
             target: "sched",
-            "A cell is given up. cell={cell} epoch={} reason={reason}",
+            "Cell ownership ended. cell={cell} epoch={} reason={reason}",
             owned.cell.epoch()
         );
         owned.writer.stop();
-        for bell in owned.worker_signals {
-            bell.stop();
+        for signal in owned.worker_signals {
+            signal.stop();
         }
     }
 
@@ -257,7 +265,7 @@
             .filter(|owned| owned.cell.epoch() == epoch)
     }
 
-    /// Runs a pass over a cell soon, once for all reasons until then.
+    /// Schedules a pass over a cell; triggers until then are coalesced.
     fn schedule_pass(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>) {
         let Some(owned) = self.cells.get_mut(cell) else {
             return;
@@ -281,30 +289,30 @@
             return;
         }
         let started = Instant::now();
-        let passed = pass::run(&mut owned.cell, MAX_PASS_TASKS, now);
-        for at in &passed.notified {
-            owned.worker_signals[*at].notify();
+        let result = pass::run(&mut owned.cell, MAX_PASS_TASKS, now);
+        for worker_index in &result.notified {
+            owned.worker_signals[*worker_index].notify();
         }
         if owned.cell.write_queue.is_dirty() {
             owned.writer.notify();
         }
-        if passed.placed + passed.evicted > 0 {
+        if result.placed + result.evicted > 0 {
             let time = started.elapsed().as_secs_f64();
             metrics::histogram!("magpie_pass_seconds").record(time);
-            metrics::counter!("magpie_starts_total").increment(passed.placed as u64);
-            metrics::counter!("magpie_evictions_total").increment(passed.evicted as u64);
+            metrics::counter!("magpie_starts_total").increment(result.placed as u64);
+            metrics::counter!("magpie_evictions_total").increment(result.evicted as u64);
         }
-        if passed.more {
+        if result.more {
             self.schedule_pass(cx, &cell);
         }
     }
 
-    /// Lets the time pass.
+    /// Handles elapsed time in every cell.
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
         if now > self.last_tick + OWNER_TIMEOUT {
-            // The process was paused: others may own its cells by now, so it first listens, as
-            // after a start.
+            // Other boxes may own the cells after a pause, so this process waits for their summaries
+            // before it claims any, as after a start.
             log::warn!(target: "sched", "The process was paused. for={:?}", now - self.last_tick);
             self.first_listing = self.first_listing.map(|_| now);
         }
@@ -326,31 +334,36 @@
         after!(TICK, [cx], tick());
     }
 
-    /// Places nothing more. Returns the cells that are owned, to be handed over.
+    /// Stops placing tasks. Returns the owned cells, to be handed over.
     pub fn begin_stop(&mut self) -> Vec<Arc<str>> {
         self.stopping = true;
         self.cells.keys().cloned().collect()
     }
 }
 
-/// True when the box that owned a cell before surely gives no orders any more: there was none, it
-/// left the list, or it is an earlier life of this one.
+/// Returns true when the previous owner of a cell certainly gives no more orders: there was none, it is
+/// not listed, or it is an earlier incarnation of this box.
 fn is_predecessor_gone(before: &Option<Arc<str>>, own: &Arc<str>, list: &List) -> bool {
     let Some(before) = before else { return true };
     before == own || !list.items.iter().any(|item| item.name == *before)
 }
 
 impl OrderSource for Scheduler {
-    fn next_order(&mut self, cell: &str, epoch: u64, at: usize) -> Option<(Arc<str>, Order)> {
+    fn next_order(
+        &mut self,
+        cell: &str,
+        epoch: u64,
+        worker_index: usize,
+    ) -> Option<(Arc<str>, Order)> {
         let owned = self.owned(cell, epoch)?;
-        let order = owned.cell.next_order(at);
-        Some((owned.cell.fleet.worker(at).url.clone(), order))
+        let order = owned.cell.next_order(worker_index);
+        Some((owned.cell.fleet.worker(worker_index).url.clone(), order))
     }
 
     fn handle_exchange(
         &mut self,
         cx: CX![],
-        (cell, epoch, at): (&Arc<str>, u64, usize),
+        (cell, epoch, worker_index): (&Arc<str>, u64, usize),
         order: &Order,
         result: Result<Report, Failure>,
     ) -> Option<Duration> {
@@ -359,9 +372,9 @@
         let owned = self.owned(cell, epoch)?;
         match result {
             Ok(report) => {
-                owned.cell.on_report(at, order, report, now);
-                let wait = match owned.cell.fleet.worker(at).outbox.is_empty() {
-                    true => owned.cell.exchange_wait(at, heartbeat, now),
+                owned.cell.on_report(worker_index, order, report, now);
+                let wait = match owned.cell.fleet.worker(worker_index).outbox.is_empty() {
+                    true => owned.cell.exchange_wait(worker_index, heartbeat, now),
                     false => Duration::ZERO,
                 };
                 if owned.cell.write_queue.is_dirty() {
@@ -371,12 +384,12 @@
                 Some(wait)
             }
             Err(failure) if failure.cause == Cause::Conflict => {
-                self.yield_cell(cell, "a worker has seen a newer epoch", now);
+                self.yield_cell(cell, "a worker reported a newer epoch", now);
                 None
             }
             Err(failure) => {
-                let name = &owned.cell.fleet.worker(at).name;
-                log::debug!(target: "sched", "An exchange failed. worker={name} {failure}");
+                let name = &owned.cell.fleet.worker(worker_index).name;
+                log::debug!(target: "sched", "Exchange with a worker failed. worker={name} {failure}");
                 None
             }
         }
--- a/components/sched/src/actor/writes.rs
+++ b/components/sched/src/actor/writes.rs
@@ -1,4 +1,4 @@
-//! The books of the cells owned here, on their way to the store.
+//! Provides the records of the owned cells to the writer tasks.
 
 use {
     super::Scheduler,
@@ -24,14 +24,17 @@
     fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<Rank>, Failure> {
         Ok(self
             .owned(cell, epoch)
-            .ok_or_else(gone)?
+            .ok_or_else(not_owned)?
             .cell
             .write_queue
             .due_priority())
     }
 
     fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<WriteBatch>, Failure> {
-        self.owned(cell, epoch).ok_or_else(gone)?.cell.take_batch()
+        self.owned(cell, epoch)
+            .ok_or_else(not_owned)?
+            .cell
+            .take_batch()
     }
 
     fn batch_written(&mut self, cx: CX![], cell: &Arc<str>, epoch: u64, version: u64) {
@@ -50,12 +53,15 @@
 }
 
 impl Scheduler {
-    /// True when nothing waits to be written down.
+    /// Returns true when no owned cell has unpersisted changes.
     pub fn is_flushed(&self) -> bool {
         self.cells.values().all(|owned| owned.cell.is_flushed())
     }
 }
 
-fn gone() -> Failure {
-    Failure::not_run(Cause::Stopping, "the cell is not owned here any more")
+fn not_owned() -> Failure {
+    Failure::not_run(
+        Cause::Stopping,
+        "this process has lost the ownership of the cell",
+    )
 }
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -1,4 +1,4 @@
-//! The port of a scheduler: jobs, workers, cells.
+//! The HTTP interface of a scheduler: jobs, workers and cells.
 
 use {
     crate::{
@@ -20,30 +20,30 @@
     },
 };
 
-/// The time for a call on another scheduler.
+/// Time-out of a call to another scheduler.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The time for one that lists all jobs or workers of a cell.
+/// Time-out of a call that lists all jobs or workers of a cell.
 const LIST_TIMEOUT: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
-/// How long a task of the port waits for a book's write. While the store is down the port must go
-/// on answering other schedulers.
+/// Maximum wait of a request for a write to the store. The server must keep answering other schedulers
+/// while the store is down.
 const MAX_WRITE_WAIT: Duration = Duration::from_secs(3);
 
-/// The time for an owner's answer before a message is passed on to it.
+/// Time-out of the probe of an owner before a request is forwarded to it.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the port needs.
+/// The request handler.
 pub struct Port {
     /// The actor.
     pub remote: ActorRef<Scheduler>,
-    /// The client for calls on other schedulers.
+    /// The client for calls to other schedulers.
     pub client: Client,
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     pub ready: Readiness,
 }
 
-/// Answers a request by what a closure makes of its message.
+/// Responds with the result of a closure on the request's message.
 fn respond_with<M: DeserializeOwned, R: Serialize>(
     request: Request,
     run: impl FnOnce(M) -> Result<R, Failure>,
@@ -53,7 +53,7 @@
 }
 
 impl Port {
-    /// Answers one request.
+    /// Handles one request.
     pub fn handle(&self, request: Request) {
         let able = || self.remote.ask(|sched, _| sched.is_ready());
         let ready = || self.ready.get() && able().unwrap_or(false);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes a job in, or passes it on to its cell's owner.
+    /// Accepts a job, or forwards it to the owner of its cell.
     fn submit(&self, request: Request) {
         let submit: Submit = match request.message() {
             Ok(submit) => submit,
@@ -108,7 +108,7 @@
         self.remote.tell(move |sched, _| {
             let asked = id.clone();
             let done = move |result: Result<(), Failure>| {
-                // The status is read after the write, on the actor, without waiting for it.
+                // Reads the status on the actor after the write, without blocking this thread.
                 remote.tell(move |sched, _| {
                     let status = result.and_then(|()| sched.status(&asked));
                     request.respond(Reply::message(&status));
@@ -118,7 +118,7 @@
         });
     }
 
-    /// The id of a submission, and whether its cell is owned here.
+    /// Returns the id of a submission, and whether this process owns its cell.
     fn route(&self, submit: &Submit) -> Result<(Arc<str>, bool), Failure> {
         let submit = submit.clone();
         self.remote.ask(move |sched, _| {
@@ -129,7 +129,7 @@
             let Some(cell) = job::cell_of(&id) else {
                 return Err(Failure::not_run(
                     Cause::Invalid,
-                    format!("'{id}' is no id of a job"),
+                    format!("'{id}' is not a valid job id"),
                 ));
             };
             let owned = sched.owns(cell);
@@ -137,7 +137,7 @@
         })?
     }
 
-    /// Passes a message on to the owner of a job's cell, once.
+    /// Forwards a request to the owner of a job's cell, unless it was forwarded before.
     fn forward<T: Serialize, R: DeserializeOwned>(
         &self,
         id: &str,
@@ -156,10 +156,10 @@
             .post(&format!("{url}{path}"), message, PEER_TIMEOUT)
     }
 
-    /// The base address of a cell's owner, which has just answered; `None` when none is known.
+    /// Returns the base URL of a cell's owner after a successful probe; `None` when no owner is known.
     ///
-    /// An owner that hangs would hold the message for long and make its outcome doubtful, so it is
-    /// asked for its summary first.
+    /// A hanging owner would delay the request and leave its outcome unknown, so the owner's summary is
+    /// requested first.
     fn reachable_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
         let asked = cell.to_owned();
         let url = self.remote.ask(move |sched, _| sched.owner_url(&asked))?;
@@ -199,28 +199,28 @@
         }
     }
 
-    /// Cancels jobs here and passes the others on, those of a cell together.
+    /// Cancels the jobs of owned cells and forwards the others, grouped by cell.
     fn cancel(&self, request: Request) {
         let cancel: Cancel = match request.message() {
             Ok(cancel) => cancel,
             Err(failure) => return request.respond(Reply::failure(&failure)),
         };
-        let theirs = cancel.clone();
+        let local = cancel.clone();
         let cancelled = self
             .remote
             .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
-                sched.cancel(&theirs.ids, answerer);
+                sched.cancel(&local.ids, answerer);
             });
         let missing = match cancelled {
             Ok(Ok(missing)) => missing,
             Ok(Err(failure)) | Err(failure) => return request.respond(Reply::failure(&failure)),
         };
-        let result = self.cancel_elsewhere(&cancel, missing);
+        let result = self.forward_cancel(&cancel, missing);
         request.respond(Reply::message(&result));
     }
 
-    /// Cancels what is not owned here. Returns the number cancelled in all.
-    fn cancel_elsewhere(&self, cancel: &Cancel, missing: Vec<Arc<str>>) -> Result<u64, Failure> {
+    /// Forwards the cancellation of the `missing` jobs. Returns the total number of cancelled jobs.
+    fn forward_cancel(&self, cancel: &Cancel, missing: Vec<Arc<str>>) -> Result<u64, Failure> {
         let here = cancel.ids.len() as u64 - missing.len() as u64;
         let mut cells: std::collections::BTreeMap<Arc<str>, Vec<Arc<str>>> = Default::default();
         for id in missing {
@@ -240,7 +240,7 @@
         Ok(total)
     }
 
-    /// Asks the other owners of cells too, when all are wanted.
+    /// Appends the lists of the other owners, if all cells are requested.
     fn gather<R: DeserializeOwned>(
         &self,
         ask: &ListQuery,
@@ -279,11 +279,11 @@
     }
 
     fn drain(&self, drain: &Drain) -> Result<bool, Failure> {
-        let theirs = drain.clone();
+        let local = drain.clone();
         let drained = self
             .remote
             .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
-                sched.drain(&theirs, answerer);
+                sched.drain(&local, answerer);
             })??;
         if drained {
             return Ok(true);
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -1,4 +1,4 @@
-//! One cell in the memory of its owner.
+//! The state of a cell in the memory of its owner: workers, jobs, queues, fencing and recovery.
 
 use {
     crate::{
@@ -27,45 +27,46 @@
     },
 };
 
-/// How long the fencing waits for workers that do not answer.
+/// How long fencing waits for workers that do not answer.
 const MAX_FENCING: Duration = Duration::from_millis(700);
 
-/// The priority whose submissions are written down before others.
+/// The priority whose submissions are persisted before others.
 const URGENT: u8 = 9;
 
-/// The least time between two exchanges with a worker that has nothing due.
+/// Minimum time between two exchanges with a worker when nothing is due.
 const MIN_EXCHANGE_WAIT: Duration = Duration::from_millis(100);
 
-/// A task that runs, or was ordered to.
+/// A run of a task: ordered, running or stopping.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The worker's place.
+    /// Index of the worker.
     pub worker: usize,
-    /// The number of the start.
+    /// Number of the start.
     pub attempt: u64,
-    /// The class.
+    /// The class of work.
     pub class: Arc<str>,
-    /// What it is committed.
+    /// The allocated capacity.
     pub size: Size,
-    /// When it was placed or adopted.
+    /// When the task was placed or adopted.
     pub since: Instant,
-    /// When it should end by its declared length; `None` for a task without an end.
+    /// When the task should end by its declared length; `None` for a task without an end, and for an
+    /// adopted one.
     pub expected_end: Option<Instant>,
-    /// True when it is being stopped.
+    /// True once the task was ordered to stop.
     pub stopping: bool,
 }
 
 /// The stage of the ownership.
 #[derive(Debug)]
 pub enum Stage {
-    /// Workers are being fenced and read.
+    /// Workers are being fenced and their ledgers read.
     Fencing(Tenure<Fencing>),
-    /// Work is placed.
+    /// Tasks are placed.
     Active(Tenure<Holding>),
 }
 
 impl Stage {
-    /// The epoch.
+    /// Returns the epoch.
     pub fn epoch(&self) -> u64 {
         match self {
             Stage::Fencing(tenure) => tenure.epoch(),
@@ -74,66 +75,66 @@
     }
 }
 
-/// Counts of what the owner decided.
+/// Task counts since the ownership began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Tasks placed.
+    /// Started tasks.
     pub starts: u64,
-    /// Tasks that finished.
+    /// Finished tasks.
     pub finished: u64,
-    /// Tasks stopped for more urgent ones.
+    /// Tasks stopped for tasks of higher priority.
     pub evictions: u64,
-    /// Tasks adopted from an earlier owner.
+    /// Running tasks adopted from a previous owner.
     pub adopted: u64,
-    /// Tasks lost with their workers.
+    /// Tasks lost with their worker.
     pub lost: u64,
 }
 
-/// One cell.
+/// A cell owned by this process.
 pub struct Cell {
-    /// The name: the data hall.
+    /// The name of the cell: its data hall.
     pub name: Arc<str>,
-    /// The stage; `None` only while it changes.
+    /// The stage; `None` only during a transition.
     pub(crate) stage: Option<Stage>,
-    /// The terms of the leases.
+    /// Lease duration and clock drift.
     pub timing: Term,
     /// The workers.
     pub fleet: Fleet,
     /// The jobs.
     pub jobs: BTreeMap<Arc<str>, Job>,
-    /// The lines.
+    /// The job queues.
     pub queues: Queues,
-    /// The tasks that run.
+    /// The runs of tasks.
     pub running: HashMap<Task, Run>,
     /// The limits.
     pub limits: Limits,
-    /// The policy.
+    /// The placement policy.
     pub placement: Box<dyn Placement>,
-    /// What waits to be written down.
+    /// Unpersisted changes.
     pub write_queue: WriteQueue,
-    /// The counts.
+    /// Task counts.
     pub counts: Counts,
     /// When the ownership began.
     pub(crate) since: Instant,
-    /// Since when the earlier owner surely gives no orders.
+    /// Since when the previous owner certainly gives no orders.
     predecessor_gone: Option<Instant>,
-    /// True when the leases that the earlier owner may have extended are surely over.
+    /// True once the leases that the previous owner may have extended have certainly expired.
     leases_expired: bool,
-    /// The box that owned the cell before; `None` when none did.
+    /// The box that owned the cell before; `None` when no box did.
     pub predecessor: Option<Arc<str>>,
 }
 
 impl Cell {
-    /// Begins an ownership with a raised epoch and the claimed book.
+    /// Begins an ownership with a raised epoch and the claimed record at store version `version`.
     pub fn new(
         tenure: Tenure<Fencing>,
-        book: CellRecord,
+        record: CellRecord,
         version: u64,
         timing: Term,
         placement: Box<dyn Placement>,
         now: Instant,
     ) -> Self {
-        let jobs = book
+        let jobs = record
             .jobs
             .into_iter()
             .map(|entry| (entry.id.clone(), Job::new(entry)));
@@ -147,7 +148,7 @@
             running: HashMap::new(),
             limits: Limits::default(),
             placement,
-            write_queue: WriteQueue::new(version, book.write, book.drained),
+            write_queue: WriteQueue::new(version, record.write, record.drained),
             counts: Counts::default(),
             since: now,
             predecessor_gone: None,
@@ -156,27 +157,27 @@
         }
     }
 
-    /// The epoch.
+    /// Returns the epoch.
     pub fn epoch(&self) -> u64 {
         self.stage.as_ref().map_or(0, Stage::epoch)
     }
 
-    /// True when work is placed.
+    /// Returns true once fencing has ended and tasks are placed.
     pub fn is_active(&self) -> bool {
         matches!(self.stage, Some(Stage::Active(_)))
     }
 
-    /// Takes over what the list says of the cell's workers. Returns the places of new ones.
+    /// Applies the platform's listing of the cell's workers. Returns the indexes of new workers.
     pub fn merge(&mut self, items: &[&Item]) -> Vec<usize> {
-        let fresh = self.fleet.update(items);
+        let new_workers = self.fleet.update(items);
         let drained = self.write_queue.drained.clone();
         for name in drained {
             self.set_drained(&name, true);
         }
-        fresh
+        new_workers
     }
 
-    /// Takes new limits over.
+    /// Applies new limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let limits = &self.limits;
@@ -184,19 +185,26 @@
             .recount_teams(|class| limits.row(class).map(|row| &row.team));
     }
 
-    /// The next order to a worker.
-    pub fn next_order(&mut self, at: usize) -> Order {
+    /// Builds the next order to a worker.
+    pub fn next_order(&mut self, worker_index: usize) -> Order {
         let (epoch, length) = (self.epoch(), self.timing.length);
         let name = self.name.clone();
-        self.fleet.worker_mut(at).order(&name, epoch, length)
+        self.fleet
+            .worker_mut(worker_index)
+            .order(&name, epoch, length)
     }
 
-    /// How long the next exchange with a worker may wait: until the first of its tasks should end,
-    /// so that its room is not idle until the next heartbeat. A task that is past its time waits
-    /// for the heartbeat.
-    pub fn exchange_wait(&self, at: usize, heartbeat: Duration, now: Instant) -> Duration {
+    /// Returns the wait before the next exchange with a worker: until the first of its tasks should end,
+    /// so that its capacity is not idle until the next heartbeat. Tasks past their expected end are
+    /// checked at the heartbeat.
+    pub fn exchange_wait(
+        &self,
+        worker_index: usize,
+        heartbeat: Duration,
+        now: Instant,
+    ) -> Duration {
         let mut wait = heartbeat;
-        for task in &self.fleet.worker(at).tasks {
+        for task in &self.fleet.worker(worker_index).tasks {
             let due = self.running.get(task).and_then(|run| run.expected_end);
             let Some(due) = due else { continue };
             if due > now {
@@ -206,49 +214,51 @@
         wait.max(MIN_EXCHANGE_WAIT)
     }
 
-    /// Lets the time pass: the fencing may end, workers may be lost, held tasks may be released.
+    /// Handles elapsed time: declares unreachable workers lost, ends the fencing, and releases unconfirmed
+    /// tasks.
     pub fn tick(&mut self, now: Instant) {
         self.expire_unreachable(now);
         if !self.is_active() {
-            let patient = now < self.since + MAX_FENCING;
-            if !(self.has_unread_workers() && patient) {
+            let within_limit = now < self.since + MAX_FENCING;
+            if !(self.has_unread_workers() && within_limit) {
                 self.activate();
             }
         }
-        let unheard = self.has_unread_workers();
-        if self.is_active() && (!unheard || self.leases_expired) {
+        let has_unread = self.has_unread_workers();
+        if self.is_active() && (!has_unread || self.leases_expired) {
             self.release_unconfirmed();
         }
     }
 
-    /// True while a worker that may run tasks of an earlier owner was not heard.
+    /// Returns true while a listed worker, which may run tasks of a previous owner, has not reported its
+    /// ledger.
     fn has_unread_workers(&self) -> bool {
         self.fleet
             .workers()
             .iter()
-            .any(|slot| slot.listed && !slot.ledger_read)
+            .any(|worker| worker.listed && !worker.ledger_read)
     }
 
-    /// Tells that the earlier owner surely gives no orders any more, from now at the latest. Once
-    /// the leases that it may have extended until then are over, what is held may run elsewhere.
+    /// Records that the previous owner certainly gives no more orders. Once the leases that it may have
+    /// extended until then have expired, unconfirmed tasks may run elsewhere.
     pub fn handle_predecessor_gone(&mut self, now: Instant) {
         let gone = *self.predecessor_gone.get_or_insert(now);
         self.leases_expired = self.timing.is_over(gone, now);
     }
 
-    /// Ends the fencing: what was not found running may be placed, but for what may run on a
-    /// worker that was not heard.
+    /// Ends the fencing: tasks that were not found running may be placed, except those that may run on a
+    /// worker whose ledger was not read.
     fn activate(&mut self) {
         let Some(Stage::Fencing(tenure)) = self.stage.take() else {
             return;
         };
         log::info!(
             target: "sched",
-            "A cell is held. cell={} epoch={} adopted={}",
+            "Fencing ended; placing tasks. cell={} epoch={} adopted={}",
             self.name, tenure.epoch(), self.counts.adopted
         );
         self.stage = Some(Stage::Active(tenure.hold()));
-        let unheard = self.has_unread_workers();
+        let has_unread = self.has_unread_workers();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -257,14 +267,14 @@
             if job.entry.ended.is_some() {
                 continue;
             }
-            job.classify_tasks(unheard);
+            job.classify_tasks(has_unread);
             self.enqueue(&id);
             self.check_ended(&id);
         }
         self.write_queue.mark_dirty();
     }
 
-    /// Frees the tasks that were held for workers which have by now been heard or are gone.
+    /// Releases the unconfirmed tasks once every worker has reported or the leases have expired.
     fn release_unconfirmed(&mut self) {
         let ids: Vec<Arc<str>> = self
             .jobs
@@ -283,7 +293,7 @@
         }
     }
 
-    /// Puts a job into its class's line if it has tasks that may be started.
+    /// Adds a job to the queue of its class if it has ready tasks.
     pub(crate) fn enqueue(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -298,7 +308,7 @@
             .push_back(id.clone());
     }
 
-    /// Notes the end of a job whose tasks all ended.
+    /// Marks a job as ended if no task runs or will run.
     pub(crate) fn check_ended(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -310,20 +320,21 @@
         }
     }
 
-    /// Takes a job in. It may be started once it is written down.
+    /// Accepts a job. Its tasks may be started once it is persisted.
     ///
     /// # Errors
     ///
-    /// The spec breaks a rule, can never run in this cell, or there is no room to write it down.
-    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, at: u64) -> Result<(), Failure> {
+    /// Fails if the specification is invalid or can never run in this cell, if another job has the id, or
+    /// if the cell record is full.
+    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, submitted_at: u64) -> Result<(), Failure> {
         if let Some(job) = self.jobs.get(id) {
-            // The same submission again, after a lost reply.
+            // A repeated submission, after a lost reply.
             if job.entry.spec == spec {
                 return Ok(());
             }
             return Err(Failure::not_run(
                 Cause::Conflict,
-                format!("{id} is another job"),
+                format!("job {id} exists with another specification"),
             ));
         }
         let row = self.limits.row(&spec.class);
@@ -338,14 +349,14 @@
         } else {
             Rank::Durable
         });
-        let entry = crate::record::JobRecord::new(id.clone(), spec, at);
+        let entry = crate::record::JobRecord::new(id.clone(), spec, submitted_at);
         self.jobs.insert(id.clone(), Job::new(entry));
         self.write_queue.mark_dirty();
         Ok(())
     }
 
-    /// Lets a job that is written down begin.
-    pub(crate) fn begin(&mut self, id: &Arc<str>) {
+    /// Activates a persisted job.
+    pub(crate) fn activate_job(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -355,11 +366,11 @@
         self.enqueue(id);
     }
 
-    /// Cancels a job: no task is started any more, and those that run are stopped.
+    /// Cancels a job: no further task is started, and running tasks are stopped.
     ///
     /// # Errors
     ///
-    /// There is no such job.
+    /// Fails if there is no such job.
     pub fn cancel(&mut self, id: &Arc<str>) -> Result<(), Failure> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Err(Failure::not_run(
@@ -388,7 +399,7 @@
         Ok(())
     }
 
-    /// Orders a task that runs to stop.
+    /// Orders a running task to stop.
     pub(crate) fn stop(&mut self, task: &Task, manner: Manner) {
         let Some(run) = self.running.get_mut(task) else {
             return;
@@ -396,19 +407,19 @@
         if run.stopping && manner == Manner::Checkpoint {
             return;
         }
-        let slot = self.fleet.worker_mut(run.worker);
+        let worker = self.fleet.worker_mut(run.worker);
         if !run.stopping {
-            slot.freeing = slot.freeing.plus(run.size);
+            worker.freeing = worker.freeing.plus(run.size);
         }
         run.stopping = true;
-        slot.outbox.stops.push(Stop {
+        worker.outbox.stops.push(Stop {
             task: task.clone(),
             attempt: run.attempt,
             manner,
         });
     }
 
-    /// Drains a worker, or takes that back. False when there is no such worker.
+    /// Drains a worker, or ends its drain. Returns false when there is no such worker.
     pub fn drain(&mut self, name: &Arc<str>, drained: bool) -> bool {
         if !self.set_drained(name, drained) {
             return false;
@@ -422,20 +433,20 @@
     }
 
     fn set_drained(&mut self, name: &str, drained: bool) -> bool {
-        let Some(at) = self.fleet.index_of(name) else {
+        let Some(worker_index) = self.fleet.index_of(name) else {
             return false;
         };
-        let slot = self.fleet.worker_mut(at);
-        slot.drained = drained;
-        slot.draining = drained;
+        let worker = self.fleet.worker_mut(worker_index);
+        worker.drained = drained;
+        worker.draining = drained;
         true
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     ///
     /// # Errors
     ///
-    /// There is no such job.
+    /// Fails if there is no such job.
     pub fn status(&self, id: &str) -> Result<Status, Failure> {
         match self.jobs.get(id) {
             Some(job) => Ok(job.status()),
@@ -446,7 +457,7 @@
         }
     }
 
-    /// Tasks that wait.
+    /// Returns the number of waiting tasks.
     pub fn queued_tasks(&self) -> u32 {
         let waiting = |job: &Job| {
             job::count_of(&job.ready)
@@ -460,7 +471,7 @@
             .sum()
     }
 
-    /// True when nothing waits to be written down.
+    /// Returns true when there are no unpersisted changes.
     pub fn is_flushed(&self) -> bool {
         !self.is_active() || !(self.write_queue.is_dirty() || self.write_queue.is_writing())
     }
--- a/components/sched/src/cell_selection.rs
+++ b/components/sched/src/cell_selection.rs
@@ -1,4 +1,4 @@
-//! Which cell a new job goes to, and whether it can ever run.
+//! Selects the cell for a new job, and checks whether the job can ever run.
 
 use {
     crate::{directory::Directory, limits::Limits, spec::Spec},
@@ -11,7 +11,7 @@
     table::{Row, Table},
 };
 
-/// The halls that have workers.
+/// Returns the cells: the data halls that have workers.
 pub fn cells(list: &List) -> Vec<Arc<str>> {
     let halls: BTreeSet<Arc<str>> = list
         .of_kind(Kind::Worker)
@@ -20,41 +20,41 @@
     halls.into_iter().collect()
 }
 
-/// Tells whether a cell's part of the limits admits one task.
+/// Checks that a cell's share of the limits admits one task.
 ///
 /// # Errors
 ///
-/// `Refused` with the limit that rules it out.
+/// Returns `Refused` with the limit that excludes the task.
 pub fn check_limits(cell: &str, limits: &Limits, row: &Row, spec: &Spec) -> Result<(), Failure> {
-    let never = |text: String| Err(Failure::not_run(Cause::Refused, text));
+    let refused = |text: String| Err(Failure::not_run(Cause::Refused, text));
     let class = &row.class;
     let Some(limit) = limits.limit(class) else {
-        return never(format!("no row of the table is named '{class}'"));
+        return refused(format!("no row of the table is named '{class}'"));
     };
     if limit.running == 0 {
-        return never(format!(
-            "max_running of class {class} leaves none to hall {cell}"
+        return refused(format!(
+            "max_running of class {class} leaves no tasks for hall {cell}"
         ));
     }
     if let Some(kind) = spec.size.lacks(limit.ceiling) {
-        return never(format!(
-            "the ceiling of class {class} leaves too little {kind} to {cell}"
+        return refused(format!(
+            "the ceiling of class {class} leaves too little {kind} for hall {cell}"
         ));
     }
     if spec.size.cpu > limit.quota {
-        return never(format!(
-            "team_processors of team {} leaves too little to {cell}",
+        return refused(format!(
+            "team_processors of team {} leaves too little for hall {cell}",
             row.team
         ));
     }
     Ok(())
 }
 
-/// Tells whether some worker of the cell could run one task, were it empty.
+/// Checks that some worker of the cell could run one task if it were idle.
 ///
 /// # Errors
 ///
-/// `Refused` with the generation or the resource that rules it out.
+/// Returns `Refused` with the generation or the resource that excludes the task.
 pub fn check_workers(cell: &str, list: &List, row: &Row, spec: &Spec) -> Result<(), Failure> {
     let mut largest = Size::default();
     let mut admits = false;
@@ -74,25 +74,28 @@
         );
     }
     let text = if admits {
-        let kind = spec.size.lacks(largest).unwrap_or("of all at once");
+        let kind = spec
+            .size
+            .lacks(largest)
+            .unwrap_or("of every resource on one worker");
         format!(
-            "no worker of hall {cell} has enough {kind} ({}); the most is {largest}",
+            "no worker of hall {cell} has enough {kind} ({}); the largest amounts are {largest}",
             spec.size
         )
     } else {
         let generations = row.generations.join(" ");
-        format!("no worker of hall {cell} is of a generation that the class uses ({generations})")
+        format!("no worker of hall {cell} has a generation that the class admits ({generations})")
     };
     Err(Failure::not_run(Cause::Refused, text))
 }
 
-/// Chooses the cell for a job: of those where it can run, the one with the least work for its
-/// size; cells without an owner go last.
+/// Selects the cell for a job: of those where it can run, the least loaded in proportion to its size.
+/// Cells without an active owner come last.
 ///
 /// # Errors
 ///
-/// `Invalid` when the spec breaks a rule; `Refused` with the reason of each cell when it can run
-/// in none.
+/// Returns `Invalid` when the specification is invalid, and `Refused` with the reason of each cell when
+/// the job can run in no cell.
 pub fn select(
     spec: &Spec,
     table: &Arc<Table>,
@@ -102,7 +105,10 @@
     let row = table.rows.get(&spec.class);
     spec.validate(row)?;
     let Some(row) = row else {
-        return Err(Failure::not_run(Cause::Invalid, "no row"));
+        return Err(Failure::not_run(
+            Cause::Invalid,
+            "the class has no row in the table",
+        ));
     };
     let mut best: Option<((bool, u64, u64), Arc<str>)> = None;
     let mut reasons = Vec::new();
@@ -111,9 +117,9 @@
             continue;
         }
         let limits = Limits::of(&cell, table.clone(), list);
-        let judged = check_limits(&cell, &limits, row, spec)
+        let checked = check_limits(&cell, &limits, row, spec)
             .and_then(|()| check_workers(&cell, list, row, spec));
-        if let Err(failure) = judged {
+        if let Err(failure) = checked {
             reasons.push(failure.text);
             continue;
         }
@@ -132,17 +138,17 @@
     }
 }
 
-/// How loaded a cell is: without an owner, tasks that wait for a worker, share in use; ties by
-/// chance.
+/// Returns the sort key of a cell: without an active owner, load (waiting tasks per worker, then the
+/// share in use), and a random value that breaks ties.
 fn load(directory: &Directory, cell: &str) -> (bool, u64, u64) {
-    let chance = fastrand::u64(..64);
+    let tie_breaker = fastrand::u64(..64);
     let Some(summary) = directory.get(cell) else {
-        return (true, 0, chance);
+        return (true, 0, tie_breaker);
     };
     let workers = u64::from(summary.workers.max(1));
     let waiting = u64::from(summary.queued) / workers;
     let used = summary.total.minus(summary.free).share(summary.total, 1000);
-    (!summary.holding, waiting * 1000 + used, chance)
+    (!summary.holding, waiting * 1000 + used, tie_breaker)
 }
 
 #[cfg(test)]
@@ -200,12 +206,12 @@
         Err("team_processors"); "above the quota")]
     #[test_case(Spec { hall: Some(Arc::from("h9")), ..spec(1, 0) }, Row::batch("b"),
         Err("no data hall"); "unknown hall")]
-    fn choose_cell(spec: Spec, row: Row, expected: Result<&str, &str>) {
-        let chosen = select(&spec, &table(row), &list(), &Directory::default());
-        match (chosen, expected) {
+    fn select_cell(spec: Spec, row: Row, expected: Result<&str, &str>) {
+        let selected = select(&spec, &table(row), &list(), &Directory::default());
+        match (selected, expected) {
             (Ok(cell), Ok(name)) => assert_eq!(&*cell, name),
             (Err(failure), Err(part)) => assert!(failure.text.contains(part), "{failure}"),
-            (chosen, _) => panic!("{chosen:?}"),
+            (selected, _) => panic!("{selected:?}"),
         }
     }
 }
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -1,4 +1,4 @@
-//! The tasks of a scheduler that use the store: taking cells over and writing books down.
+//! Cell takeover in the store, and the task that writes a cell's record.
 
 use {
     crate::{
@@ -18,65 +18,66 @@
     },
 };
 
-/// Writes of one cell's book a second, over a longer time.
+/// Sustained rate of writes of one cell's record, per second.
 const WRITE_RATE: f64 = 1.0;
 
-/// Writes that may follow at once after a rest. What can wait leaves half of them to submissions,
-/// and these leave a fifth to urgent ones.
+/// Burst of writes after an idle period. Low-priority writes leave half of the burst to submissions,
+/// and submissions leave a fifth of it to urgent writes.
 const WRITE_BURST: f64 = 5.0;
 
-/// How often the writer looks without being rung.
+/// How often the writer checks for due writes without a notification.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The waits after failures of the store.
+/// Minimum and maximum wait after store failures.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
 
-/// What a takeover brings.
+/// A cell that was taken over.
 pub struct Claimed {
-    /// The raised epoch.
+    /// The owner record with the raised epoch.
     pub record: Record,
-    /// The box that owned the cell before.
+    /// The previous owner of the cell; `None` for a first owner.
     pub before: Option<Arc<str>>,
-    /// The version of the claimed book.
+    /// The store version of the claimed cell record.
     pub version: u64,
-    /// The book.
-    pub book: CellRecord,
+    /// The claimed cell record.
+    pub cell_record: CellRecord,
 }
 
-/// The actor that the tasks of cells ask and tell.
+/// The actor that owns cells.
 pub trait CellOwner: Sized + 'static {
-    /// Begins to own a cell.
+    /// Begins the ownership of a cell.
     fn begin_ownership(&mut self, cx: &mut Cx<'_, Self>, cell: Arc<str>, claimed: Claimed);
 
-    /// Stops owning a cell that a newer owner has, and leaves it to that owner for a while.
+    /// Ends the ownership of a cell that has a newer owner, and does not claim the cell again for a
+    /// while.
     fn yield_cell(&mut self, cell: &str, reason: &str, now: Instant);
 
-    /// How urgent the next write of a cell's book is; `None` when none is due.
+    /// Returns the priority of the next write of a cell's record; `None` when no write is due.
     ///
     /// # Errors
     ///
-    /// The cell is not owned here any more, as `Stopping`.
+    /// Returns `Stopping` when this process does not own the cell in this epoch.
     fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Rank>, Failure>;
 
-    /// The next batch of a cell's book; `None` when none is due.
+    /// Returns the next batch of a cell's record; `None` when no write is due.
     ///
     /// # Errors
     ///
-    /// The cell is not owned here any more, as `Stopping`; or its book is too large.
+    /// The cell is not owned here any more, as `Stopping`
     fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<WriteBatch>, Failure>;
 
-    /// A batch was written, as this version.
+    /// Handles a written batch; `version` is the new store version.
     fn batch_written(&mut self, cx: &mut Cx<'_, Self>, cell: &Arc<str>, epoch: u64, version: u64);
 
-    /// A batch was surely not written.
+    /// Handles a batch that is certain not to have been written.
     fn batch_failed(&mut self, cell: &str, epoch: u64);
 }
 
-/// Takes one cell over: raises its epoch, claims its book, and hands both to the actor.
+/// Takes over a cell: raises its epoch, claims its record, and passes both to the actor.
 ///
 /// # Errors
 ///
-/// The store fails, or another took the cell over at the same moment.
+/// Fails if the store fails or another box takes over the cell at the same time.
 pub fn take_over<A: CellOwner>(
     remote: &ActorRef<A>,
     store: &dyn Store,
@@ -84,24 +85,24 @@
     cell: &Arc<str>,
 ) -> Result<(), Failure> {
     let (record, before) = epoch::raise(store, cell, name, url, fastrand::u64(..))?;
-    let (version, book) = record::claim(store, cell, record.epoch)?;
+    let (version, cell_record) = record::claim(store, cell, record.epoch)?;
     let claimed = Claimed {
         record,
         before,
         version,
-        book,
+        cell_record,
     };
     let cell = cell.clone();
     remote.ask(move |sched, cx| sched.begin_ownership(cx, cell, claimed))
 }
 
-/// The task that writes one cell's book.
+/// The task that writes one cell's record.
 pub struct Writer<A: CellOwner> {
-    /// The cell.
+    /// The name of the cell.
     pub cell: Arc<str>,
-    /// The epoch in which the task works.
+    /// The ownership epoch; the task ends when the cell has another.
     pub epoch: u64,
-    /// Ends the task, or wakes it when something is due.
+    /// Wakes the task when a write is due, or stops it.
     pub signal: Signal,
     /// The actor.
     pub remote: ActorRef<A>,
@@ -126,7 +127,7 @@
             };
             let now = Instant::now();
             if !bucket.take(rank, now) {
-                // A more urgent reason to write rings before this has passed.
+                // A write of higher priority notifies the signal before this wait ends.
                 self.signal.wait(bucket.until(rank, now));
                 continue;
             }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Writes what is due. As [`Writer::write`]; true also when nothing was due after all.
+    /// Writes the next batch. Returns the same as [`Writer::write`], and true when no write is due.
     fn write_next(&self) -> Option<bool> {
         let (cell, epoch) = (self.cell.clone(), self.epoch);
         let batch = self
@@ -154,19 +155,19 @@
                 Some(true)
             }
             Ok(Err(failure)) if failure.cause != Cause::Stopping => {
-                log::error!(target: "sched", "A book is not written. {failure}");
+                log::error!(target: "sched", "The cell record cannot be written. {failure}");
                 Some(false)
             }
             _ => None,
         }
     }
 
-    /// Writes one batch. True when it is written, false when it surely is not, `None` when the
-    /// cell has another owner or the task ends.
+    /// Writes one batch. Returns true when it is written, false when it is certainly not written, and
+    /// `None` when the cell has another owner or the task ends.
     fn write(&self, version: u64, bytes: &[u8]) -> Option<bool> {
         let key = record::key(&self.cell);
         let (cell, epoch) = (self.cell.clone(), self.epoch);
-        let mut tries = 0;
+        let mut attempts = 0;
         while !self.signal.is_stopped() {
             match settle::swap(self.store.as_ref(), &key, version, bytes) {
                 Settled::Done(version) => {
@@ -177,40 +178,40 @@
                 }
                 Settled::Lost(_) | Settled::Overtaken(_) => {
                     self.remote.tell(move |sched, cx| {
-                        sched.yield_cell(&cell, "its book was taken over", cx.now())
+                        sched.yield_cell(&cell, "another owner claimed the cell record", cx.now())
                     });
                     return None;
                 }
-                // After a try whose outcome is unknown, only the same bytes may be tried again.
-                Settled::NotRun(failure) if tries == 0 => {
-                    log::warn!(target: "sched", "A book was not written. cell={cell} {failure}");
+                // After an attempt with an unknown outcome, only the same bytes may be written again.
+                Settled::NotRun(failure) if attempts == 0 => {
+                    log::warn!(target: "sched", "The cell record was not written. cell={cell} {failure}");
                     self.remote
                         .tell(move |sched, _| sched.batch_failed(&cell, epoch));
                     return Some(false);
                 }
                 Settled::NotRun(failure) | Settled::Unknown(failure) => {
-                    if tries == 0 {
-                        log::warn!(target: "sched", "A book's write is open. cell={cell} {failure}");
+                    if attempts == 0 {
+                        log::warn!(target: "sched", "The outcome of a cell record write is unknown; retrying. cell={cell} {failure}");
                     }
-                    self.back_off(tries);
-                    tries += 1;
+                    self.back_off(attempts);
+                    attempts += 1;
                 }
             }
         }
         None
     }
 
-    /// Waits after failures, also when the signal is rung.
+    /// Waits after failures. A notification does not shorten the wait; it is passed on afterwards.
     fn back_off(&self, failures: u32) {
         let time = budget::backoff(BACKOFF.0, BACKOFF.1, failures, fastrand::f64());
         let end = Instant::now() + time;
-        let mut rung = false;
+        let mut notified = false;
         while !self.signal.is_stopped() && Instant::now() < end {
-            rung |= self
+            notified |= self
                 .signal
                 .wait(end.saturating_duration_since(Instant::now()));
         }
-        if rung {
+        if notified {
             self.signal.notify();
         }
     }
--- a/components/sched/src/directory.rs
+++ b/components/sched/src/directory.rs
@@ -1,7 +1,7 @@
-//! Who owns which cell, as far as this process has heard.
+//! The owner of each cell as known to this process, from summaries spread by gossip.
 //!
-//! Owners sum their cells up with a beat that goes on. Processes exchange the sums in pairs and
-//! keep the newest; a cell whose beat stands still may have lost its owner.
+//! Owners publish a summary of each cell with an increasing heartbeat counter. Processes exchange
+//! summaries in pairs and keep the newest. A cell whose heartbeat stops may have lost its owner.
 
 use {
     infra::Size,
@@ -13,126 +13,128 @@
     },
 };
 
-/// How long a beat may stand still before the owner counts as silent.
+/// How long a heartbeat counter may stay unchanged before the owner counts as unreachable.
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a box is left out after calls on it failed.
+/// How long a box stays suspected after the last failed call to it.
 const SUSPECT_TTL: Duration = Duration::from_secs(30);
 
-/// A cell in a few numbers.
+/// The summary of a cell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The cell.
     pub cell: Arc<str>,
     /// The owner's epoch.
     pub epoch: u64,
-    /// Goes on while the owner lives.
+    /// Heartbeat counter: increases while the owner is alive.
     pub beat: u64,
     /// The owner's box.
     pub owner: Arc<str>,
     /// The base address of the owner's scheduler.
     pub url: Arc<str>,
-    /// True when the owner places work.
+    /// True when the owner has finished fencing and places tasks.
     pub holding: bool,
-    /// The number of workers in the list.
+    /// Number of listed workers.
     pub workers: u32,
-    /// The number of workers set aside or silent.
+    /// Number of listed workers that are not schedulable: quarantined, draining or unreachable.
     pub aside: u32,
-    /// What the workers have.
+    /// Total capacity of the listed workers.
     pub total: Size,
-    /// What is not committed.
+    /// Free capacity of the schedulable workers.
     pub free: Size,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub queued: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks placed by this owner.
+    /// Number of tasks started by this owner.
     pub starts: u64,
-    /// Tasks finished under this owner.
+    /// Number of tasks finished under this owner.
     pub finished: u64,
-    /// Tasks evicted by this owner.
+    /// Number of tasks evicted by this owner.
     pub evictions: u64,
 }
 
-struct Known {
+struct Entry {
     summary: Summary,
-    advanced: Instant,
+    advanced_at: Instant,
 }
 
 struct Suspect {
-    since: Instant,
-    last: Instant,
+    first_failure: Instant,
+    last_failure: Instant,
 }
 
-/// The newest summaries, and the boxes that do not answer.
+/// The newest summary of each cell, and the boxes that do not answer.
 #[derive(Default)]
 pub struct Directory {
-    known: BTreeMap<Arc<str>, Known>,
+    entries: BTreeMap<Arc<str>, Entry>,
     suspects: BTreeMap<Arc<str>, Suspect>,
 }
 
 impl Directory {
-    /// Takes the newer summaries over.
+    /// Stores the summaries that are newer than the known ones.
     pub fn merge(&mut self, summaries: Vec<Summary>, now: Instant) {
         for summary in summaries {
-            let newer = |known: &Known| {
-                (summary.epoch, summary.beat) > (known.summary.epoch, known.summary.beat)
+            let newer = |entry: &Entry| {
+                (summary.epoch, summary.beat) > (entry.summary.epoch, entry.summary.beat)
             };
             if self
-                .known
+                .entries
                 .get(&summary.cell)
-                .is_some_and(|known| !newer(known))
+                .is_some_and(|entry| !newer(entry))
             {
                 continue;
             }
-            self.known.insert(
+            self.entries.insert(
                 summary.cell.clone(),
-                Known {
+                Entry {
                     summary,
-                    advanced: now,
+                    advanced_at: now,
                 },
             );
         }
     }
 
-    /// The last summary of a cell.
+    /// Returns the newest summary of a cell.
     pub fn get(&self, cell: &str) -> Option<&Summary> {
-        self.known.get(cell).map(|known| &known.summary)
+        self.entries.get(cell).map(|entry| &entry.summary)
     }
 
-    /// The last summaries of all cells.
+    /// Returns the newest summaries of all cells.
     pub fn all(&self) -> Vec<Summary> {
-        self.known
+        self.entries
             .values()
-            .map(|known| known.summary.clone())
+            .map(|entry| entry.summary.clone())
             .collect()
     }
 
-    /// True when the cell's owner was heard of lately.
+    /// Returns true when the heartbeat of the cell's owner advanced within [`OWNER_TIMEOUT`].
     pub fn is_fresh(&self, cell: &str, now: Instant) -> bool {
-        self.known
+        self.entries
             .get(cell)
-            .is_some_and(|known| now < known.advanced + OWNER_TIMEOUT)
+            .is_some_and(|entry| now < entry.advanced_at + OWNER_TIMEOUT)
     }
 
-    /// Notes how a call on a box went.
+    /// Records whether a box answered a call.
     pub fn record_call(&mut self, name: &Arc<str>, answered: bool, now: Instant) {
         if answered {
             self.suspects.remove(name);
             return;
         }
         let suspect = self.suspects.entry(name.clone()).or_insert(Suspect {
-            since: now,
-            last: now,
+            first_failure: now,
+            last_failure: now,
         });
-        suspect.last = now;
+        suspect.last_failure = now;
     }
 
-    /// True when calls on a box have failed for a while.
+    /// Returns true when calls to a box have failed for at least half of [`OWNER_TIMEOUT`].
     pub fn is_suspect(&self, name: &str, now: Instant) -> bool {
-        let lasting =
-            |s: &Suspect| s.last >= s.since + OWNER_TIMEOUT / 2 && now < s.last + SUSPECT_TTL;
-        self.suspects.get(name).is_some_and(lasting)
+        let is_suspected = |suspect: &Suspect| {
+            suspect.last_failure >= suspect.first_failure + OWNER_TIMEOUT / 2
+                && now < suspect.last_failure + SUSPECT_TTL
+        };
+        self.suspects.get(name).is_some_and(is_suspected)
     }
 }
 
@@ -161,10 +163,10 @@
     }
 
     #[test_case((2, 1), (2, 1); "a newer epoch")]
-    #[test_case((1, 9), (1, 9); "a newer beat")]
-    #[test_case((1, 4), (1, 5); "an older beat")]
+    #[test_case((1, 9), (1, 9); "a newer heartbeat")]
+    #[test_case((1, 4), (1, 5); "an older heartbeat")]
     #[test_case((0, 99), (1, 5); "an older epoch")]
-    fn merge_newest(next: (u64, u64), kept: (u64, u64)) {
+    fn merge_keeps_newest(next: (u64, u64), kept: (u64, u64)) {
         let now = Instant::now();
         let mut directory = Directory::default();
         directory.merge(vec![summary(1, 5)], now);
@@ -174,18 +176,18 @@
     }
 
     #[test]
-    fn is_fresh_until_silent() {
+    fn is_fresh_until_owner_timeout() {
         let now = Instant::now();
         let mut directory = Directory::default();
         directory.merge(vec![summary(1, 5)], now);
-        // The same beat again is no sign of life.
+        // An unchanged heartbeat does not refresh the entry.
         directory.merge(vec![summary(1, 5)], now + OWNER_TIMEOUT);
         assert!(directory.is_fresh("h1", now));
         assert!(!directory.is_fresh("h1", now + OWNER_TIMEOUT));
     }
 
     #[test]
-    fn is_suspect_after_a_while() {
+    fn is_suspect_after_repeated_failures() {
         let now = Instant::now();
         let name = Arc::from("b1");
         let mut directory = Directory::default();
--- a/components/sched/src/evict.rs
+++ b/components/sched/src/evict.rs
@@ -1,4 +1,4 @@
-//! Making room for more urgent work, by checkpoint and stop.
+//! Preemption: stops tasks with a checkpoint to free capacity for a task of higher priority.
 
 use {
     crate::{cell::Cell, job, placement::Demand},
@@ -14,21 +14,21 @@
     table::Kind,
 };
 
-/// A task is not stopped before it ran this long, so that work is not moved to and fro.
+/// Minimum run time before a task is evicted, so that tasks are not moved back and forth.
 const MIN_RUN_TIME: Duration = Duration::from_secs(2);
 
-/// Workers that are looked at for one task.
+/// Maximum number of workers considered for one task.
 const MAX_CANDIDATES: usize = 64;
 
-/// Room that is being freed and was promised in this pass, by worker.
+/// By worker index: capacity reserved in this pass, free or being freed.
 pub type ReservedCapacity = HashMap<usize, Size>;
 
-/// Stops tasks of lower priority so that the next task of a class fits on some worker. Returns
-/// the worker's place once for each task that is told to stop.
+/// Stops tasks of lower priority so that the next task of a class fits on some worker. Returns the
+/// worker's index, once for each task that is ordered to stop.
 pub fn preempt(
     cell: &mut Cell,
     class: &Arc<str>,
-    promised: &mut ReservedCapacity,
+    reserved: &mut ReservedCapacity,
     now: Instant,
 ) -> Vec<usize> {
     let Some(id) = cell.queues.class_mut(class).jobs.front() else {
@@ -40,66 +40,66 @@
     let Some(row) = cell.limits.row(class) else {
         return Vec::new();
     };
-    let need = Demand { size, row, now };
+    let demand = Demand { size, row, now };
     let mut best: Option<(usize, Vec<Task>)> = None;
-    for at in candidates(cell, &need) {
-        let slot = cell.fleet.worker(at);
-        let taken = promised.get(&at).copied().unwrap_or_default();
-        let coming = slot.free.plus(slot.freeing).minus(taken);
-        if size.fits(coming) {
-            // Room is on its way here: it is promised, and nothing more is stopped for it.
-            promised.insert(at, taken.plus(size));
+    for worker_index in candidates(cell, &demand) {
+        let worker = cell.fleet.worker(worker_index);
+        let taken = reserved.get(&worker_index).copied().unwrap_or_default();
+        let available = worker.free.plus(worker.freeing).minus(taken);
+        if size.fits(available) {
+            // Enough capacity is free or being freed here: it is reserved, and no task is stopped.
+            reserved.insert(worker_index, taken.plus(size));
             return Vec::new();
         }
-        let Some(victims) = victims(cell, at, size, coming, row.priority, now) else {
+        let Some(victims) = victims(cell, worker_index, size, available, row.priority, now) else {
             continue;
         };
         if best
             .as_ref()
             .is_none_or(|(_, tasks)| victims.len() < tasks.len())
         {
-            best = Some((at, victims));
+            best = Some((worker_index, victims));
         }
     }
-    let Some((at, tasks)) = best else {
+    let Some((worker_index, tasks)) = best else {
         return Vec::new();
     };
     for task in &tasks {
         cell.stop(task, Manner::Checkpoint);
         cell.counts.evictions += 1;
     }
-    let taken = promised.entry(at).or_default();
+    let taken = reserved.entry(worker_index).or_default();
     *taken = taken.plus(size);
-    vec![at; tasks.len()]
+    vec![worker_index; tasks.len()]
 }
 
-/// Workers on which the task could run if they were empty.
-fn candidates(cell: &Cell, need: &Demand<'_>) -> Vec<usize> {
-    let suits = |at: &usize| {
-        let slot = cell.fleet.worker(*at);
-        need.size.fits(slot.size)
-            && need.row.admits(&slot.generation)
-            && slot.is_schedulable(need.now)
+/// Returns schedulable workers on which the task could run if they were idle.
+fn candidates(cell: &Cell, demand: &Demand<'_>) -> Vec<usize> {
+    let is_candidate = |worker_index: &usize| {
+        let worker = cell.fleet.worker(*worker_index);
+        demand.size.fits(worker.size)
+            && demand.row.admits(&worker.generation)
+            && worker.is_schedulable(demand.now)
     };
     cell.fleet
         .by_most_free(0)
-        .filter(suits)
+        .filter(is_candidate)
         .take(MAX_CANDIDATES)
         .collect()
 }
 
-/// The fewest tasks of lower priority whose end makes enough room; the youngest go first, since
-/// they lose the least.
+/// Selects tasks of lower priority whose end frees enough capacity; `None` if there are not enough. Lowest
+/// priority first, then most recently started, since those lose the least work.
 fn victims(
     cell: &Cell,
-    at: usize,
-    need: Size,
-    room: Size,
+    worker_index: usize,
+    size: Size,
+    available: Size,
     priority: u8,
     now: Instant,
 ) -> Option<Vec<Task>> {
-    let mut movable = Vec::new();
-    for task in &cell.fleet.worker(at).tasks {
+    let mut evictable = Vec::new();
+    for task in &cell.fleet.worker(worker_index).tasks {
         let Some(run) = cell.running.get(task) else {
             continue;
         };
@@ -110,22 +110,21 @@
             .jobs
             .get(&task.job)
             .is_none_or(|job: &job::Job| job.entry.spec.once);
-        let settled = now.saturating_duration_since(run.since) < MIN_RUN_TIME;
-        if run.stopping || once || settled || row.kind == Kind::Service || row.priority >= priority
-        {
+        let recent = now.saturating_duration_since(run.since) < MIN_RUN_TIME;
+        if run.stopping || once || recent || row.kind == Kind::Service || row.priority >= priority {
             continue;
         }
-        movable.push((row.priority, run.since, run.size, task));
+        evictable.push((row.priority, run.since, run.size, task));
     }
-    movable.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)));
-    let mut sum = room;
+    evictable.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)));
+    let mut sum = available;
     let mut chosen = Vec::new();
-    for (_, _, size, task) in movable {
-        if need.fits(sum) {
+    for (_, _, freed, task) in evictable {
+        if size.fits(sum) {
             break;
         }
-        sum = sum.plus(size);
+        sum = sum.plus(freed);
         chosen.push(task.clone());
     }
-    need.fits(sum).then_some(chosen)
+    size.fits(sum).then_some(chosen)
 }
--- a/components/sched/src/fleet.rs
+++ b/components/sched/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers of a cell as its owner sees them.
+//! The workers of a cell as seen by its owner: capacity, liveness, quarantine and pending orders.
 
 use {
     infra::{
@@ -13,33 +13,33 @@
     },
 };
 
-/// Failures in a row after which a worker is set aside.
+/// Consecutive task failures after which a worker is quarantined.
 const QUARANTINE_FAILURES: u32 = 3;
 
-/// How long a worker is set aside; doubled with each time, up to the most.
+/// First quarantine of a worker; each further one doubles, up to [`MAX_QUARANTINE`].
 const QUARANTINE: Duration = Duration::from_secs(10);
 
-/// How long a worker may be silent and still get new work.
+/// How long after its last report a worker may still get new tasks.
 const SCHEDULABLE_WITHIN: Duration = Duration::from_secs(6);
 
-/// The longest time that a worker is set aside.
+/// Maximum quarantine of a worker.
 const MAX_QUARANTINE: Duration = Duration::from_secs(600);
 
-/// What is to be told to a worker with the next orders.
+/// Instructions for the next orders to a worker.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Starts.
+    /// Tasks to start.
     pub starts: Vec<Start>,
-    /// Stops.
+    /// Tasks to stop.
     pub stops: Vec<Stop>,
-    /// Throttles.
+    /// CPU throttles to set.
     pub throttles: Vec<Throttle>,
-    /// Ended tasks that are written down.
+    /// Ended tasks, with their attempts, whose end is persisted.
     pub forget: Vec<(Task, u64)>,
 }
 
 impl Outbox {
-    /// True when nothing waits.
+    /// Returns true when there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.starts.is_empty()
             && self.stops.is_empty()
@@ -48,69 +48,70 @@
     }
 }
 
-/// What the last report told.
+/// The last report of a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct LastReport {
-    /// The box's life.
+    /// Identifies the worker's incarnation; changes when it restarts.
     pub boot: u64,
-    /// Its clock, in milliseconds.
+    /// The worker's clock, in milliseconds.
     pub clock: u64,
-    /// The ledger's version.
+    /// The version of the worker's ledger.
     pub version: u64,
-    /// When the report came.
-    pub at: Instant,
+    /// When the report was received.
+    pub received_at: Instant,
 }
 
-/// One worker.
+/// The state of one worker.
 #[derive(Debug)]
 pub struct WorkerState {
     /// The name.
     pub name: Arc<str>,
-    /// The base address.
+    /// Base URL.
     pub url: Arc<str>,
-    /// What it has.
+    /// Total capacity.
     pub size: Size,
-    /// Its hardware generation.
+    /// Hardware generation.
     pub generation: Arc<str>,
-    /// What is not committed.
+    /// Unallocated capacity.
     pub free: Size,
-    /// What tasks that are being stopped will free.
+    /// Capacity that stopping tasks will free.
     pub freeing: Size,
-    /// The tasks that run on it.
+    /// Tasks that run or were ordered to start here.
     pub tasks: Vec<Task>,
-    /// What waits for the next order.
+    /// Instructions that wait for the next order.
     pub outbox: Outbox,
-    /// True once its ledger was read by this owner.
+    /// True once this owner has read the ledger.
     pub ledger_read: bool,
-    /// The last report; `None` before the first and after the worker was lost.
+    /// The last report; `None` before the first one and after the worker was declared lost.
     pub last_report: Option<LastReport>,
-    /// The number of the last order.
+    /// Number of the last order.
     pub order_number: u64,
-    /// True when the platform's list has it.
+    /// True when the platform lists the worker.
     pub listed: bool,
-    /// True when it gets no new work: it is leaving, or operators drain it.
+    /// True when the worker gets no new tasks, because it is leaving or drained by operators.
     pub draining: bool,
-    /// True when operators drain it.
+    /// True when operators drain the worker.
     pub drained: bool,
-    /// Failures of tasks in a row.
+    /// Consecutive task failures.
     pub failures: u32,
-    /// Until when it is set aside.
+    /// End of the last quarantine.
     pub quarantined_until: Option<Instant>,
-    /// How often it was set aside without a success since.
+    /// Quarantines since the last successful task.
     pub quarantines: u32,
 }
 
 impl WorkerState {
-    /// True when it may get new work.
+    /// Returns true when the worker may get new tasks.
     pub fn is_schedulable(&self, now: Instant) -> bool {
-        let set_aside = self.quarantined_until.is_some_and(|until| now < until);
-        let fresh = self
+        let quarantined = self.quarantined_until.is_some_and(|until| now < until);
+        let reachable = self
             .last_report
-            .is_some_and(|heard| now < heard.at + SCHEDULABLE_WITHIN);
-        fresh && self.listed && !self.draining && !set_aside
+            .is_some_and(|report| now < report.received_at + SCHEDULABLE_WITHIN);
+        reachable && self.listed && !self.draining && !quarantined
     }
 
-    /// Its state in a word, for those who look.
+    /// Returns the state for display: `live`, `draining`, `aside` (quarantined), `silent` (unreachable)
+    /// or `gone` (not listed).
     pub fn state(&self, now: Instant) -> &'static str {
         if !self.listed {
             return "gone";
@@ -128,20 +129,20 @@
         }
     }
 
-    /// A task ended well here.
+    /// Records a finished task and resets the failure counts.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
     }
 
-    /// A task failed here. True when the worker is set aside and was not before.
+    /// Records a failed task. Returns true when this starts a quarantine.
     pub fn record_failure(&mut self, now: Instant) -> bool {
         self.failures += 1;
         if self.failures < QUARANTINE_FAILURES {
             return false;
         }
-        let before = self.quarantined_until.is_some_and(|until| now < until);
-        if before {
+        let already = self.quarantined_until.is_some_and(|until| now < until);
+        if already {
             return false;
         }
         let time = QUARANTINE
@@ -149,27 +150,27 @@
             .min(MAX_QUARANTINE);
         self.quarantined_until = Some(now + time);
         self.quarantines += 1;
-        // The next failure, after it is probed back, sets it aside again at once.
+        // After the quarantine, a single failure starts the next one.
         self.failures = QUARANTINE_FAILURES - 1;
         true
     }
 
-    /// The next order. The lease goes with the worker's own clock in the last report.
+    /// Builds the next order. The lease is extended relative to the worker's clock in its last report.
     pub fn order(&mut self, cell: &Arc<str>, epoch: u64, term: Duration) -> Order {
         self.order_number += 1;
         let length = term.as_millis() as u64;
-        let extend = self.last_report.map(|heard| Extension {
-            from: heard.clock,
+        let extend = self.last_report.map(|report| Extension {
+            from: report.clock,
             length,
         });
         Order {
             cell: cell.clone(),
             epoch,
             number: self.order_number,
-            seen: self.last_report.map_or(0, |heard| heard.version),
-            boot: self.last_report.map_or(0, |heard| heard.boot),
+            seen: self.last_report.map_or(0, |report| report.version),
+            boot: self.last_report.map_or(0, |report| report.boot),
             extend,
-            // Before the lease is known to run, a start would only be refused.
+            // The worker refuses starts until the owner has granted it a lease.
             starts: if extend.is_some() {
                 self.outbox.starts.clone()
             } else {
@@ -181,18 +182,20 @@
         }
     }
 
-    /// The oldest stops, up to one whose start is not known as told. A worker carries the stops of an
-    /// order out before its starts: that one would find nothing to stop, and the task would run on.
+    /// Returns the oldest stops, up to the first whose start is not known to be delivered. A worker
+    /// executes the stops of an order before its starts, so such a stop would have no effect and the
+    /// task would keep running.
     fn sendable_stops(&self) -> Vec<Stop> {
-        let is_due = |stop: &&Stop| {
-            let begins = |start: &Start| start.task == stop.task && start.attempt == stop.attempt;
-            !self.outbox.starts.iter().any(begins)
+        let is_sendable = |stop: &&Stop| {
+            let is_its_start =
+                |start: &Start| start.task == stop.task && start.attempt == stop.attempt;
+            !self.outbox.starts.iter().any(is_its_start)
         };
         let stops = self.outbox.stops.iter();
-        stops.take_while(is_due).cloned().collect()
+        stops.take_while(is_sendable).cloned().collect()
     }
 
-    /// Drops from the outbox what a carried-out order held; it holds the oldest of each kind.
+    /// Removes the instructions of a delivered order from the outbox: the oldest of each kind.
     pub fn order_delivered(&mut self, order: &Order) {
         self.outbox
             .starts
@@ -209,90 +212,97 @@
     }
 }
 
-/// The workers of a cell, with an index by free processors.
+/// The workers of a cell, ordered by free processors. A worker keeps its index for the whole
+/// ownership.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    slots: Vec<WorkerState>,
+    workers: Vec<WorkerState>,
     names: HashMap<Arc<str>, usize>,
     by_free: BTreeSet<(u32, usize)>,
     total: Size,
 }
 
 impl Fleet {
-    /// All workers; a worker keeps its place.
+    /// Returns all workers, by index.
     pub fn workers(&self) -> &[WorkerState] {
-        &self.slots
+        &self.workers
     }
 
-    /// One worker.
-    pub fn worker(&self, at: usize) -> &WorkerState {
-        &self.slots[at]
+    /// Returns the worker with this index.
+    pub fn worker(&self, index: usize) -> &WorkerState {
+        &self.workers[index]
     }
 
-    /// One worker, to change anything but what is free.
-    pub fn worker_mut(&mut self, at: usize) -> &mut WorkerState {
-        &mut self.slots[at]
+    /// Returns the worker with this index. Its free capacity must only change through [`Fleet::allocate`]
+    /// and [`Fleet::release`].
+    pub fn worker_mut(&mut self, index: usize) -> &mut WorkerState {
+        &mut self.workers[index]
     }
 
-    /// The place of a worker.
+    /// Returns the index of a worker.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.get(name).copied()
     }
 
-    /// What all listed workers have.
+    /// Returns the total capacity of the listed workers.
     pub fn total(&self) -> Size {
         self.total
     }
 
-    /// What is not committed on usable workers.
+    /// Returns the free capacity of the schedulable workers.
     pub fn free(&self, now: Instant) -> Size {
-        let usable = self.slots.iter().filter(|slot| slot.is_schedulable(now));
-        usable.fold(Size::default(), |sum, slot| sum.plus(slot.free))
+        let schedulable = self
+            .workers
+            .iter()
+            .filter(|worker| worker.is_schedulable(now));
+        schedulable.fold(Size::default(), |sum, worker| sum.plus(worker.free))
     }
 
-    /// The places of workers with at least this many free processors, the fullest first.
+    /// Returns the indexes of the workers with at least this much free CPU, least free first.
     pub fn by_least_free(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
-        self.by_free.range((cpu, 0)..).map(|(_, at)| *at)
+        self.by_free.range((cpu, 0)..).map(|(_, index)| *index)
     }
 
-    /// The places of workers with at least this many free processors, the emptiest first.
+    /// Returns the indexes of the workers with at least this much free CPU, most free first.
     pub fn by_most_free(&self, cpu: u32) -> impl Iterator<Item = usize> + '_ {
-        self.by_free.range((cpu, 0)..).rev().map(|(_, at)| *at)
+        self.by_free
+            .range((cpu, 0)..)
+            .rev()
+            .map(|(_, index)| *index)
     }
 
-    /// Takes over what the platform's list says of the cell's workers. Returns the places of
-    /// workers that are new.
+    /// Applies the platform's listing of the cell's workers. Returns the indexes of new workers.
     pub fn update(&mut self, items: &[&Item]) -> Vec<usize> {
-        let mut fresh = Vec::new();
-        for slot in &mut self.slots {
-            slot.listed = false;
+        let mut new_workers = Vec::new();
+        for worker in &mut self.workers {
+            worker.listed = false;
         }
         for item in items {
             let Some(url) = item.url("worker") else {
                 continue;
             };
-            let at = match self.index_of(&item.name) {
-                Some(at) => at,
+            let index = match self.index_of(&item.name) {
+                Some(index) => index,
                 None => {
-                    fresh.push(self.slots.len());
+                    new_workers.push(self.workers.len());
                     self.add_worker(item, url)
                 }
             };
-            let slot = &mut self.slots[at];
-            slot.listed = true;
-            slot.url = url.clone();
-            slot.draining = slot.drained || item.state == State::Leaving;
+            let worker = &mut self.workers[index];
+            worker.listed = true;
+            worker.url = url.clone();
+            worker.draining = worker.drained || item.state == State::Leaving;
         }
-        let listed = self.slots.iter().filter(|slot| slot.listed);
-        self.total = listed.fold(Size::default(), |sum, slot| sum.plus(slot.size));
-        fresh
+        let listed = self.workers.iter().filter(|worker| worker.listed);
+        self.total = listed.fold(Size::default(), |sum, worker| sum.plus(worker.size));
+        new_workers
     }
 
     fn add_worker(&mut self, item: &Item, url: &Arc<str>) -> usize {
-        let at = self.slots.len();
-        self.names.insert(item.name.clone(), at);
-        self.by_free.insert((item.size.cpu, at));
-        self.slots.push(WorkerState {
+        let index = self.workers.len();
+        self.names.insert(item.name.clone(), index);
+        self.by_free.insert((item.size.cpu, index));
+        self.workers.push(WorkerState {
             name: item.name.clone(),
             url: url.clone(),
             size: item.size,
@@ -311,28 +321,28 @@
             quarantined_until: None,
             quarantines: 0,
         });
-        at
+        index
     }
 
-    /// Commits room on a worker to a task.
-    pub fn allocate(&mut self, at: usize, task: &Task, size: Size) {
-        let slot = &mut self.slots[at];
-        self.by_free.remove(&(slot.free.cpu, at));
-        slot.free = slot.free.minus(size);
-        slot.tasks.push(task.clone());
-        self.by_free.insert((slot.free.cpu, at));
+    /// Allocates capacity of a worker to a task.
+    pub fn allocate(&mut self, index: usize, task: &Task, size: Size) {
+        let worker = &mut self.workers[index];
+        self.by_free.remove(&(worker.free.cpu, index));
+        worker.free = worker.free.minus(size);
+        worker.tasks.push(task.clone());
+        self.by_free.insert((worker.free.cpu, index));
     }
 
-    /// Frees the room of a task.
-    pub fn release(&mut self, at: usize, task: &Task, size: Size) {
-        let slot = &mut self.slots[at];
-        let Some(place) = slot.tasks.iter().position(|t| t == task) else {
+    /// Releases the capacity of a task; does nothing if the task is not allocated on the worker.
+    pub fn release(&mut self, index: usize, task: &Task, size: Size) {
+        let worker = &mut self.workers[index];
+        let Some(position) = worker.tasks.iter().position(|t| t == task) else {
             return;
         };
-        slot.tasks.swap_remove(place);
-        self.by_free.remove(&(slot.free.cpu, at));
-        slot.free = slot.free.plus(size);
-        self.by_free.insert((slot.free.cpu, at));
+        worker.tasks.swap_remove(position);
+        self.by_free.remove(&(worker.free.cpu, index));
+        worker.free = worker.free.plus(size);
+        self.by_free.insert((worker.free.cpu, index));
     }
 }
 
@@ -362,7 +372,7 @@
     }
 
     #[test]
-    fn commit_release_keeps_index() {
+    fn allocate_and_release_keep_order() {
         let mut fleet = Fleet::default();
         let items = [item("a", 4000), item("b", 8000)];
         assert_eq!(fleet.update(&items.iter().collect::<Vec<_>>()), [0, 1]);
@@ -376,7 +386,7 @@
     }
 
     #[test]
-    fn merge_keeps_places() {
+    fn update_keeps_indexes() {
         let mut fleet = Fleet::default();
         let items = [item("a", 4000), item("b", 8000)];
         fleet.update(&items.iter().collect::<Vec<_>>());
@@ -386,23 +396,25 @@
     }
 
     #[test]
-    fn fail_sets_aside_longer() {
+    fn repeated_quarantine_lasts_longer() {
         let mut fleet = Fleet::default();
         fleet.update(&[&item("a", 4000)]);
         let now = Instant::now();
-        let slot = fleet.worker_mut(0);
+        let worker = fleet.worker_mut(0);
         assert_eq!(
             [
-                slot.record_failure(now),
-                slot.record_failure(now),
-                slot.record_failure(now)
+                worker.record_failure(now),
+                worker.record_failure(now),
+                worker.record_failure(now)
             ],
             [false, false, true]
         );
-        let first = slot.quarantined_until.unwrap();
-        assert!(!slot.record_failure(now));
-        assert!(slot.record_failure(first) && slot.quarantined_until.unwrap() > first + QUARANTINE);
-        slot.record_success();
-        assert!(!slot.record_failure(now));
+        let first = worker.quarantined_until.unwrap();
+        assert!(!worker.record_failure(now));
+        assert!(
+            worker.record_failure(first) && worker.quarantined_until.unwrap() > first + QUARANTINE
+        );
+        worker.record_success();
+        assert!(!worker.record_failure(now));
     }
 }
--- a/components/sched/src/job.rs
+++ b/components/sched/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: arrays of tasks of one class, and where their tasks stand.
+//! Jobs: arrays of tasks of one class, and the states of their tasks.
 
 use {
     crate::record::JobRecord,
@@ -11,113 +11,113 @@
     },
 };
 
-/// The id of a job: its cell, a dot, and a key that its submitter chose.
+/// Builds the id of a job: its cell, a dot, and a key chosen by the submitter.
 ///
-/// The same id sent again is the same job, so a submission whose reply was lost may be repeated.
+/// Submissions are idempotent by id, so one whose reply was lost may be repeated.
 pub fn id(cell: &str, key: u64) -> Arc<str> {
     Arc::from(format!("{cell}.{key:016x}"))
 }
 
-/// The cell of a job's id; `None` when it is not an id.
+/// Returns the cell of a job id; `None` when the text is not a job id.
 pub fn cell_of(id: &str) -> Option<&str> {
     let (cell, key) = id.rsplit_once('.')?;
     (settings::is_name(cell) && key.len() == 16).then_some(cell)
 }
 
-/// Where the tasks of a job stand.
+/// The status of a job, with counts of its tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The job's id.
     pub id: Arc<str>,
-    /// The class.
+    /// The class of work.
     pub class: Arc<str>,
-    /// The number of tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// Tasks that wait.
+    /// Waiting tasks.
     pub queued: u32,
-    /// Tasks that run.
+    /// Running tasks.
     pub running: u32,
-    /// Tasks that finished.
+    /// Finished tasks.
     pub finished: u32,
-    /// Tasks that were given up after failures.
+    /// Tasks that reached the failure limit.
     pub failed: u32,
-    /// Tasks that must not be started twice and whose end is not known.
+    /// At-most-once tasks whose outcome is unknown.
     pub unknown: u32,
     /// True after a cancellation.
     pub cancelled: bool,
-    /// True when no task will run any more.
+    /// True once the job has ended: no task runs or will run.
     pub ended: bool,
-    /// Why the next task is not placed.
+    /// Why the next task cannot be placed.
     pub blocked: Option<String>,
 }
 
-/// A job in the memory of its cell's owner.
+/// A job in the memory of the cell's owner.
 pub struct Job {
-    /// What lasts.
+    /// The persisted state.
     pub entry: JobRecord,
-    /// Tasks that may be started now.
+    /// Tasks that may be started.
     pub ready: RangeInclusiveSet<u32>,
-    /// Tasks that must be marked in the store before they may be started.
+    /// At-most-once tasks that must be marked in the store before they may be started.
     pub unmarked: RangeInclusiveSet<u32>,
-    /// Tasks that may run on a worker which was not heard yet.
+    /// Tasks that may run on a worker whose ledger was not read yet.
     pub unconfirmed: RangeInclusiveSet<u32>,
-    /// Tasks that run.
+    /// Tasks that run or were ordered to start.
     pub running: BTreeSet<u32>,
-    /// True once the job is written down and its tasks are sorted.
+    /// True once the job is persisted and its tasks are classified.
     pub classified: bool,
-    /// Tasks below this place may be started, as the store knows.
+    /// Tasks below this index may be started; persisted value.
     pub reserved: u32,
-    /// Tasks below this place may have been started.
+    /// Tasks below this index may have been started.
     pub started: u32,
-    /// Workers on which a task has failed, by task.
+    /// By task: the workers on which it failed.
     pub failures: BTreeMap<u32, BTreeSet<Arc<str>>>,
-    /// How often in a row a task was lost with its worker soon after it had started. Kept by one owner: the next one
-    /// counts anew.
+    /// By task: consecutive losses together with its worker soon after a start. The count is not
+    /// persisted; a new owner starts from zero.
     pub losses: BTreeMap<u32, u32>,
-    /// True while the job stands in its class's line.
+    /// True while the job is in the queue of its class.
     pub queued: bool,
-    /// Why the next task is not placed.
+    /// Why the next task cannot be placed.
     pub blocked: Option<&'static str>,
 }
 
-/// The number of values in a set of ranges.
+/// Returns the number of values in a set of ranges.
 pub fn count_of(set: &RangeInclusiveSet<u32>) -> u32 {
     set.iter()
         .map(|range| range.end() - range.start() + 1)
         .sum()
 }
 
-/// Adds one value.
+/// Inserts one value.
 pub fn insert(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.insert(index..=index);
 }
 
-/// Takes one value out.
+/// Removes one value.
 pub fn remove(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.remove(index..=index);
 }
 
-/// Adds all values of another set.
+/// Inserts all values of another set.
 fn insert_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
     for range in other.iter() {
         set.insert(range.clone());
     }
 }
 
-/// Takes all values of another set out.
+/// Removes all values of another set.
 fn remove_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
     for range in other.iter() {
         set.remove(range.clone());
     }
 }
 
-/// The smallest value.
+/// Returns the smallest value.
 pub fn first_of(set: &RangeInclusiveSet<u32>) -> Option<u32> {
     set.iter().next().map(|range| *range.start())
 }
 
 impl Job {
-    /// A job of which nothing was started as far as this owner knows.
+    /// Creates a job from its persisted state, with no task known to run.
     pub fn new(entry: JobRecord) -> Self {
         let reserved = entry.reserved;
         Job {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Tasks that need nothing more: finished, given up, or unknown.
+    /// Returns the tasks in a terminal state: finished, failed or unknown.
     pub fn terminal_tasks(&self) -> RangeInclusiveSet<u32> {
         let mut set = self.entry.done.clone();
         for range in self.entry.failed.iter().chain(self.entry.unknown.iter()) {
@@ -145,7 +145,7 @@
         set
     }
 
-    /// True when this task needs nothing more.
+    /// Returns true when the task is in a terminal state.
     pub fn is_terminal(&self, index: u32) -> bool {
         let JobRecord {
             done,
@@ -156,16 +156,17 @@
         done.contains(&index) || failed.contains(&index) || unknown.contains(&index)
     }
 
-    /// True when no task runs or will run.
+    /// Returns true when no task runs or will run.
     pub fn is_finished(&self) -> bool {
         if !self.running.is_empty() || !self.unconfirmed.is_empty() {
             return false;
         }
-        let waits = !self.classified || !self.ready.is_empty() || !self.unmarked.is_empty();
-        self.entry.cancelled || !waits
+        let has_waiting = !self.classified || !self.ready.is_empty() || !self.unmarked.is_empty();
+        self.entry.cancelled || !has_waiting
     }
 
-    /// Lets a task wait again, after it was stopped or lost.
+    /// Makes a task ready again after it was stopped or lost. Does nothing if the job is cancelled or the
+    /// task is in a terminal state.
     pub fn requeue(&mut self, index: u32) {
         if self.entry.cancelled || self.is_terminal(index) {
             return;
@@ -173,10 +174,11 @@
         insert(&mut self.ready, index);
     }
 
-    /// Sorts the tasks that neither run nor are settled into ready, unmarked, unknown and held.
+    /// Classifies the tasks that are neither running nor terminal as ready, unmarked, unconfirmed or
+    /// unknown.
     ///
-    /// `unheard` says that some may run on a worker that was not heard yet.
-    pub fn classify_tasks(&mut self, unheard: bool) {
+    /// `has_unread` is true when some may run on a worker whose ledger was not read yet.
+    pub fn classify_tasks(&mut self, has_unread: bool) {
         self.classified = true;
         if self.entry.cancelled {
             return;
@@ -187,31 +189,32 @@
         for index in &self.running {
             remove(&mut waiting, *index);
         }
-        let mut untouched = waiting.clone();
+        let mut never_started = waiting.clone();
         if self.entry.spec.once {
-            remove_all(&mut untouched, &self.entry.marked);
+            remove_all(&mut never_started, &self.entry.marked);
         } else if self.entry.reserved > 0 {
-            untouched.remove(0..=self.entry.reserved - 1);
+            never_started.remove(0..=self.entry.reserved - 1);
         }
-        remove_all(&mut waiting, &untouched);
-        let (touched, once) = (waiting, self.entry.spec.once);
+        remove_all(&mut waiting, &never_started);
+        let (maybe_started, once) = (waiting, self.entry.spec.once);
         insert_all(
             if once {
                 &mut self.unmarked
             } else {
                 &mut self.ready
             },
-            &untouched,
+            &never_started,
         );
-        let doubtful = match (unheard, once) {
+        let target = match (has_unread, once) {
             (true, _) => &mut self.unconfirmed,
             (false, true) => &mut self.entry.unknown,
             (false, false) => &mut self.ready,
         };
-        insert_all(doubtful, &touched);
+        insert_all(target, &maybe_started);
     }
 
-    /// Frees the tasks that were held: they surely run nowhere.
+    /// Releases the unconfirmed tasks, which certainly run nowhere: they become ready, or unknown if they
+    /// may run at most once.
     pub fn release_unconfirmed(&mut self) {
         let held = std::mem::take(&mut self.unconfirmed);
         if self.entry.cancelled {
@@ -228,17 +231,17 @@
         );
     }
 
-    /// Lets tasks be started whose mark is written. True when there were some.
+    /// Makes the tasks ready whose mark is written. Returns true when there were any.
     pub fn release_marked(&mut self) -> bool {
-        let mut rest = self.unmarked.clone();
-        remove_all(&mut rest, &self.entry.marked);
-        let mut marked = std::mem::replace(&mut self.unmarked, rest.clone());
-        remove_all(&mut marked, &rest);
+        let mut unwritten = self.unmarked.clone();
+        remove_all(&mut unwritten, &self.entry.marked);
+        let mut marked = std::mem::replace(&mut self.unmarked, unwritten.clone());
+        remove_all(&mut marked, &unwritten);
         insert_all(&mut self.ready, &marked);
         !marked.is_empty()
     }
 
-    /// Where the tasks stand.
+    /// Returns the status.
     pub fn status(&self) -> Status {
         let entry = &self.entry;
         let waiting =
@@ -268,7 +271,7 @@
     };
 
     /// A job of eight tasks: 0 is done, 1 runs, four are reserved, 0 to 2 are marked.
-    fn taken_over(once: bool) -> Job {
+    fn job_after_takeover(once: bool) -> Job {
         let mut entry = JobRecord::new(
             id("h1", 1),
             Spec {
@@ -287,12 +290,12 @@
     }
 
     #[test_case(false, false, (6, 0, 0, 0); "repeatable")]
-    #[test_case(false, true, (4, 0, 2, 0); "repeatable with a silent worker")]
+    #[test_case(false, true, (4, 0, 2, 0); "repeatable with an unreachable worker")]
     #[test_case(true, false, (0, 5, 0, 1); "once")]
-    #[test_case(true, true, (0, 5, 1, 0); "once with a silent worker")]
-    fn begin_sorts(once: bool, unheard: bool, expected: (u32, u32, u32, u32)) {
-        let mut job = taken_over(once);
-        job.classify_tasks(unheard);
+    #[test_case(true, true, (0, 5, 1, 0); "once with an unreachable worker")]
+    fn classify_tasks_by_state(once: bool, has_unread: bool, expected: (u32, u32, u32, u32)) {
+        let mut job = job_after_takeover(once);
+        job.classify_tasks(has_unread);
         let Job {
             ready,
             unmarked,
@@ -305,8 +308,8 @@
     }
 
     #[test]
-    fn open_marked_moves() {
-        let mut job = taken_over(true);
+    fn release_marked_makes_ready() {
+        let mut job = job_after_takeover(true);
         job.classify_tasks(false);
         job.entry.marked.insert(3..=5);
         assert!(job.release_marked() && !job.release_marked());
--- a/components/sched/src/lib.rs
+++ b/components/sched/src/lib.rs
@@ -1,8 +1,8 @@
-//! Cells of workers: queues, placement, leases, recovery, and the jobs' interface.
+//! Cell scheduler: queues, placement, leases, recovery and the HTTP interface for jobs.
 //!
-//! A scheduler process owns some cells. For each it keeps the queue and the view of the workers
-//! in memory, what must last in the cell's book in the store, and one task for each worker that
-//! exchanges orders for reports. The worker's own ledger is the truth of what runs.
+//! A scheduler process owns some cells. For each cell it keeps the queues and the state of the
+//! workers in memory, persists the cell's record in the store, and runs one task per worker that
+//! exchanges orders for reports. The worker's ledger is authoritative for what runs.
 
 pub mod actor;
 pub mod api;
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -1,8 +1,8 @@
-//! A cell's share of the fleet's ceilings and quotas.
+//! A cell's share of the fleet-wide ceilings and quotas.
 //!
-//! Ceilings hold for the whole fleet, cells place on their own. Each cell takes its part by its
-//! capacity, and the parts of all cells add up to the whole exactly, so the fleet stays inside as
-//! far as the cells' owners have the same list of boxes.
+//! Ceilings apply to the whole fleet, but cells place tasks independently. Each cell gets a share in
+//! proportion to its capacity. The shares of all cells add up exactly to the whole, so the fleet stays
+//! within its ceilings as long as the owners of the cells have the same list of boxes.
 
 use {
     infra::{
@@ -13,7 +13,8 @@
     table::{Row, Table},
 };
 
-/// Where a cell lies in the fleet's capacity: what comes before it, its own, and all.
+/// A cell's interval within the fleet's capacity, with cells ordered by name: the capacity before it,
+/// its own, and the total, for each resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CapacityShare {
     before: [u64; 3],
@@ -21,7 +22,7 @@
     all: [u64; 3],
 }
 
-/// The kinds of an amount, in the order of a span's fields.
+/// Returns the amounts by resource, in the order used by [`CapacityShare`].
 fn amounts(size: Size) -> [u64; 3] {
     [
         u64::from(size.cpu),
@@ -31,53 +32,53 @@
 }
 
 impl CapacityShare {
-    /// The span of a cell among all workers in the list.
+    /// Computes the share of a cell from all listed workers.
     pub fn of(cell: &str, list: &List) -> Self {
         let mut halls: BTreeMap<&str, [u64; 3]> = BTreeMap::new();
         for item in list.of_kind(Kind::Worker) {
             let sum = halls.entry(&item.hall).or_default();
-            for (part, amount) in sum.iter_mut().zip(amounts(item.size)) {
-                *part += amount;
+            for (total, amount) in sum.iter_mut().zip(amounts(item.size)) {
+                *total += amount;
             }
         }
-        let mut span = CapacityShare::default();
+        let mut share = CapacityShare::default();
         for (hall, amounts) in halls {
             for (kind, amount) in amounts.into_iter().enumerate() {
-                span.all[kind] += amount;
+                share.all[kind] += amount;
                 if hall < cell {
-                    span.before[kind] += amount;
+                    share.before[kind] += amount;
                 }
                 if hall == cell {
-                    span.own[kind] = amount;
+                    share.own[kind] = amount;
                 }
             }
         }
-        span
+        share
     }
 
-    /// The cell's part of an amount, by the capacity of a kind.
+    /// Returns the cell's share of an amount, in proportion to its capacity of a resource.
     fn share_of(&self, amount: u32, kind: usize) -> u32 {
         let all = self.all[kind];
         if all == 0 {
             return 0;
         }
-        let upto = |end: u64| u64::from(amount) * end / all;
-        (upto(self.before[kind] + self.own[kind]) - upto(self.before[kind])) as u32
+        let portion = |end: u64| u64::from(amount) * end / all;
+        (portion(self.before[kind] + self.own[kind]) - portion(self.before[kind])) as u32
     }
 }
 
-/// A cell's limits on one class.
+/// A cell's limits for one class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassLimit {
-    /// What its running tasks may be committed.
+    /// Maximum allocation of the running tasks of the class.
     pub ceiling: Size,
-    /// How many of its tasks may run.
+    /// Maximum number of running tasks of the class.
     pub running: u32,
-    /// What its team may use of processors.
+    /// Maximum CPU allocation of the team.
     pub quota: u32,
 }
 
-/// A cell's limits, worked out from the table and the list.
+/// A cell's limits, computed from the table and the list of boxes.
 #[derive(Debug, Default)]
 pub struct Limits {
     table: Arc<Table>,
@@ -85,42 +86,47 @@
 }
 
 impl Limits {
-    /// The limits of a cell.
+    /// Computes the limits of a cell.
     pub fn of(cell: &str, table: Arc<Table>, list: &List) -> Self {
-        let span = CapacityShare::of(cell, list);
+        let share = CapacityShare::of(cell, list);
         let limits = table
             .rows
             .iter()
-            .map(|(class, row)| (class.clone(), limit(row, &span)));
+            .map(|(class, row)| (class.clone(), limit(row, &share)));
         Limits {
             limits: limits.collect(),
             table,
         }
     }
 
-    /// The table behind them.
+    /// Returns the table that the limits were computed from.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// A class's row.
+    /// Returns the row of a class.
     pub fn row(&self, class: &str) -> Option<&Row> {
         self.table.rows.get(class)
     }
 
-    /// The limits on a class.
+    /// Returns the limits for a class.
     pub fn limit(&self, class: &str) -> Option<ClassLimit> {
         self.limits.get(class).copied()
     }
 }
 
-fn limit(row: &Row, span: &CapacityShare) -> ClassLimit {
-    let part = |limit: Option<u32>, kind| limit.map_or(u32::MAX, |most| span.share_of(most, kind));
-    let ceiling = Size::new(part(row.cpu, 0), part(row.memory, 1), part(row.accel, 2));
+fn limit(row: &Row, share: &CapacityShare) -> ClassLimit {
+    let share_of =
+        |limit: Option<u32>, kind| limit.map_or(u32::MAX, |total| share.share_of(total, kind));
+    let ceiling = Size::new(
+        share_of(row.cpu, 0),
+        share_of(row.memory, 1),
+        share_of(row.accel, 2),
+    );
     ClassLimit {
         ceiling,
-        running: part(row.running, 0),
-        quota: part(row.quota, 0),
+        running: share_of(row.running, 0),
+        quota: share_of(row.quota, 0),
     }
 }
 
@@ -153,7 +159,7 @@
     #[test_case(7; "seven")]
     #[test_case(1000; "many")]
     #[test_case(0; "none")]
-    fn part_adds_up(amount: u32) {
+    fn shares_add_up(amount: u32) {
         let list = list(&[("a", 16_000), ("b", 16_000), ("c", 7_000), ("a", 16_000)]);
         let row = Row {
             running: Some(amount),
@@ -164,17 +170,17 @@
             rows: [(row.class.clone(), row)].into(),
         };
         let table = Arc::new(table);
-        let parts = ["a", "b", "c"].map(|cell| {
+        let shares = ["a", "b", "c"].map(|cell| {
             Limits::of(cell, table.clone(), &list)
                 .limit("x")
                 .unwrap()
                 .running
         });
-        assert_eq!(parts.iter().sum::<u32>(), amount);
+        assert_eq!(shares.iter().sum::<u32>(), amount);
     }
 
     #[test]
-    fn limit_absent_is_open() {
+    fn absent_limit_is_unbounded() {
         let list = list(&[("a", 16_000)]);
         let row = Row::batch("x");
         let table = Arc::new(Table {
--- a/components/sched/src/message.rs
+++ b/components/sched/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between schedulers, and from operators.
+//! Messages between schedulers, and requests of operators and clients.
 
 use {
     crate::{directory::Summary, spec::Spec},
@@ -12,21 +12,21 @@
 pub struct Submit {
     /// The job's id; `None` lets the receiver choose the cell.
     pub id: Option<Arc<str>>,
-    /// Unlike that of any other job; a submission sent again keeps it.
+    /// Unique key of the job; a repeated submission keeps it.
     pub key: u64,
-    /// What is asked for.
+    /// The specification.
     pub spec: Spec,
-    /// True when another scheduler passed it on.
+    /// True when another scheduler forwarded the request; it is not forwarded again.
     #[serde(default)]
     pub passed: bool,
 }
 
-/// Names a job.
+/// Requests the status of a job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobQuery {
     /// The job's id.
     pub id: Arc<str>,
-    /// True when another scheduler passed it on.
+    /// True when another scheduler forwarded the request; it is not forwarded again.
     #[serde(default)]
     pub passed: bool,
 }
@@ -36,26 +36,26 @@
 pub struct Cancel {
     /// The jobs' ids.
     pub ids: Vec<Arc<str>>,
-    /// True when another scheduler passed it on.
+    /// True when another scheduler forwarded the request; it is not forwarded again.
     #[serde(default)]
     pub passed: bool,
 }
 
-/// Asks for what the receiver's cells hold, or for all cells'.
+/// Requests a list for the cells owned by the receiver, or for all cells.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListQuery {
-    /// True for all cells; the receiver asks their owners.
+    /// True for all cells: the receiver calls the other owners.
     pub all: bool,
 }
 
-/// Drains a worker, or takes that back.
+/// Drains a worker, or ends its drain.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Drain {
     /// The worker.
     pub worker: Arc<str>,
-    /// True to drain.
+    /// True to drain, false to end the drain.
     pub drained: bool,
-    /// True when another scheduler passed it on.
+    /// True when another scheduler forwarded the request; it is not forwarded again.
     #[serde(default)]
     pub passed: bool,
 }
@@ -63,20 +63,20 @@
 /// Exchanges summaries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Asks for this cell alone; `None` for all.
+    /// The cell whose summary is requested; `None` for all cells.
     pub want: Option<Arc<str>>,
-    /// What the sender knows.
+    /// The summaries known to the sender.
     pub summaries: Vec<Summary>,
 }
 
-/// Asks the receiver to take a cell over from an owner that stops.
+/// Asks the receiver to take over a cell from an owner that is stopping.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Takeover {
     /// The cell.
     pub cell: Arc<str>,
 }
 
-/// One worker, as its cell's owner sees it.
+/// A worker as seen by the owner of its cell.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Worker {
     /// The name.
@@ -85,12 +85,12 @@
     pub cell: Arc<str>,
     /// The hardware generation.
     pub generation: Arc<str>,
-    /// `live`, `draining`, `aside`, `silent` or `gone`.
+    /// `live`, `draining`, `aside` (quarantined), `silent` (unreachable) or `gone` (not listed).
     pub state: Arc<str>,
-    /// What it has.
+    /// Total capacity.
     pub size: Size,
-    /// What is not committed.
+    /// Unallocated capacity.
     pub free: Size,
-    /// Tasks that run on it.
+    /// Number of tasks that run on it.
     pub tasks: u32,
 }
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -1,4 +1,4 @@
-//! One pass of placement over a cell.
+//! A scheduling pass over a cell: places waiting tasks by priority and weighted fair share.
 
 use {
     crate::{
@@ -19,88 +19,88 @@
     table::Row,
 };
 
-/// What one pass did.
+/// The result of a pass.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct PassResult {
-    /// Tasks placed.
+    /// Number of placed tasks.
     pub placed: usize,
-    /// Tasks told to stop for more urgent ones.
+    /// Number of tasks ordered to stop for tasks of higher priority.
     pub evicted: usize,
-    /// True when the pass ended at its bound and more may fit.
+    /// True when the pass ended at its task limit and more tasks may fit.
     pub more: bool,
-    /// Workers that have something new to be told.
+    /// Indexes of the workers with new instructions.
     pub notified: BTreeSet<usize>,
 }
 
-/// How much later than declared a task is expected to end: the way of its start.
+/// Allowance added to the declared length of a task for the delivery of its start.
 const START_ALLOWANCE: Duration = Duration::from_millis(20);
 
-/// The parts in which shares are counted; fine enough to be divided by weights.
+/// Units of a whole share; fine enough to be divided by weights.
 const SHARE_PARTS: u64 = 1_000_000_000;
 
-/// The place of a class in the order: priority first, then the smaller weighted share.
-type Rank = (u8, Reverse<u64>, Reverse<Arc<str>>);
+/// Sort key of a class: higher priority first, then smaller weighted share, then name.
+type SortKey = (u8, Reverse<u64>, Reverse<Arc<str>>);
 
-/// Why a class gets no further task in this pass.
+/// Why no further task of a class is placed in this pass.
 enum Blocked {
-    /// Nothing waits.
+    /// No task is ready.
     Empty,
-    /// A limit or the room, as a reason.
+    /// A limit is reached, or a prerequisite is missing.
     Reason(&'static str),
-    /// No room now, but more urgent work may make some.
-    Room,
+    /// No worker has enough free capacity; preemption may free some.
+    NoCapacity,
 }
 
-/// Places up to `most` tasks.
-pub fn run(cell: &mut Cell, most: usize, now: Instant) -> PassResult {
-    let mut passed = PassResult::default();
+/// Places up to `max_tasks` tasks.
+pub fn run(cell: &mut Cell, max_tasks: usize, now: Instant) -> PassResult {
+    let mut result = PassResult::default();
     if !cell.is_active() {
-        return passed;
+        return result;
     }
     let mut heap = BinaryHeap::new();
     let classes: Vec<Arc<str>> = cell.queues.classes().keys().cloned().collect();
     for class in classes {
         heap.extend(class_order(cell, &class));
     }
-    let mut promised = evict::ReservedCapacity::new();
+    let mut reserved = evict::ReservedCapacity::new();
     while let Some((_, _, Reverse(class))) = heap.pop() {
-        if passed.placed >= most {
-            passed.more = true;
+        if result.placed >= max_tasks {
+            result.more = true;
             break;
         }
         match place_next(cell, &class, now) {
-            Ok(at) => {
-                passed.placed += 1;
-                passed.notified.insert(at);
+            Ok(worker_index) => {
+                result.placed += 1;
+                result.notified.insert(worker_index);
                 heap.extend(class_order(cell, &class));
             }
             Err(Blocked::Empty) => {}
             Err(Blocked::Reason(reason)) => set_blocked(cell, &class, Some(reason)),
-            Err(Blocked::Room) => {
-                set_blocked(cell, &class, Some("no worker has room now"));
-                let evicted = evict::preempt(cell, &class, &mut promised, now);
-                passed.evicted += evicted.len();
-                passed.notified.extend(evicted);
+            Err(Blocked::NoCapacity) => {
+                set_blocked(cell, &class, Some("no worker has enough free capacity"));
+                let evicted = evict::preempt(cell, &class, &mut reserved, now);
+                result.evicted += evicted.len();
+                result.notified.extend(evicted);
             }
         }
     }
-    passed
+    result
 }
 
-/// Where a class stands in the order; `None` when nothing of it waits.
-fn class_order(cell: &mut Cell, class: &Arc<str>) -> Option<Rank> {
+/// Returns the sort key of a class; `None` when no job of it is queued or the class has no row.
+fn class_order(cell: &mut Cell, class: &Arc<str>) -> Option<SortKey> {
     let total = cell.fleet.total();
     let row = cell.limits.row(class)?;
     let (priority, weight) = (row.priority, u64::from(row.weight.max(1)));
-    let line = cell.queues.class_mut(class);
-    if line.jobs.is_empty() {
+    let queue = cell.queues.class_mut(class);
+    if queue.jobs.is_empty() {
         return None;
     }
-    let share = line.used.share(total, SHARE_PARTS) / weight;
+    let share = queue.used.share(total, SHARE_PARTS) / weight;
     Some((priority, Reverse(share), Reverse(class.clone())))
 }
 
-/// Notes for those who ask why the first job of a class waits.
+/// Sets the reason why the first job of a class waits, shown in its status.
 fn set_blocked(cell: &mut Cell, class: &Arc<str>, reason: Option<&'static str>) {
     let Some(id) = cell.queues.class_mut(class).jobs.front().cloned() else {
         return;
@@ -110,7 +110,7 @@
     }
 }
 
-/// The first job of a class with a task that may be started; others leave the line.
+/// Returns the first ready task of a class. Jobs without ready tasks are removed from the queue.
 fn next_task(cell: &mut Cell, class: &Arc<str>) -> Option<(Arc<str>, u32)> {
     loop {
         let id = cell.queues.class_mut(class).jobs.front()?.clone();
@@ -129,7 +129,7 @@
     }
 }
 
-/// Places the next task of a class. Returns the worker's place.
+/// Places the next task of a class. Returns the index of the worker.
 fn place_next(cell: &mut Cell, class: &Arc<str>, now: Instant) -> Result<usize, Blocked> {
     let Some((id, index)) = next_task(cell, class) else {
         return Err(Blocked::Empty);
@@ -138,34 +138,34 @@
         return Err(Blocked::Empty);
     };
     if index >= job.reserved {
-        return Err(Blocked::Reason("waits for the store"));
+        return Err(Blocked::Reason("waiting for a write to the store"));
     }
     let size = job.entry.spec.size;
     let Some(row) = cell.limits.row(class) else {
         return Err(Blocked::Reason("the class has no row in the table"));
     };
     check_limits(cell, row, size)?;
-    let need = Demand { size, row, now };
-    let Some(at) = cell.placement.choose(&need, &cell.fleet) else {
-        return Err(Blocked::Room);
+    let demand = Demand { size, row, now };
+    let Some(worker_index) = cell.placement.choose(&demand, &cell.fleet) else {
+        return Err(Blocked::NoCapacity);
     };
     let team = row.team.clone();
-    start(cell, &id, index, at, &team, now);
-    Ok(at)
+    start(cell, &id, index, worker_index, &team, now);
+    Ok(worker_index)
 }
 
-/// Tells whether a class's ceilings and its team's quota admit one more task.
+/// Checks that the ceilings of a class and the quota of its team admit one more task.
 fn check_limits(cell: &Cell, row: &Row, size: Size) -> Result<(), Blocked> {
     let Some(limit) = cell.limits.limit(&row.class) else {
         return Err(Blocked::Reason("the class has no row in the table"));
     };
-    let Some(line) = cell.queues.classes().get(&row.class) else {
+    let Some(queue) = cell.queues.classes().get(&row.class) else {
         return Ok(());
     };
-    if line.running >= limit.running {
+    if queue.running >= limit.running {
         return Err(Blocked::Reason("max_running of the class is reached"));
     }
-    match line.used.plus(size).lacks(limit.ceiling) {
+    match queue.used.plus(size).lacks(limit.ceiling) {
         Some("processors") => {
             return Err(Blocked::Reason("max_processors of the class is reached"));
         }
@@ -179,14 +179,21 @@
     Ok(())
 }
 
-/// When a task should end by its declared length.
-fn due(start: &Start, now: Instant) -> Option<Instant> {
-    let left = Duration::from_millis(start.length.saturating_sub(start.resume));
-    (start.length > 0).then_some(now + left + START_ALLOWANCE)
+/// Returns when a task should end by its declared length; `None` if it has no declared length.
+fn expected_end(start: &Start, now: Instant) -> Option<Instant> {
+    let remaining = Duration::from_millis(start.length.saturating_sub(start.resume));
+    (start.length > 0).then_some(now + remaining + START_ALLOWANCE)
 }
 
-/// Commits room to a task and orders its start.
-fn start(cell: &mut Cell, id: &Arc<str>, index: u32, at: usize, team: &Arc<str>, now: Instant) {
+/// Allocates capacity to a task and orders its start.
+fn start(
+    cell: &mut Cell,
+    id: &Arc<str>,
+    index: u32,
+    worker_index: usize,
+    team: &Arc<str>,
+    now: Instant,
+) {
     let Some(Stage::Active(tenure)) = &mut cell.stage else {
         return;
     };
@@ -217,18 +224,22 @@
         resume,
     };
     cell.queues.add_running(&start.class, Some(team), size);
-    cell.fleet.allocate(at, &start.task, size);
+    cell.fleet.allocate(worker_index, &start.task, size);
     cell.counts.starts += 1;
     let class = start.class.clone();
     let run = Run {
-        worker: at,
+        worker: worker_index,
         attempt,
         class,
         size,
         since: now,
-        expected_end: due(&start, now),
+        expected_end: expected_end(&start, now),
         stopping: false,
     };
     cell.running.insert(start.task.clone(), run);
-    cell.fleet.worker_mut(at).outbox.starts.push(start);
+    cell.fleet
+        .worker_mut(worker_index)
+        .outbox
+        .starts
+        .push(start);
 }
--- a/components/sched/src/persistence.rs
+++ b/components/sched/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Writing a cell's book down in batches, and what waits for it.
+//! Persists a cell's record in batches and runs the actions that wait for a write.
 
 use {
     crate::{
@@ -12,16 +12,17 @@
     std::sync::{Arc, Mutex},
 };
 
-/// How many places of a job are reserved ahead of those started.
+/// Number of task indexes of a job that are reserved ahead of the started ones.
 const RESERVE_AHEAD: u32 = 1024;
 
-/// How many at-most-once tasks of a job are marked in one write.
+/// Number of at-most-once tasks of a job that are marked in one write.
 const MARKS_PER_WRITE: u32 = 512;
 
-/// How long an ended job is kept for those who ask, in milliseconds.
+/// How long the status of an ended job stays available, in milliseconds.
 const ENDED_RETENTION_MS: u64 = 10 * 60 * 1000;
 
-/// Makes one answer out of several: it is given with the last of them, or with the first failure.
+/// Splits a callback into `parts`. The callback runs with the result of the last part, or with the
+/// first failure.
 pub fn split_callback(done: WriteCallback, parts: usize) -> Vec<WriteCallback> {
     let shared = Arc::new(Mutex::new((parts, Some(done))));
     let part = |shared: Arc<Mutex<(usize, Option<WriteCallback>)>>| -> WriteCallback {
@@ -29,30 +30,30 @@
             let mut state = lock(&shared);
             state.0 -= 1;
             let last = state.0 == 0 || result.is_err();
-            let whole = if last { state.1.take() } else { None };
+            let callback = if last { state.1.take() } else { None };
             drop(state);
-            if let Some(whole) = whole {
-                whole(result);
+            if let Some(callback) = callback {
+                callback(result);
             }
         })
     };
     (0..parts).map(|_| part(shared.clone())).collect()
 }
 
-/// A book that is on its way to the store.
+/// An encoded cell record to write to the store.
 pub struct WriteBatch {
-    /// The version that the store has.
+    /// The expected store version.
     pub version: u64,
-    /// The book's bytes.
+    /// The encoded record.
     pub bytes: Vec<u8>,
 }
 
 impl Cell {
-    /// The next batch to write; `None` when nothing is due or a batch is on its way.
+    /// Returns the next batch to write; `None` when no write is due or one is in flight.
     ///
     /// # Errors
     ///
-    /// The book is larger than the store's values.
+    /// Returns `Busy` when the record exceeds [`MAX_RECORD`].
     pub fn take_batch(&mut self) -> Result<Option<WriteBatch>, Failure> {
         if self.write_queue.writing || !self.write_queue.is_dirty() || !self.is_active() {
             return Ok(None);
@@ -63,18 +64,18 @@
             mark_next(job);
         }
         self.write_queue.write_number += 1;
-        let book = CellRecord {
+        let record = CellRecord {
             epoch: self.epoch(),
             write: self.write_queue.write_number,
             jobs: self.jobs.values().map(|job| job.entry.clone()).collect(),
             drained: self.write_queue.drained.clone(),
         };
-        let bytes = wire::encode(&book)?;
+        let bytes = wire::encode(&record)?;
         self.write_queue.record_bytes = bytes.len();
         if bytes.len() > MAX_RECORD {
             return Err(Failure::not_run(
                 Cause::Busy,
-                "the cell's book is too large",
+                "the cell record is too large to be written",
             ));
         }
         self.write_queue.dirty = false;
@@ -88,7 +89,7 @@
         }))
     }
 
-    /// The batch on its way was written, as this version.
+    /// Handles the success of the write in flight; `version` is the new store version.
     pub fn batch_written(&mut self, version: u64) {
         self.write_queue.store_version = version;
         self.write_queue.writing = false;
@@ -97,10 +98,10 @@
         }
         for effect in std::mem::take(&mut self.write_queue.in_flight) {
             match effect {
-                AfterWrite::ActivateJob(id) => self.begin(&id),
-                AfterWrite::Forget(at, task, attempt) => {
+                AfterWrite::ActivateJob(id) => self.activate_job(&id),
+                AfterWrite::Forget(worker_index, task, attempt) => {
                     self.fleet
-                        .worker_mut(at)
+                        .worker_mut(worker_index)
                         .outbox
                         .forget
                         .push((task, attempt));
@@ -111,13 +112,14 @@
         self.enqueue_marked();
     }
 
-    /// The batch on its way was surely not written; it is due again with what came since.
+    /// Handles the failure of the write in flight, which is certain to have had no effect. It becomes due
+    /// again together with later changes.
     pub fn batch_failed(&mut self) {
         self.write_queue.writing = false;
         self.write_queue.dirty = true;
     }
 
-    /// Lets tasks begin whose mark is written.
+    /// Enqueues at-most-once tasks whose mark is written.
     fn enqueue_marked(&mut self) {
         let mut ids = Vec::new();
         for job in self.jobs.values_mut() {
@@ -128,14 +130,15 @@
         for id in ids {
             self.enqueue(&id);
         }
-        // Tasks that still need a mark need a write, also when nothing else does.
+        // Tasks that still need a mark make a write due, even if nothing else has changed.
         let unmarked = |job: &Job| !job.entry.cancelled && !job.unmarked.is_empty();
         if self.jobs.values().any(unmarked) {
             self.write_queue.mark_dirty();
         }
     }
 
-    /// Drops jobs that ended long ago.
+    /// Removes jobs that ended more than [`ENDED_RETENTION_MS`] ago, or all ended jobs when the record
+    /// is larger than half its maximum.
     fn remove_ended(&mut self) {
         let limit = wall_clock::millis().saturating_sub(ENDED_RETENTION_MS);
         let full = self.write_queue.record_bytes > MAX_RECORD / 2;
@@ -145,7 +148,7 @@
     }
 }
 
-/// Reserves places ahead of those that were started.
+/// Reserves task indexes ahead of the started ones.
 fn reserve_ahead(job: &mut Job) {
     let ahead = job
         .started
@@ -156,22 +159,22 @@
     }
 }
 
-/// True when a job will soon run out of reserved places.
+/// Returns true when a job will soon run out of reserved task indexes.
 pub fn needs_reservation(job: &Job) -> bool {
     job.reserved < job.entry.spec.count && job.started + RESERVE_AHEAD / 2 > job.reserved
 }
 
-/// Marks the next tasks that must not be started twice.
+/// Marks the next at-most-once tasks.
 fn mark_next(job: &mut Job) {
     if !job.entry.spec.once || job.entry.cancelled {
         return;
     }
-    let mut left = MARKS_PER_WRITE;
+    let mut remaining = MARKS_PER_WRITE;
     for range in job.unmarked.iter() {
-        let end = (*range.end()).min(range.start().saturating_add(left - 1));
-        left -= end - range.start() + 1;
+        let end = (*range.end()).min(range.start().saturating_add(remaining - 1));
+        remaining -= end - range.start() + 1;
         job.entry.marked.insert(*range.start()..=end);
-        if left == 0 {
+        if remaining == 0 {
             return;
         }
     }
--- a/components/sched/src/placement.rs
+++ b/components/sched/src/placement.rs
@@ -1,4 +1,4 @@
-//! Policies that choose a worker for a task. They register themselves and are chosen by name.
+//! Placement policies, which choose a worker for a task. They are plug-ins selected by name.
 
 use {
     crate::fleet::Fleet,
@@ -11,98 +11,100 @@
     table::{Kind, Row},
 };
 
-/// The kind under which placement policies register.
+/// The plug-in kind of placement policies.
 pub const KIND: &str = "placement";
 
-/// What a task needs.
+/// The demand of a task.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand<'a> {
-    /// Its size.
+    /// The size of the task.
     pub size: Size,
-    /// Its class's row.
+    /// The row of its class.
     pub row: &'a Row,
-    /// The time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// A policy.
+/// A placement policy.
 pub trait Placement: Send {
-    /// The place of the worker to start the task on; `None` when it fits on none.
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize>;
+    /// Returns the index of the worker to start the task on; `None` when the task fits on no worker.
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize>;
 }
 
-/// Makes the policy of this name.
+/// Creates the policy with this name.
 ///
 /// # Errors
 ///
-/// No policy has this name; the failure lists those that there are.
+/// Fails if no policy has this name; the error lists the known names.
 pub fn create(name: &str) -> Result<Box<dyn Placement>, Failure> {
     plugin::make(KIND, name)
 }
 
-/// True when the task may and can run on the worker.
-pub fn fits(need: &Demand<'_>, fleet: &Fleet, at: usize) -> bool {
-    let slot = fleet.worker(at);
-    need.size.fits(slot.free) && need.row.admits(&slot.generation) && slot.is_schedulable(need.now)
+/// Returns true when the worker is schedulable, of an admitted generation, and has enough free capacity.
+pub fn fits(demand: &Demand<'_>, fleet: &Fleet, index: usize) -> bool {
+    let worker = fleet.worker(index);
+    demand.size.fits(worker.free)
+        && demand.row.admits(&worker.generation)
+        && worker.is_schedulable(demand.now)
 }
 
-/// The worker that has the least room left and still fits.
+/// Chooses the fitting worker with the least free CPU.
 struct Packing;
 
 impl Placement for Packing {
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         fleet
-            .by_least_free(need.size.cpu)
-            .find(|at| fits(need, fleet, *at))
+            .by_least_free(demand.size.cpu)
+            .find(|index| fits(demand, fleet, *index))
     }
 }
 
-/// The worker that has the most room.
+/// Chooses the fitting worker with the most free CPU.
 struct Spread;
 
 impl Placement for Spread {
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         fleet
-            .by_most_free(need.size.cpu)
-            .find(|at| fits(need, fleet, *at))
+            .by_most_free(demand.size.cpu)
+            .find(|index| fits(demand, fleet, *index))
     }
 }
 
-/// The first worker in the order of the list.
+/// Chooses the first fitting worker in the order of the list.
 struct FirstFit;
 
 impl Placement for FirstFit {
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
-        (0..fleet.workers().len()).find(|at| fits(need, fleet, *at))
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+        (0..fleet.workers().len()).find(|index| fits(demand, fleet, *index))
     }
 }
 
-/// Any worker that fits, each with the same chance.
+/// Chooses a random worker that fits.
 struct Random(fastrand::Rng);
 
 impl Placement for Random {
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
         let mut found = None;
-        for (seen, at) in fleet.by_least_free(need.size.cpu).enumerate() {
-            if !fits(need, fleet, at) {
+        for (seen, index) in fleet.by_least_free(demand.size.cpu).enumerate() {
+            if !fits(demand, fleet, index) {
                 continue;
             }
             if found.is_none() || self.0.usize(..=seen) == 0 {
-                found = Some(at);
+                found = Some(index);
             }
         }
         found
     }
 }
 
-/// Services where the most room is, so that they keep away from others; the rest packed.
+/// Spreads services, which keeps them apart from other work, and packs everything else.
 struct Mixed;
 
 impl Placement for Mixed {
-    fn choose(&mut self, need: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
-        match need.row.kind {
-            Kind::Service => Spread.choose(need, fleet),
-            Kind::Batch | Kind::Standing => Packing.choose(need, fleet),
+    fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize> {
+        match demand.row.kind {
+            Kind::Service => Spread.choose(demand, fleet),
+            Kind::Batch | Kind::Standing => Packing.choose(demand, fleet),
         }
     }
 }
@@ -165,14 +167,14 @@
     #[test_case("first-fit"; "first fit")]
     #[test_case("random"; "random")]
     #[test_case("mixed"; "mixed")]
-    fn make_finds(name: &str) {
+    fn create_by_name(name: &str) {
         let mut policy = create(name).unwrap();
         let row = Row::batch("b");
-        let need = Demand {
+        let demand = Demand {
             size: Size::new(1, 1, 0),
             row: &row,
             now: Instant::now(),
         };
-        assert_eq!(policy.choose(&need, &Fleet::default()), None);
+        assert_eq!(policy.choose(&demand, &Fleet::default()), None);
     }
 }
--- a/components/sched/src/queue.rs
+++ b/components/sched/src/queue.rs
@@ -1,4 +1,4 @@
-//! The lines of jobs by class, and what each class and team uses.
+//! The job queues of a cell by class, and the allocations of each class and team.
 
 use {
     infra::Size,
@@ -8,18 +8,18 @@
     },
 };
 
-/// One class's line.
+/// The queue of one class.
 #[derive(Debug, Default)]
 pub struct ClassQueue {
-    /// The jobs with tasks that may be started, the first first.
+    /// Jobs with ready tasks, next first.
     pub jobs: VecDeque<Arc<str>>,
-    /// What its running tasks are committed.
+    /// Allocation of its running tasks.
     pub used: Size,
-    /// How many of its tasks run.
+    /// Number of its running tasks.
     pub running: u32,
 }
 
-/// All lines of a cell.
+/// All queues of a cell.
 #[derive(Debug, Default)]
 pub struct Queues {
     classes: BTreeMap<Arc<str>, ClassQueue>,
@@ -27,50 +27,50 @@
 }
 
 impl Queues {
-    /// A class's line, made when there is none.
+    /// Returns the queue of a class, created if needed.
     pub fn class_mut(&mut self, class: &Arc<str>) -> &mut ClassQueue {
         self.classes.entry(class.clone()).or_default()
     }
 
-    /// All lines.
+    /// Returns all queues by class.
     pub fn classes(&self) -> &BTreeMap<Arc<str>, ClassQueue> {
         &self.classes
     }
 
-    /// What a team's running tasks are committed.
+    /// Returns the allocation of a team's running tasks.
     pub fn team_usage(&self, team: &str) -> Size {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// A task of the class starts.
+    /// Adds a started task to the usage of its class and team.
     pub fn add_running(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
-        let line = self.class_mut(class);
-        line.used = line.used.plus(size);
-        line.running += 1;
+        let queue = self.class_mut(class);
+        queue.used = queue.used.plus(size);
+        queue.running += 1;
         if let Some(team) = team {
             let used = self.team_usage.entry(team.clone()).or_default();
             *used = used.plus(size);
         }
     }
 
-    /// A task of the class ended.
+    /// Subtracts an ended task from the usage of its class and team.
     pub fn remove_running(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
-        let line = self.class_mut(class);
-        line.used = line.used.minus(size);
-        line.running = line.running.saturating_sub(1);
+        let queue = self.class_mut(class);
+        queue.used = queue.used.minus(size);
+        queue.running = queue.running.saturating_sub(1);
         if let Some(team) = team {
             let used = self.team_usage.entry(team.clone()).or_default();
             *used = used.minus(size);
         }
     }
 
-    /// Works out anew what each team uses, after classes may have changed their teams.
+    /// Recomputes the usage of each team, since classes may have moved to other teams.
     pub fn recount_teams<'a>(&mut self, team_of: impl Fn(&str) -> Option<&'a Arc<str>>) {
         self.team_usage.clear();
-        for (class, line) in &self.classes {
+        for (class, queue) in &self.classes {
             let Some(team) = team_of(class) else { continue };
             let used = self.team_usage.entry(team.clone()).or_default();
-            *used = used.plus(line.used);
+            *used = used.plus(queue.used);
         }
     }
 }
--- a/components/sched/src/record.rs
+++ b/components/sched/src/record.rs
@@ -1,4 +1,4 @@
-//! What lasts of a cell: one value in the store, written in batches.
+//! The persisted record of a cell: one value in the store, written in batches.
 
 use {
     crate::spec::Spec,
@@ -12,43 +12,43 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The largest book that is written, in bytes; the store's limit and some room.
+/// Maximum size of a written record in bytes: the store's value limit less a margin.
 pub const MAX_RECORD: usize = 1000 * 1024;
 
-/// What lasts of one job.
+/// The persisted state of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The job's id.
     pub id: Arc<str>,
-    /// What was asked for.
+    /// The specification.
     pub spec: Spec,
-    /// When it was submitted, in milliseconds since 1970.
+    /// When the job was submitted, in milliseconds since 1970.
     pub at: u64,
-    /// Tasks below this place may have been started.
+    /// Tasks below this index may have been started.
     pub reserved: u32,
-    /// Tasks that finished.
+    /// Finished tasks.
     pub done: RangeInclusiveSet<u32>,
-    /// Tasks that were given up after failures.
+    /// Tasks that reached the failure limit.
     pub failed: RangeInclusiveSet<u32>,
-    /// Tasks that must not be started twice and may have been started.
+    /// At-most-once tasks that may have been started.
     pub marked: RangeInclusiveSet<u32>,
-    /// Tasks that must not be started twice and whose end is not known.
+    /// At-most-once tasks whose outcome is unknown.
     pub unknown: RangeInclusiveSet<u32>,
-    /// The work done at the checkpoints to resume from, in milliseconds, by task.
+    /// By task: the work done at the checkpoint to resume from, in milliseconds.
     pub resume: BTreeMap<u32, u64>,
     /// True after a cancellation.
     pub cancelled: bool,
-    /// When it ended, in milliseconds since 1970.
+    /// When the job ended, in milliseconds since 1970; `None` while it runs or waits.
     pub ended: Option<u64>,
 }
 
 impl JobRecord {
-    /// A job that was just submitted.
-    pub fn new(id: Arc<str>, spec: Spec, at: u64) -> Self {
+    /// Creates the record of a newly submitted job.
+    pub fn new(id: Arc<str>, spec: Spec, submitted_at: u64) -> Self {
         JobRecord {
             id,
             spec,
-            at,
+            at: submitted_at,
             reserved: 0,
             done: RangeInclusiveSet::new(),
             failed: RangeInclusiveSet::new(),
@@ -61,53 +61,57 @@
     }
 }
 
-/// What lasts of a cell.
+/// The persisted state of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellRecord {
-    /// The epoch of the owner that wrote it.
+    /// The epoch of the owner that wrote the record.
     pub epoch: u64,
-    /// Goes up with each write of the epoch, so that no two writes have the same bytes.
+    /// Number of the write within the epoch, so that no two writes have the same bytes.
     pub write: u64,
-    /// The jobs.
+    /// Jobs that wait or run, and recently ended jobs.
     pub jobs: Vec<JobRecord>,
-    /// Workers that operators drain.
+    /// Workers drained by operators.
     #[serde(default)]
     pub drained: Vec<Arc<str>>,
 }
 
-/// The key of a cell's book.
+/// Returns the store key of a cell's record.
 pub fn key(cell: &str) -> String {
     format!("magpie/cell/{cell}/book")
 }
 
-/// How often the claim of a book is tried while the earlier owner still writes.
-const CLAIM_TRIES: u32 = 5;
+/// Attempts to claim a record while the previous owner still writes it.
+const CLAIM_ATTEMPTS: u32 = 5;
 
-/// Takes a cell's book over for a raised epoch: from then on the earlier owner's writes fail.
-/// Returns the book and its version.
+/// Claims a cell's record for a raised epoch. The previous owner's writes fail afterwards.
+/// Returns the store version and the record.
 ///
 /// # Errors
 ///
-/// The store fails; a newer epoch has the book; the value is no book.
+/// Fails if the store fails, a newer epoch has claimed the record, the record keeps changing, or the
+/// value can't be decoded.
 pub fn claim(store: &dyn Store, cell: &str, epoch: u64) -> Result<(u64, CellRecord), Failure> {
     let mut last = Failure::not_run(
         kernel::verdict::Cause::Conflict,
-        "the book changes too fast",
+        "the cell record changed during every attempt to claim it",
     );
-    for write in 0..CLAIM_TRIES {
+    for write in 0..CLAIM_ATTEMPTS {
         let found = store.get(&key(cell))?;
-        let (version, mut book) = match &found {
+        let (version, mut record) = match &found {
             Some(value) => (value.version, wire::decode::<CellRecord>(&value.bytes)?),
             None => (0, CellRecord::default()),
         };
-        if book.epoch > epoch {
-            let text = format!("epoch {} has the book of {cell}", book.epoch);
+        if record.epoch > epoch {
+            let text = format!(
+                "the record of cell {cell} is claimed by epoch {}",
+                record.epoch
+            );
             return Err(Failure::not_run(kernel::verdict::Cause::Conflict, text));
         }
-        book.epoch = epoch;
-        book.write = u64::from(write);
-        match settle::swap(store, &key(cell), version, &wire::encode(&book)?) {
-            Settled::Done(version) => return Ok((version, book)),
+        record.epoch = epoch;
+        record.write = u64::from(write);
+        match settle::swap(store, &key(cell), version, &wire::encode(&record)?) {
+            Settled::Done(version) => return Ok((version, record)),
             Settled::Lost(_) | Settled::Overtaken(_) => {}
             Settled::NotRun(failure) | Settled::Unknown(failure) => last = failure,
         }
--- a/components/sched/src/report.rs
+++ b/components/sched/src/report.rs
@@ -1,4 +1,4 @@
-//! What a worker's report means to its cell.
+//! Handles worker reports: adopts, ends, fails and requeues tasks, and counts losses.
 
 use {
     crate::{
@@ -14,24 +14,24 @@
     },
 };
 
-/// Workers on which a task may fail before it is given up.
+/// Number of workers on which a task fails before it counts as failed for good.
 const MAX_FAILED_WORKERS: usize = 4;
-/// How often in a row a task may be lost with its worker soon after it had started, before it is given up: then it is
-/// taken to crash its workers. Without a bound one task takes a worker at each of its starts, for ever (seen in a test of 20 rounds); a task that
-/// runs for long and loses its worker now and then is not meant.
+/// Consecutive early losses of a task with its worker after which it counts as failed, since it
+/// presumably crashes its workers. Without a limit, one such task takes down a worker at each start,
+/// as in a test of 20 rounds. Long-running tasks that lose their worker occasionally are unaffected.
 const MAX_EARLY_LOSSES: u32 = 5;
-/// A task that has run for this long with its worker was not lost by starting: as for a cell of the users' platform, ten
-/// times as long as most tasks run.
+/// A loss within this time after the start counts as early. The limit is ten times as long as most
+/// tasks run, the same as for the cells of the users' platform.
 const EARLY_LOSS: Duration = Duration::from_secs(30);
 
 impl Cell {
-    /// Takes a report over that answers this order.
-    pub fn on_report(&mut self, at: usize, order: &Order, report: Report, now: Instant) {
-        let slot = self.fleet.worker_mut(at);
-        let rebooted = slot
+    /// Handles the report that answers an order.
+    pub fn on_report(&mut self, worker_index: usize, order: &Order, report: Report, now: Instant) {
+        let worker = self.fleet.worker_mut(worker_index);
+        let rebooted = worker
             .last_report
-            .is_some_and(|heard| heard.boot != report.boot);
-        slot.order_delivered(order);
+            .is_some_and(|last| last.boot != report.boot);
+        worker.order_delivered(order);
         let Report {
             boot,
             clock,
@@ -40,28 +40,28 @@
             refusals,
             ..
         } = report;
-        slot.last_report = Some(LastReport {
+        worker.last_report = Some(LastReport {
             boot,
             clock,
             version,
-            at: now,
+            received_at: now,
         });
-        slot.ledger_read = true;
+        worker.ledger_read = true;
         if rebooted {
-            self.release_lost_tasks(at, now);
+            self.release_lost_tasks(worker_index, now);
         }
         for record in records {
-            self.on_record(at, record, now);
+            self.on_record(worker_index, record, now);
         }
         for refusal in refusals {
-            self.on_refusal(at, &refusal);
+            self.on_refusal(worker_index, &refusal);
         }
     }
 
-    fn on_record(&mut self, at: usize, record: Record, now: Instant) {
+    fn on_record(&mut self, worker_index: usize, record: Record, now: Instant) {
         let known = self.jobs.contains_key(&record.task.job);
         match record.phase {
-            Phase::Running if known => self.on_running(at, record, now),
+            Phase::Running if known => self.on_running(worker_index, record, now),
             Phase::Running => {
                 let (task, attempt) = (record.task, record.attempt);
                 let stop = Stop {
@@ -69,16 +69,17 @@
                     attempt,
                     manner: Manner::Kill,
                 };
-                self.fleet.worker_mut(at).outbox.stops.push(stop);
+                self.fleet.worker_mut(worker_index).outbox.stops.push(stop);
             }
-            Phase::Finished => self.on_finished(at, &record),
-            Phase::Failed => self.on_failed(at, &record, now),
-            Phase::Stopped => self.on_stopped(at, &record),
+            Phase::Finished => self.on_finished(worker_index, &record),
+            Phase::Failed => self.on_failed(worker_index, &record, now),
+            Phase::Stopped => self.on_stopped(worker_index, &record),
         }
     }
 
-    /// A task runs. It is adopted when this owner did not start it.
-    fn on_running(&mut self, at: usize, record: Record, now: Instant) {
+    /// Handles a running task. Adopts it if this owner did not start it, and stops it if another start of
+    /// the task is current.
+    fn on_running(&mut self, worker_index: usize, record: Record, now: Instant) {
         if let Some(run) = self.running.get(&record.task) {
             if run.attempt != record.attempt {
                 let (task, attempt) = (record.task, record.attempt);
@@ -87,7 +88,7 @@
                     attempt,
                     manner: Manner::Kill,
                 };
-                self.fleet.worker_mut(at).outbox.stops.push(stop);
+                self.fleet.worker_mut(worker_index).outbox.stops.push(stop);
             }
             return;
         }
@@ -103,7 +104,7 @@
         let team = self.limits.row(&record.class).map(|row| row.team.clone());
         self.queues
             .add_running(&record.class, team.as_ref(), record.size);
-        self.fleet.allocate(at, &record.task, record.size);
+        self.fleet.allocate(worker_index, &record.task, record.size);
         let Record {
             task,
             attempt,
@@ -112,7 +113,7 @@
             ..
         } = record;
         let run = Run {
-            worker: at,
+            worker: worker_index,
             attempt,
             class,
             size,
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Takes a task off the books of what runs, if it is this start of it.
-    pub(crate) fn leave(&mut self, task: &Task, attempt: u64) -> Option<Run> {
+    /// Removes a run and releases its capacity, if `attempt` is the current start of the task.
+    pub(crate) fn end_run(&mut self, task: &Task, attempt: u64) -> Option<Run> {
         if self.running.get(task)?.attempt != attempt {
             return None;
         }
@@ -137,8 +138,8 @@
             .remove_running(&run.class, team.as_ref(), run.size);
         self.fleet.release(run.worker, task, run.size);
         if run.stopping {
-            let slot = self.fleet.worker_mut(run.worker);
-            slot.freeing = slot.freeing.minus(run.size);
+            let worker = self.fleet.worker_mut(run.worker);
+            worker.freeing = worker.freeing.minus(run.size);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.running.remove(&task.index);
@@ -146,15 +147,18 @@
         Some(run)
     }
 
-    fn stage_forget(&mut self, at: usize, record: &Record) {
-        self.write_queue
-            .stage(AfterWrite::Forget(at, record.task.clone(), record.attempt));
+    fn stage_forget(&mut self, worker_index: usize, record: &Record) {
+        self.write_queue.stage(AfterWrite::Forget(
+            worker_index,
+            record.task.clone(),
+            record.attempt,
+        ));
     }
 
-    fn on_finished(&mut self, at: usize, record: &Record) {
-        self.leave(&record.task, record.attempt);
-        self.fleet.worker_mut(at).record_success();
-        self.stage_forget(at, record);
+    fn on_finished(&mut self, worker_index: usize, record: &Record) {
+        self.end_run(&record.task, record.attempt);
+        self.fleet.worker_mut(worker_index).record_success();
+        self.stage_forget(worker_index, record);
         let index = record.task.index;
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
@@ -170,19 +174,19 @@
         job.failures.remove(&index);
         job.losses.remove(&index);
         self.counts.finished += 1;
-        // A later start of the same task has nothing more to do.
+        // A later start of the same task is redundant.
         self.stop(&record.task, Manner::Kill);
         self.check_ended(&record.task.job);
     }
 
-    fn on_failed(&mut self, at: usize, record: &Record, now: Instant) {
-        let slot = self.fleet.worker_mut(at);
-        let name = slot.name.clone();
-        if slot.record_failure(now) {
-            log::warn!(target: "sched", "A worker is set aside, tasks fail on it. worker={name}");
+    fn on_failed(&mut self, worker_index: usize, record: &Record, now: Instant) {
+        let worker = self.fleet.worker_mut(worker_index);
+        let name = worker.name.clone();
+        if worker.record_failure(now) {
+            log::warn!(target: "sched", "Worker quarantined after repeated task failures. worker={name}");
         }
-        self.stage_forget(at, record);
-        if self.leave(&record.task, record.attempt).is_none() {
+        self.stage_forget(worker_index, record);
+        if self.end_run(&record.task, record.attempt).is_none() {
             return;
         }
         let index = record.task.index;
@@ -194,7 +198,7 @@
         if workers.len() >= MAX_FAILED_WORKERS || job.entry.spec.once {
             log::warn!(
                 target: "sched",
-                "A task is given up after failures. task={} workers={}",
+                "Task failed; the failure limit is reached. task={} workers={}",
                 record.task, workers.iter().map(|w| &**w).collect::<Vec<_>>().join(",")
             );
             job::insert(&mut job.entry.failed, index);
@@ -206,9 +210,9 @@
         self.write_queue.mark_dirty();
     }
 
-    fn on_stopped(&mut self, at: usize, record: &Record) {
-        self.stage_forget(at, record);
-        let ran = self.leave(&record.task, record.attempt);
+    fn on_stopped(&mut self, worker_index: usize, record: &Record) {
+        self.stage_forget(worker_index, record);
+        let ran = self.end_run(&record.task, record.attempt);
         let index = record.task.index;
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
@@ -222,7 +226,7 @@
         self.check_ended(&record.task.job);
     }
 
-    /// A task that ran and did not end by itself waits again, or is unknown if it must not.
+    /// Requeues a task that was stopped or lost. An at-most-once task becomes unknown instead.
     fn return_to_queue(&mut self, task: &Task) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -237,16 +241,17 @@
         self.write_queue.mark_dirty();
     }
 
-    /// A start was refused: the task did not run, and the worker is read anew.
-    fn on_refusal(&mut self, at: usize, refusal: &Refusal) {
+    /// Handles a refused start: requeues the task, which did not run, and requests the worker's whole
+    /// ledger.
+    fn on_refusal(&mut self, worker_index: usize, refusal: &Refusal) {
         log::debug!(
-            target: "sched", "A start was refused. task={} reason={}",
+            target: "sched", "Start refused by the worker. task={} reason={}",
             refusal.task, refusal.reason
         );
-        if let Some(heard) = &mut self.fleet.worker_mut(at).last_report {
-            heard.version = 0;
+        if let Some(last) = &mut self.fleet.worker_mut(worker_index).last_report {
+            last.version = 0;
         }
-        if self.leave(&refusal.task, refusal.attempt).is_none() {
+        if self.end_run(&refusal.task, refusal.attempt).is_none() {
             return;
         }
         let Some(job) = self.jobs.get_mut(&refusal.task.job) else {
@@ -257,23 +262,24 @@
         self.check_ended(&refusal.task.job);
     }
 
-    /// Lets the tasks of a worker wait again: they surely do not run there any more.
-    pub(crate) fn release_lost_tasks(&mut self, at: usize, now: Instant) {
-        let tasks = self.fleet.worker(at).tasks.clone();
-        let slot = self.fleet.worker_mut(at);
-        slot.outbox.starts.clear();
-        slot.outbox.stops.clear();
-        slot.outbox.throttles.clear();
+    /// Requeues the tasks of a worker on which they certainly run no more, or fails those with too many
+    /// early losses.
+    pub(crate) fn release_lost_tasks(&mut self, worker_index: usize, now: Instant) {
+        let tasks = self.fleet.worker(worker_index).tasks.clone();
+        let worker = self.fleet.worker_mut(worker_index);
+        worker.outbox.starts.clear();
+        worker.outbox.stops.clear();
+        worker.outbox.throttles.clear();
         for task in tasks {
             let Some((attempt, since)) =
                 self.running.get(&task).map(|run| (run.attempt, run.since))
             else {
                 continue;
             };
-            self.leave(&task, attempt);
+            self.end_run(&task, attempt);
             self.counts.lost += 1;
-            let is_soon = now < since + EARLY_LOSS;
-            if self.record_loss(&task, is_soon) {
+            let is_early = now < since + EARLY_LOSS;
+            if self.record_loss(&task, is_early) {
                 self.fail_task(&task);
             } else {
                 self.return_to_queue(&task);
@@ -281,12 +287,12 @@
         }
     }
 
-    /// Counts the losses of a task in a row that came soon after its start. True when they are too many.
-    fn record_loss(&mut self, task: &Task, is_soon: bool) -> bool {
+    /// Counts consecutive early losses of a task. Returns true when the limit is reached.
+    fn record_loss(&mut self, task: &Task, is_early: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        if !is_soon {
+        if !is_early {
             job.losses.remove(&task.index);
             return false;
         }
@@ -295,9 +301,9 @@
         *losses >= MAX_EARLY_LOSSES
     }
 
-    /// Starts a task no more that was lost with its worker again and again.
+    /// Marks a task as failed after repeated early losses.
     fn fail_task(&mut self, task: &Task) {
-        log::warn!(target: "sched", "A task is given up, its workers are lost. task={task}");
+        log::warn!(target: "sched", "Task failed; it was repeatedly lost with its worker. task={task}");
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job::insert(&mut job.entry.failed, task.index);
         }
@@ -305,25 +311,25 @@
         self.write_queue.mark_dirty();
     }
 
-    /// Gives up workers that were silent until their leases were surely over.
+    /// Declares workers lost that were unreachable until their leases had certainly expired.
     pub(crate) fn expire_unreachable(&mut self, now: Instant) {
-        let term = self.timing;
-        let over = |heard: &LastReport| term.is_over(heard.at, now);
-        let silent: Vec<usize> = (0..self.fleet.workers().len())
-            .filter(|at| {
+        let timing = self.timing;
+        let expired = |last: &LastReport| timing.is_over(last.received_at, now);
+        let unreachable: Vec<usize> = (0..self.fleet.workers().len())
+            .filter(|worker_index| {
                 self.fleet
-                    .worker(*at)
+                    .worker(*worker_index)
                     .last_report
                     .as_ref()
-                    .is_some_and(over)
+                    .is_some_and(expired)
             })
             .collect();
-        for at in silent {
-            let name: Arc<str> = self.fleet.worker(at).name.clone();
-            log::warn!(target: "sched", "A worker was silent until its lease ended. worker={name}");
-            self.release_lost_tasks(at, now);
-            let slot = self.fleet.worker_mut(at);
-            slot.last_report = None;
+        for worker_index in unreachable {
+            let name: Arc<str> = self.fleet.worker(worker_index).name.clone();
+            log::warn!(target: "sched", "Worker lost: unreachable until its lease expired. worker={name}");
+            self.release_lost_tasks(worker_index, now);
+            let worker = self.fleet.worker_mut(worker_index);
+            worker.last_report = None;
         }
     }
 }
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -1,4 +1,4 @@
-//! A whole scheduler process: the port, the actor and the tasks.
+//! A scheduler process: the server, the actor and the background tasks.
 
 use {
     crate::{
@@ -28,53 +28,54 @@
     table::Follower,
 };
 
-/// Tasks that serve the port.
+/// Number of concurrent requests of the server.
 const CONCURRENCY: usize = 16;
 
-/// How often the list of boxes is read.
+/// Interval between reads of the list of boxes.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often cells to be taken over are looked for.
+/// Interval between checks for cells to take over.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often owners are watched over.
+/// Interval between health checks of owners.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The time between two exchanges of all summaries with a random box, for each cell, so that their
-/// bytes a second do not grow with the cells.
+/// Interval per known cell between two exchanges of all summaries with a random box, so that the bytes
+/// per second do not grow with the number of cells.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The time for one exchange of summaries.
+/// Time-out of one exchange of summaries.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a stop waits for books to be written.
+/// Maximum wait at shutdown for unpersisted changes to be written.
 const MAX_FLUSH_WAIT: Duration = Duration::from_secs(3);
 
-/// What a scheduler process needs to start.
+/// The settings and clients of a scheduler process.
 pub struct Settings {
-    /// The box's name, as in the platform's list.
+    /// Name of this box, as in the platform's list.
     pub name: Arc<str>,
-    /// The address of the port.
+    /// Listen address of the server.
     pub listen: SocketAddr,
-    /// The base address that others reach it by; `None` for that of the port.
+    /// Base URL advertised to other boxes; `None` for that of the server.
     pub url: Option<Arc<str>>,
-    /// The secret of the internal ports.
+    /// Shared secret of the internal servers.
     pub token: Option<Token>,
-    /// The store.
+    /// The store client.
     pub store: Arc<dyn Store>,
-    /// The list of boxes.
+    /// The source of the list of boxes.
     pub boxes: Arc<dyn Boxes>,
-    /// The workers.
+    /// The client for calls to workers.
     pub workers: Arc<dyn Workers>,
-    /// The terms of the leases.
+    /// Lease duration and clock drift.
     pub timing: Term,
-    /// How often a worker is exchanged with when nothing is due.
+    /// Interval between exchanges with a worker when nothing is due.
     pub heartbeat: Duration,
-    /// The name of the placement policy.
+    /// Name of the placement policy.
     pub placement: Arc<str>,
 }
 
-/// A client for exchanges with workers: it keeps a connection to each of a few cells' workers.
+/// Creates a client for exchanges with workers. Its pool keeps a connection to each worker of a few
+/// cells.
 pub fn worker_client() -> Client {
     let limits = PoolLimits {
         max_idle: 4096,
@@ -84,7 +85,7 @@
     Client::with_limits(None, limits)
 }
 
-/// A scheduler process that runs.
+/// A running scheduler process.
 pub struct Service {
     tasks: Tasks,
     server: Server,
@@ -104,17 +105,17 @@
 }
 
 impl Service {
-    /// Starts the process's parts.
+    /// Starts the process.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or the system has no room for threads.
+    /// Fails if the address cannot be bound or a thread cannot be spawned.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let client = Client::new(settings.token.clone());
         let ready = Readiness::new();
-        // The port is bound before the actor starts, since the actor tells others its address.
-        let late: Arc<std::sync::OnceLock<Port>> = Arc::default();
-        let port = late.clone();
+        // The server is bound before the actor starts, since the actor advertises its address.
+        let handler_port: Arc<std::sync::OnceLock<Port>> = Arc::default();
+        let port = handler_port.clone();
         let handler = Arc::new(move |request: kernel::Request| match port.get() {
             Some(port) => port.handle(request),
             None => request.respond(kernel::Reply::text(503, "starting\n")),
@@ -130,9 +131,9 @@
             heartbeat: settings.heartbeat,
             placement: settings.placement,
         };
-        let theirs = shared.clone();
+        let actor_shared = shared.clone();
         let host = ActorThread::start("sched", move |cx, remote| {
-            Scheduler::new(cx, theirs, remote)
+            Scheduler::new(cx, actor_shared, remote)
         })?;
         let remote = host.actor_ref().clone();
         let port = Port {
@@ -140,7 +141,7 @@
             client: client.clone(),
             ready: ready.clone(),
         };
-        let _ = late.set(port);
+        let _ = handler_port.set(port);
         let on_list = remote.clone();
         let changed = Box::new(move |list: &Arc<infra::List>| {
             let list = list.clone();
@@ -175,25 +176,25 @@
         })
     }
 
-    /// The base address of the port.
+    /// Returns the base URL of the server.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// The actor, for embedders and tests.
+    /// Returns the actor, for embedding and for tests.
     pub fn remote(&self) -> &kernel::ActorRef<Scheduler> {
         &self.tasks.remote
     }
 
-    /// Stops: not ready first, nothing more is placed, books are written, cells are handed over.
-    /// Tasks go on running at the workers.
+    /// Stops gracefully: reports as not ready, stops placing tasks, persists the cells and hands them
+    /// over. Tasks keep running on the workers.
     pub fn stop(&mut self) {
         self.ready.set(false);
         self.tasks.hand_over();
         self.shut_down();
     }
 
-    /// Stops without handing anything over, as if the process had been killed.
+    /// Stops without handing over the cells, as after a crash.
     pub fn kill(&mut self) {
         self.shut_down();
     }
@@ -203,7 +204,7 @@
         self.tasks.signal.stop();
         let _ = self.tasks.remote.ask(|sched, _| {
             for cell in sched.begin_stop() {
-                sched.end_ownership(&cell, "the process stops");
+                sched.end_ownership(&cell, "the process is stopping");
             }
         });
         self.follower.stop();
@@ -233,7 +234,7 @@
         ])
     }
 
-    /// Takes cells over that this box is to own.
+    /// Takes over the cells assigned to this box.
     fn claim(&self) {
         let mut failures = 0;
         while !self.signal.is_stopped() {
@@ -249,23 +250,23 @@
                 {
                     failed = true;
                     if failures == 0 {
-                        log::warn!(target: "sched", "A takeover failed. cell={cell} {failure}");
+                        log::warn!(target: "sched", "Takeover failed. cell={cell} {failure}");
                     }
                 }
             }
             failures = if failed { failures + 1 } else { 0 };
-            let most = Duration::from_secs(3);
+            let max_backoff = Duration::from_secs(3);
             let jitter = fastrand::f64();
             self.signal.wait(infra::budget::backoff(
                 CLAIM_INTERVAL,
-                most,
+                max_backoff,
                 failures,
                 jitter,
             ));
         }
     }
 
-    /// Watches over the owners whose successor this box is.
+    /// Checks the health of the owners whose successor this box is.
     fn watch(&self) {
         while !self.signal.is_stopped() {
             let targets = self
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Exchanges all summaries with a random box, so that every box knows every owner.
+    /// Exchanges all summaries with a random box, so that every box learns the owner of every cell.
     fn exchange(&self) {
         while !self.signal.is_stopped() {
             let others = self
@@ -317,7 +318,7 @@
         });
     }
 
-    /// Writes the books and asks the successors to take the cells over.
+    /// Waits for unpersisted changes to be written, and asks the successors to take over the cells.
     fn hand_over(&self) {
         let cells = self
             .remote
@@ -338,9 +339,10 @@
             };
             let message = Takeover { cell };
             let address = format!("{}/cells/takeover", target.url);
-            let told: Result<(), Failure> = self.client.post(&address, &message, EXCHANGE_TIMEOUT);
-            if let Err(failure) = told {
-                log::warn!(target: "sched", "A cell could not be handed over. {failure}");
+            let result: Result<(), Failure> =
+                self.client.post(&address, &message, EXCHANGE_TIMEOUT);
+            if let Err(failure) = result {
+                log::warn!(target: "sched", "Handover of a cell failed. {failure}");
             }
         }
     }
--- a/components/sched/src/spec.rs
+++ b/components/sched/src/spec.rs
@@ -1,4 +1,4 @@
-//! What is asked of a job: an array of tasks of one class.
+//! The specification of a job: an array of tasks of one class.
 
 use {
     infra::Size,
@@ -8,21 +8,21 @@
     table::{Kind, Row},
 };
 
-/// The most tasks that one job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// What is asked for.
+/// The specification of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// The class of work; a row of the table.
+    /// The class of work, which is a row of the table.
     pub class: Arc<str>,
-    /// The number of tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each task is committed.
+    /// The capacity allocated to each task.
     pub size: Size,
-    /// How long each task's work takes, in milliseconds, as declared; 0 for one without an end.
+    /// Declared length of each task in milliseconds; 0 for a task without an end.
     pub length: u64,
-    /// True when no task may ever be started twice.
+    /// True when each task may be started at most once.
     #[serde(default)]
     pub once: bool,
     /// The data hall to run in; `None` for any.
@@ -31,39 +31,39 @@
 }
 
 impl Spec {
-    /// Checks the spec by itself and against the class's row.
+    /// Validates the specification, also against the row of its class.
     ///
     /// # Errors
     ///
-    /// `Invalid`, with the field and what would be right.
+    /// Returns `Invalid` with the field and the valid values.
     pub fn validate(&self, row: Option<&Row>) -> Result<(), Failure> {
-        let wrong = |text: String| Err(Failure::not_run(Cause::Invalid, text));
+        let invalid = |text: String| Err(Failure::not_run(Cause::Invalid, text));
         let Some(row) = row else {
-            return wrong(format!(
+            return invalid(format!(
                 "class: no row of the table is named '{}'",
                 self.class
             ));
         };
         if !(1..=MAX_TASKS).contains(&self.count) {
-            return wrong(format!(
-                "count: {} is not from 1 to {MAX_TASKS}",
+            return invalid(format!(
+                "count: {} is not in the range 1 to {MAX_TASKS}",
                 self.count
             ));
         }
         if self.size.cpu == 0 && self.size.accel == 0 {
-            return wrong("size: a task needs processors or accelerators".to_owned());
+            return invalid("size: a task needs processors or accelerators".to_owned());
         }
         if row.kind == Kind::Batch && self.length == 0 {
-            return wrong("length: a batch task ends, so its length is not 0".to_owned());
+            return invalid("length: a batch task must have a length greater than 0".to_owned());
         }
         if row.kind != Kind::Batch && self.length != 0 {
-            return wrong(format!(
-                "length: a {} task has no end, so its length is 0",
+            return invalid(format!(
+                "length: a {} task has no end, so its length must be 0",
                 row.kind
             ));
         }
         if self.once && row.kind != Kind::Batch {
-            return wrong("once: only batch tasks can run at most once".to_owned());
+            return invalid("once: only batch tasks support at-most-once execution".to_owned());
         }
         Ok(())
     }
@@ -73,7 +73,7 @@
 pub(crate) mod tests {
     use {super::*, test_case::test_case};
 
-    /// Four batch tasks.
+    /// Returns a valid job of four batch tasks.
     pub(crate) fn spec() -> Spec {
         let (class, size) = (Arc::from("batch"), Size::new(1000, 100, 0));
         Spec {
@@ -92,7 +92,7 @@
     #[test_case(spec(), Kind::Standing, "length"; "standing with an end")]
     #[test_case(Spec { size: Size::default(), ..spec() }, Kind::Batch, "size"; "no size")]
     #[test_case(Spec { once: true, length: 0, ..spec() }, Kind::Service, "once"; "once service")]
-    fn check_field(spec: Spec, kind: Kind, field: &str) {
+    fn validate_names_field(spec: Spec, kind: Kind, field: &str) {
         let row = Row {
             kind,
             ..Row::batch("batch")
--- a/components/sched/src/worker_link.rs
+++ b/components/sched/src/worker_link.rs
@@ -1,4 +1,4 @@
-//! The task of one worker: exchanges orders for reports, straight down.
+//! The task that exchanges orders for reports with one worker over a direct connection.
 
 use {
     infra::worker::{Order, Report, Workers},
@@ -6,16 +6,21 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The longest wait between exchanges with a worker that does not answer.
+/// Maximum wait between exchanges with a worker that does not answer.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// The actor that a worker's task asks and tells.
+/// The actor that provides the orders and handles the reports of a worker.
 pub trait OrderSource: Sized + 'static {
-    /// The address of a worker and the next order to it; `None` ends the worker's task.
-    fn next_order(&mut self, cell: &str, epoch: u64, at: usize) -> Option<(Arc<str>, Order)>;
+    /// Returns the address of a worker and the next order to it; `None` ends the task.
+    fn next_order(
+        &mut self,
+        cell: &str,
+        epoch: u64,
+        worker_index: usize,
+    ) -> Option<(Arc<str>, Order)>;
 
-    /// Takes the outcome of an exchange over. Returns how long the next may wait; `None` when the
-    /// exchange failed.
+    /// Handles the outcome of an exchange. `place` is the cell, the epoch and the index of the worker.
+    /// Returns the wait before the next exchange; `None` when the exchange failed.
     fn handle_exchange(
         &mut self,
         cx: &mut Cx<'_, Self>,
@@ -25,33 +30,33 @@
     ) -> Option<Duration>;
 }
 
-/// What one worker's task needs.
+/// The exchange task of one worker.
 pub struct WorkerLink<A: OrderSource> {
-    /// The cell.
+    /// The name of the cell.
     pub cell: Arc<str>,
-    /// The epoch in which the task works.
+    /// The ownership epoch; the task ends when the cell has another.
     pub epoch: u64,
-    /// The worker's place in the cell.
-    pub at: usize,
-    /// Ends the task, or wakes it when something is due.
+    /// The index of the worker in the cell's fleet.
+    pub worker_index: usize,
+    /// Wakes the task when an order is due, or stops it.
     pub signal: Signal,
     /// The actor.
     pub remote: ActorRef<A>,
-    /// The workers.
+    /// The client for calls to workers.
     pub workers: Arc<dyn Workers>,
-    /// The time between exchanges when nothing is due.
+    /// Interval between exchanges when nothing is due.
     pub heartbeat: Duration,
 }
 
 impl<A: OrderSource> WorkerLink<A> {
-    /// Exchanges until the cell has another owner or the process stops.
+    /// Runs exchanges until the cell has another owner or the process stops.
     pub fn run(self) {
         let mut failures = 0;
         while !self.signal.is_stopped() {
-            let (cell, epoch, at) = (self.cell.clone(), self.epoch, self.at);
+            let (cell, epoch, worker_index) = (self.cell.clone(), self.epoch, self.worker_index);
             let next = self
                 .remote
-                .ask(move |sched, _| sched.next_order(&cell, epoch, at));
+                .ask(move |sched, _| sched.next_order(&cell, epoch, worker_index));
             let Ok(Some((url, order))) = next else { return };
             let result = self.workers.exchange(&url, &order);
             if self.signal.is_stopped() {
@@ -60,7 +65,7 @@
             failures = if result.is_ok() { 0 } else { failures + 1 };
             let cell = self.cell.clone();
             let wait = self.remote.ask(move |sched, cx| {
-                sched.handle_exchange(cx, (&cell, epoch, at), &order, result)
+                sched.handle_exchange(cx, (&cell, epoch, worker_index), &order, result)
             });
             match wait {
                 Ok(Some(wait)) if wait.is_zero() => {}
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Waits after a failure. A worker that fails is not asked sooner for being rung.
+    /// Waits after a failed exchange. A notification does not shorten this wait.
     fn back_off(&self, failures: u32) {
         let base = self.heartbeat / 4;
         let time = infra::budget::backoff(base, MAX_BACKOFF, failures, fastrand::f64());
