--- a/components/sched/src/write_queue.rs
+++ b/components/sched/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! What of a cell waits to be written down.
+//! Changes of a cell that are not persisted yet, and actions that follow once they are.
 
 use {
     crate::record::MAX_RECORD,
@@ -7,23 +7,23 @@
     std::sync::Arc,
 };
 
-/// How many submissions may wait to be written down.
+/// Maximum number of actions staged for a write; submissions are refused above it.
 const MAX_STAGED: usize = 10_000;
 
-/// Answers whoever waits for the write.
+/// Receives the outcome of a write.
 pub type WriteCallback = Box<dyn FnOnce(Result<(), Failure>) + Send>;
 
-/// What happens once the book is written.
+/// An action that runs once the cell's record is written.
 pub enum AfterWrite {
-    /// A job may begin.
+    /// Activates a job, so that its tasks may be started.
     ActivateJob(Arc<str>),
-    /// A worker's ledger may forget a task.
+    /// Lets the worker with this index remove this start of a task from its ledger.
     Forget(usize, Task, u64),
-    /// Someone is answered.
+    /// Reports the outcome to a caller.
     Respond(WriteCallback),
 }
 
-/// What waits to be written down.
+/// The unpersisted changes of a cell.
 pub struct WriteQueue {
     pub(crate) store_version: u64,
     pub(crate) write_number: u64,
@@ -33,12 +33,13 @@
     pub(crate) in_flight: Vec<AfterWrite>,
     pub(crate) writing: bool,
     pub(crate) record_bytes: usize,
-    /// Workers that operators drain.
+    /// Workers drained by operators.
     pub drained: Vec<Arc<str>>,
 }
 
 impl WriteQueue {
-    /// A journal on a claimed book.
+    /// Creates the queue for a claimed record: its store version, its last write number, and the drained
+    /// workers.
     pub fn new(version: u64, write: u64, drained: Vec<Arc<str>>) -> Self {
         WriteQueue {
             store_version: version,
@@ -53,52 +54,52 @@
         }
     }
 
-    /// Something changed that must be written.
+    /// Makes a write due.
     pub fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
-    /// True when a write is due.
+    /// Returns true when a write is due.
     pub fn is_dirty(&self) -> bool {
         self.dirty || !self.staged.is_empty()
     }
 
-    /// Makes the next write at least this urgent.
+    /// Raises the priority of the next write to at least this one.
     pub fn raise_priority(&mut self, rank: Rank) {
         self.priority = self.priority.min(rank);
     }
 
-    /// How urgent the next write is; `None` when none is due.
+    /// Returns the priority of the next write; `None` when no write is due or one is in flight.
     pub fn due_priority(&self) -> Option<Rank> {
         (self.is_dirty() && !self.writing).then_some(self.priority)
     }
 
-    /// True while a batch is on its way.
+    /// Returns true while a write is in flight.
     pub fn is_writing(&self) -> bool {
         self.writing
     }
 
-    /// Lets something happen after the next write.
+    /// Stages an action to run after the next write.
     pub fn stage(&mut self, effect: AfterWrite) {
         self.staged.push(effect);
     }
 
-    /// Tells whether there is room for another job.
+    /// Checks that another job can be accepted.
     ///
     /// # Errors
     ///
-    /// `Busy` when the book is full or too many submissions wait for the store.
+    /// Returns `Busy` when the record is nearly full or too many actions wait for a write.
     pub fn check_capacity(&self) -> Result<(), Failure> {
         if self.record_bytes > MAX_RECORD / 10 * 9 {
             return Err(Failure::not_run(
                 Cause::Busy,
-                "the cell's book is full; try later",
+                "the cell record is full; try again later",
             ));
         }
         if self.staged.len() > MAX_STAGED {
             return Err(Failure::not_run(
                 Cause::Busy,
-                "too many wait for the store; try later",
+                "too many submissions wait for the store; try again later",
             ));
         }
         Ok(())
--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -1,4 +1,5 @@
-//! A cell against workers in memory, on a clock set by the test: takeovers, silence, restarts.
+//! Tests of a cell with simulated workers and a manual clock: takeover, unreachable and restarted
+//! workers, at-most-once tasks, preemption and persistence.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -22,25 +23,25 @@
     test_case::test_case,
 };
 
-/// Milliseconds of a lease, and its drift.
+/// Lease duration in milliseconds.
 const LEASE: u64 = 10_000;
 
-/// A cell's world: workers, a clock, and the book as the store would hold it.
+/// The environment of a cell: simulated workers, a clock, and the cell record as stored.
 struct World {
     farm: Farm,
     clock: Clock,
     witness: Witness,
     start: Instant,
     items: Vec<Item>,
-    book: CellRecord,
+    record: CellRecord,
     epoch: u64,
-    /// Workers that cannot be reached.
-    cut: Vec<usize>,
+    /// Indexes of unreachable workers.
+    unreachable: Vec<usize>,
 }
 
-fn item(at: usize) -> Item {
+fn item(index: usize) -> Item {
     Item {
-        name: Arc::from(format!("w{at}")),
+        name: Arc::from(format!("w{index}")),
         kind: Kind::Worker,
         hall: Arc::from("h1"),
         rack: Arc::from("r"),
@@ -80,16 +81,16 @@
         for item in &items {
             farm.add(&item.name, item.size);
         }
-        let (start, book, cut) = (Instant::now(), CellRecord::default(), Vec::new());
+        let (start, record, unreachable) = (Instant::now(), CellRecord::default(), Vec::new());
         World {
             farm,
             clock,
             witness,
             start,
             items,
-            book,
+            record,
             epoch: 0,
-            cut,
+            unreachable,
         }
     }
 
@@ -97,7 +98,7 @@
         self.start + Duration::from_millis(self.clock.now())
     }
 
-    /// A new owner with the next epoch and the book as it was last written.
+    /// Creates an owner with the next epoch and the last written record.
     fn take_over(&mut self) -> Cell {
         self.epoch += 1;
         let tenure = Tenure::begin(Arc::from("h1"), self.epoch);
@@ -108,7 +109,7 @@
         let policy = placement::create("packing").unwrap();
         let mut cell = Cell::new(
             tenure,
-            self.book.clone(),
+            self.record.clone(),
             self.epoch,
             term,
             policy,
@@ -119,8 +120,8 @@
         cell
     }
 
-    /// An owner that holds the cell.
-    fn owner(&mut self) -> Cell {
+    /// Creates an owner and runs it until its fencing has ended.
+    fn active_owner(&mut self) -> Cell {
         let mut cell = self.take_over();
         self.step(&mut cell, 0);
         self.step(&mut cell, 1000);
@@ -128,43 +129,47 @@
         cell
     }
 
-    /// Lets the time pass, exchanges with every worker that can be reached, writes, and places.
+    /// Advances the clock, exchanges with every reachable worker, persists, and places tasks.
     fn step(&mut self, cell: &mut Cell, milliseconds: u64) {
         self.clock.advance(milliseconds);
         self.farm.advance();
         self.exchange(cell);
         cell.tick(self.now());
-        self.commit(cell);
+        self.persist(cell);
         pass::run(cell, 1000, self.now());
         self.exchange(cell);
         assert_eq!(
             self.witness.totals().doubles,
             0,
-            "a task runs in two places"
+            "a task runs on two workers"
         );
         assert_eq!(
             self.witness.totals().refinished,
             0,
             "a finished task ran again"
         );
-        assert_eq!(self.witness.totals().overfull, 0, "a worker is overfull");
+        assert_eq!(
+            self.witness.totals().overfull,
+            0,
+            "a worker is overcommitted"
+        );
     }
 
     fn exchange(&self, cell: &mut Cell) {
-        for at in 0..self.items.len() {
-            if self.cut.contains(&at) {
+        for worker_index in 0..self.items.len() {
+            if self.unreachable.contains(&worker_index) {
                 continue;
             }
-            let order = cell.next_order(at);
-            if let Ok(report) = self.farm.exchange(&self.items[at].name, &order) {
-                cell.on_report(at, &order, report, self.now());
+            let order = cell.next_order(worker_index);
+            if let Ok(report) = self.farm.exchange(&self.items[worker_index].name, &order) {
+                cell.on_report(worker_index, &order, report, self.now());
             }
         }
     }
 
-    fn commit(&mut self, cell: &mut Cell) {
+    fn persist(&mut self, cell: &mut Cell) {
         if let Some(batch) = cell.take_batch().unwrap() {
-            self.book = kernel::wire::decode(&batch.bytes).unwrap();
+            self.record = kernel::wire::decode(&batch.bytes).unwrap();
             cell.batch_written(batch.version + 1);
         }
     }
@@ -173,7 +178,7 @@
         let id = job::id("h1", key);
         cell.submit(&id, spec, 0).unwrap();
         cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
-        self.commit(cell);
+        self.persist(cell);
         id
     }
 }
@@ -191,18 +196,18 @@
 }
 
 #[test]
-fn take_over_adopts_running() {
+fn takeover_adopts_running_tasks() {
     let mut world = World::new(2);
-    let mut old = world.owner();
+    let mut old = world.active_owner();
     let id = world.submit(&mut old, 1, spec(6, 5000));
     world.step(&mut old, 100);
     assert_eq!(world.witness.running(), 6);
-    let mut new = world.owner();
+    let mut new = world.active_owner();
     assert_eq!(
         (new.counts.adopted, new.status(&id).unwrap().running),
         (6, 6)
     );
-    // The old owner's orders are refused from now on.
+    // Workers refuse the orders of the old owner after the takeover.
     let order = old.next_order(0);
     assert!(world.farm.exchange(&world.items[0].name, &order).is_err());
     world.step(&mut new, 5000);
@@ -211,35 +216,35 @@
 }
 
 #[test]
-fn take_over_keeps_ends_not_written() {
+fn takeover_keeps_unpersisted_ends() {
     let mut world = World::new(1);
-    let mut old = world.owner();
+    let mut old = world.active_owner();
     let id = world.submit(&mut old, 1, spec(3, 500));
     world.step(&mut old, 100);
-    // The tasks end, the old owner hears it, goes on exchanging, and dies before it writes.
+    // The tasks end and the old owner receives the reports, but it crashes before it persists the ends.
     world.clock.advance(600);
     world.exchange(&mut old);
     world.exchange(&mut old);
     assert_eq!(old.status(&id).unwrap().finished, 3);
     drop(old);
-    let mut new = world.owner();
+    let mut new = world.active_owner();
     world.step(&mut new, 1000);
     assert_eq!(new.status(&id).unwrap().finished, 3);
     assert_eq!(world.witness.totals().starts, 3);
 }
 
 #[test]
-fn take_over_holds_back_for_silent_worker() {
+fn takeover_waits_for_tasks_of_unreachable_worker() {
     let mut world = World::new(2);
-    let mut old = world.owner();
+    let mut old = world.active_owner();
     let id = world.submit(&mut old, 1, spec(6, 60_000));
     world.step(&mut old, 100);
-    let unheard = world
+    let on_unreachable = world
         .farm
         .with("w0", |ledger: &mut Ledger| ledger.running())
         .unwrap();
-    assert!(unheard > 0);
-    world.cut = vec![0];
+    assert!(on_unreachable > 0);
+    world.unreachable = vec![0];
     let mut new = world.take_over();
     for _ in 0..3 {
         world.step(&mut new, 400);
@@ -248,25 +253,25 @@
     assert!(new.is_active());
     assert_eq!(
         (status.running, status.queued),
-        (6 - unheard as u32, unheard as u32)
+        (6 - on_unreachable as u32, on_unreachable as u32)
     );
-    // The earlier owner left the list: once its leases are over the tasks run elsewhere.
+    // The previous owner is not listed: once its leases have expired, the tasks run elsewhere.
     for _ in 0..6 {
         new.handle_predecessor_gone(world.now());
         world.step(&mut new, LEASE / 4);
     }
     assert_eq!(new.status(&id).unwrap().running, 4);
-    // The silent worker comes back: it had stopped by itself.
-    world.cut.clear();
+    // The unreachable worker returns; it stopped its tasks when its lease expired.
+    world.unreachable.clear();
     world.step(&mut new, 100);
     world.step(&mut new, 100);
     assert_eq!(new.status(&id).unwrap().running, 6);
 }
 
 #[test]
-fn silent_worker_given_up_after_lease() {
+fn unreachable_worker_is_lost_after_lease() {
     let mut world = World::new(2);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(4, 60_000));
     world.step(&mut cell, 100);
     assert_eq!(
@@ -275,7 +280,7 @@
             .with("w0", |ledger: &mut Ledger| ledger.running()),
         Some(4)
     );
-    world.cut = vec![0];
+    world.unreachable = vec![0];
     world.step(&mut cell, LEASE - 1000);
     assert_eq!(cell.counts.lost, 0);
     world.step(&mut cell, 1200);
@@ -288,9 +293,9 @@
 }
 
 #[test]
-fn restarted_worker_loses_tasks() {
+fn restarted_worker_loses_its_tasks() {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(4, 2000));
     world.step(&mut cell, 100);
     world.farm.with("w0", Ledger::reboot);
@@ -301,22 +306,23 @@
     assert_eq!(cell.status(&id).unwrap().finished, 4);
 }
 
-/// A task that crashes its workers is given up, in place of taking one worker after the other: a worker that has crashed
-/// reports no failure of the task. (Seen in the incident of crashing tasks on another scheduler of this project.)
+/// A task that crashes its workers fails after five starts. A crashed worker reports no failure of the
+/// task, so without the limit on early losses the task would take down one worker after another, as in
+/// an incident with crashing tasks.
 #[test]
-fn task_under_which_workers_crash_is_given_up() {
+fn task_that_crashes_workers_fails() {
     let mut world = World::new(2);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(1, 5000));
     for _ in 0..20 {
         world.step(&mut cell, 100);
         if world.witness.running() == 0 {
             break;
         }
-        for at in 0..2 {
+        for worker_index in 0..2 {
             world
                 .farm
-                .with(&world.items[at].name.clone(), Ledger::reboot);
+                .with(&world.items[worker_index].name.clone(), Ledger::reboot);
         }
     }
     let status = cell.status(&id).unwrap();
@@ -324,21 +330,22 @@
     assert_eq!(world.witness.totals().starts, 5);
 }
 
-/// One that has run for long each time is started again.
+/// A task is restarted when its worker crashes long after each start: only early losses count towards
+/// the limit.
 #[test]
-fn task_that_ran_for_long_is_started_again() {
+fn late_losses_do_not_fail_a_task() {
     let mut world = World::new(2);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(1, 500_000));
     for _ in 0..8 {
         world.step(&mut cell, 100);
         for _ in 0..40 {
             world.step(&mut cell, 1_000);
         }
-        for at in 0..2 {
+        for worker_index in 0..2 {
             world
                 .farm
-                .with(&world.items[at].name.clone(), Ledger::reboot);
+                .with(&world.items[worker_index].name.clone(), Ledger::reboot);
         }
     }
     world.step(&mut cell, 100);
@@ -346,11 +353,11 @@
     assert_eq!(cell.status(&id).unwrap().running, 1);
 }
 
-#[test_case(false, 3, 0; "a task that may be repeated runs again")]
-#[test_case(true, 0, 3; "a task that may not is unknown")]
-fn restarted_worker_and_once(once: bool, finished: u32, unknown: u32) {
+#[test_case(false, 3, 0; "a repeatable task runs again")]
+#[test_case(true, 0, 3; "an at-most-once task is unknown")]
+fn restart_during_at_most_once_task(once: bool, finished: u32, unknown: u32) {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(
         &mut cell,
         1,
@@ -374,9 +381,9 @@
 }
 
 #[test]
-fn once_not_started_before_mark() {
+fn at_most_once_task_waits_for_its_mark() {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = job::id("h1", 1);
     cell.submit(
         &id,
@@ -388,18 +395,18 @@
     )
     .unwrap();
     cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
-    world.commit(&mut cell);
-    // Written down, but no task is marked yet.
+    world.persist(&mut cell);
+    // The job is persisted, but no task is marked yet.
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
     cell.write_queue.mark_dirty();
-    world.commit(&mut cell);
+    world.persist(&mut cell);
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 2);
 }
 
 #[test]
-fn urgent_evicts_and_work_resumes() {
+fn evicted_task_resumes_from_checkpoint() {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(4, 9000));
     world.step(&mut cell, 100);
     world.step(&mut cell, 3000);
@@ -417,47 +424,48 @@
         (1, 1)
     );
     world.step(&mut cell, 600);
-    // The evicted task goes on from its checkpoint: all end 9 s after their start and the pause.
+    // The evicted task resumes from its checkpoint: every task ends after 9 s of run time, the evicted
+    // one later by the time it was stopped.
     world.step(&mut cell, 5400);
     assert_eq!(cell.status(&id).unwrap().finished, 3);
     world.step(&mut cell, 700);
     assert_eq!(cell.status(&id).unwrap().finished, 4);
 }
 
-/// What becomes of the order that brings a start, before its task is to be stopped.
-enum Sent {
-    /// It was not sent yet.
-    Not,
-    /// It is lost on its way.
-    Lost,
-    /// It is carried out, and the report is lost.
-    Unreported,
+/// The fate of the order with a start, before the stop of its task is requested.
+enum Delivery {
+    /// The order was not sent.
+    NotSent,
+    /// The order is lost on the network.
+    OrderLost,
+    /// The order is executed, but its report is lost.
+    ReportLost,
 }
 
 impl World {
-    /// Places what waits and lets the first worker's next order go this way.
-    fn place(&self, cell: &mut Cell, sent: &Sent) {
+    /// Places the waiting tasks, and delivers the next order to the first worker as given.
+    fn place_and_deliver(&self, cell: &mut Cell, delivery: &Delivery) {
         assert!(pass::run(cell, 10, self.now()).placed > 0);
-        if matches!(sent, Sent::Not) {
+        if matches!(delivery, Delivery::NotSent) {
             return;
         }
         let order = cell.next_order(0);
-        if matches!(sent, Sent::Unreported) {
+        if matches!(delivery, Delivery::ReportLost) {
             self.farm.exchange(&self.items[0].name, &order).unwrap();
         }
     }
 }
 
-/// A worker carries the stops of an order out before its starts: a stop that went with its own start
-/// found nothing there, and the task ran on though its job was cancelled.
-#[test_case(Sent::Not; "not sent")]
-#[test_case(Sent::Lost; "lost on its way")]
-#[test_case(Sent::Unreported; "report lost")]
-fn cancel_stops_a_start_not_known_as_told(sent: Sent) {
+/// A worker executes the stops of an order before its starts. A stop in the same order as its start had
+/// no effect, so the task of a cancelled job kept running.
+#[test_case(Delivery::NotSent; "not sent")]
+#[test_case(Delivery::OrderLost; "order lost")]
+#[test_case(Delivery::ReportLost; "report lost")]
+fn cancel_stops_undelivered_start(delivery: Delivery) {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(3, 60_000));
-    world.place(&mut cell, &sent);
+    world.place_and_deliver(&mut cell, &delivery);
     cell.cancel(&id).unwrap();
     for _ in 0..3 {
         world.step(&mut cell, 100);
@@ -467,16 +475,16 @@
     assert_eq!(world.witness.running(), 0);
 }
 
-/// The same with the stop that makes room for urgent work.
-#[test_case(Sent::Not; "not sent")]
-#[test_case(Sent::Lost; "lost on its way")]
-#[test_case(Sent::Unreported; "report lost")]
-fn urgent_evicts_a_start_not_known_as_told(sent: Sent) {
+/// The same failure with the stop of a preemption: the evicted task kept running.
+#[test_case(Delivery::NotSent; "not sent")]
+#[test_case(Delivery::OrderLost; "order lost")]
+#[test_case(Delivery::ReportLost; "report lost")]
+fn preemption_stops_undelivered_start(delivery: Delivery) {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(4, 9_000));
-    world.place(&mut cell, &sent);
-    // A task that was placed less than 2 s ago is not evicted.
+    world.place_and_deliver(&mut cell, &delivery);
+    // A task is not evicted within 2 s of its placement.
     world.clock.advance(2_100);
     let urgent = Spec {
         class: Arc::from("urgent"),
@@ -493,9 +501,9 @@
 }
 
 #[test]
-fn failing_worker_set_aside() {
+fn failing_worker_is_quarantined() {
     let mut world = World::new(2);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     world
         .farm
         .with("w0", |ledger: &mut Ledger| ledger.faults.failing = true);
@@ -509,9 +517,9 @@
 }
 
 #[test]
-fn drained_worker_gets_nothing() {
+fn drained_worker_gets_no_tasks() {
     let mut world = World::new(2);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     assert!(cell.drain(&Arc::from("w0"), true));
     let id = world.submit(&mut cell, 1, spec(8, 60_000));
     world.step(&mut cell, 100);
@@ -522,8 +530,8 @@
         Some(0)
     );
     assert_eq!(cell.status(&id).unwrap().running, 4);
-    // The drain outlives its owner.
-    let mut new = world.owner();
+    // The drain persists across owners.
+    let mut new = world.active_owner();
     world.step(&mut new, 100);
     assert_eq!(
         world
@@ -534,9 +542,9 @@
 }
 
 #[test]
-fn not_written_not_started() {
+fn unpersisted_job_is_not_started() {
     let mut world = World::new(1);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     let id = job::id("h1", 1);
     cell.submit(&id, spec(2, 1000), 0).unwrap();
     cell.write_queue.stage(AfterWrite::ActivateJob(id.clone()));
@@ -550,7 +558,7 @@
 }
 
 #[test]
-fn submitted_while_fencing_not_started_before_write() {
+fn job_submitted_during_fencing_waits_for_write() {
     let mut world = World::new(1);
     let mut cell = world.take_over();
     let id = job::id("h1", 1);
@@ -561,18 +569,18 @@
     world.exchange(&mut cell);
     assert!(cell.is_active());
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 0);
-    world.commit(&mut cell);
+    world.persist(&mut cell);
     assert_eq!(pass::run(&mut cell, 10, world.now()).placed, 2);
 }
 
 #[test]
-fn reserved_places_bound_starts() {
+fn reserved_indexes_limit_starts() {
     let mut world = World::new(1);
     world.items[0].size = Size::new(4_000_000, 4_000_000, 0);
     world.farm.add(&Arc::from("w0"), world.items[0].size);
-    let mut cell = world.owner();
+    let mut cell = world.active_owner();
     world.submit(&mut cell, 1, spec(3000, 60_000));
     assert_eq!(pass::run(&mut cell, 5000, world.now()).placed, 1024);
-    world.commit(&mut cell);
+    world.persist(&mut cell);
     assert_eq!(pass::run(&mut cell, 5000, world.now()).placed, 1024);
 }
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Which cells a scheduler claims, at times that the test names.
+//! Tests which cells a scheduler claims, at given times.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -31,7 +31,7 @@
     ActorThread::start("sched", |cx, remote| Scheduler::new(cx, shared, remote)).unwrap()
 }
 
-/// One entry box and one hall with a worker.
+/// Returns a list with one entry box and one hall with a worker.
 fn list() -> Arc<List> {
     let entry = entry_item("b1", "h1", &[("sched", "http://127.0.0.1:1".to_owned())]);
     let worker = Item {
@@ -52,23 +52,24 @@
 }
 
 #[test]
-fn claims_after_listening() {
+fn claims_only_after_settling() {
     let host = scheduler();
     let claims = host.actor_ref().ask(|sched, cx| {
         let now = cx.now();
         let before = sched.cells_to_claim(now + Duration::from_secs(9));
         sched.set_list(cx, list());
-        // A process that has just started listens before it takes anything.
-        let young = sched.cells_to_claim(now + Duration::from_millis(500));
+        // A process that has just started waits for summaries before it claims any cell.
+        let just_started = sched.cells_to_claim(now + Duration::from_millis(500));
         let later = sched.cells_to_claim(now + Duration::from_secs(2));
-        [before.len(), young.len(), later.len()]
+        [before.len(), just_started.len(), later.len()]
     });
     assert_eq!(claims, Ok([0, 0, 1]));
 }
 
-// A thawed owner and its successor once took a cell in turns, up to epoch 7 within 4 s.
+/// Without a pause after yielding, an owner resumed from suspension and its successor took the cell from
+/// each other in turns, up to epoch 7 within 4 s.
 #[test]
-fn claims_leave_newer_owner() {
+fn yielded_cell_is_not_claimed_at_once() {
     let host = scheduler();
     let claims = host.actor_ref().ask(|sched, cx| {
         let now: Instant = cx.now() + Duration::from_secs(9);
