--- a/components/cell/tests/decisions/net_sim.rs
+++ b/components/cell/tests/decisions/net_sim.rs
@@ -473,7 +473,7 @@
         if lost > 0 {
             self.violation = Some(Violation::MisplacedTasks(self.now, lost));
         }
-        let long_running = self.jobs.iter().filter(|job| job.spec.is_lasting());
+        let long_running = self.jobs.iter().filter(|job| job.spec.is_long_running());
         for Submission { id, .. } in long_running {
             let has_crashing_task = self.crashing.keys().any(|(job, _)| job == id);
             if self.cell.state(id) == Some(State::Failed) && !has_crashing_task {
@@ -509,7 +509,7 @@
         for Submission { id, spec, .. } in &self.jobs {
             let is_over = self.cell.state(id).is_some_and(State::is_final);
             let has_crashing_task = self.crashing.keys().any(|(job, _)| job == id);
-            if spec.is_lasting() || is_over || has_crashing_task {
+            if spec.is_long_running() || is_over || has_crashing_task {
                 continue;
             }
             let mut tasks = self.machines.iter().flat_map(|machine| machine.runs.keys());
@@ -529,7 +529,7 @@
         let mut waiting_tasks = HashSet::new();
         for Submission { id, spec, .. } in &self.jobs {
             let is_over = self.cell.state(id).is_some_and(State::is_final);
-            if !spec.is_lasting() || is_over {
+            if !spec.is_long_running() || is_over {
                 continue;
             }
             let step = &spec.steps[0];
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -56,7 +56,9 @@
             && ownership.halls.are_current()
         {
             if let Some(config) = &*config {
-                ownership.cell.set_overcommitting(config.unguarded());
+                ownership
+                    .cell
+                    .set_overcommitting(config.overcommitting_pools());
             }
             let max_starts = ownership.relays.start_budget(link);
             ownership
--- a/components/sched/src/actor/writes.rs
+++ b/components/sched/src/actor/writes.rs
@@ -6,7 +6,7 @@
         claim::{CellOwner, Claimed},
         persistence::WriteBatch,
     },
-    infra::budget::Rank,
+    infra::budget::Priority,
     kernel::{Failure, stakker::CX, verdict::Cause},
     std::{sync::Arc, time::Instant},
 };
@@ -21,7 +21,7 @@
         self.end_ownership(cell, reason);
     }
 
-    fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<Rank>, Failure> {
+    fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<Priority>, Failure> {
         Ok(self
             .owned(cell, epoch)
             .ok_or_else(not_owned)?
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -15,11 +15,11 @@
     infra::{
         Size,
         boxes::Item,
-        budget::Rank,
-        worker::{Manner, Order, Stop, Task},
+        budget::Priority,
+        worker::{Order, Stop, StopMode, Task},
     },
     kernel::{Failure, verdict::Cause},
-    lease::{Fencing, Holding, Tenure, Term},
+    lease::{Active, Fencing, LeaseTiming, Ownership},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -60,9 +60,9 @@
 #[derive(Debug)]
 pub enum Stage {
     /// Workers are being fenced and their ledgers read.
-    Fencing(Tenure<Fencing>),
+    Fencing(Ownership<Fencing>),
     /// Tasks are placed.
-    Active(Tenure<Holding>),
+    Active(Ownership<Active>),
 }
 
 impl Stage {
@@ -97,7 +97,7 @@
     /// The stage; `None` only during a transition.
     pub(crate) stage: Option<Stage>,
     /// Lease duration and clock drift.
-    pub timing: Term,
+    pub timing: LeaseTiming,
     /// The workers.
     pub fleet: Fleet,
     /// The jobs.
@@ -127,10 +127,10 @@
 impl Cell {
     /// Begins an ownership with a raised epoch and the claimed record at store version `version`.
     pub fn new(
-        tenure: Tenure<Fencing>,
+        tenure: Ownership<Fencing>,
         record: CellRecord,
         version: u64,
-        timing: Term,
+        timing: LeaseTiming,
         placement: Box<dyn Placement>,
         now: Instant,
     ) -> Self {
@@ -243,7 +243,7 @@
     /// extended until then have expired, unconfirmed tasks may run elsewhere.
     pub fn handle_predecessor_gone(&mut self, now: Instant) {
         let gone = *self.predecessor_gone.get_or_insert(now);
-        self.leases_expired = self.timing.is_over(gone, now);
+        self.leases_expired = self.timing.is_expired(gone, now);
     }
 
     /// Ends the fencing: tasks that were not found running may be placed, except those that may run on a
@@ -257,7 +257,7 @@
             "Fencing ended; placing tasks. cell={} epoch={} adopted={}",
             self.name, tenure.epoch(), self.counts.adopted
         );
-        self.stage = Some(Stage::Active(tenure.hold()));
+        self.stage = Some(Stage::Active(tenure.activate()));
         let has_unread = self.has_unread_workers();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -345,9 +345,9 @@
         self.write_queue.check_capacity()?;
         let urgent = row.is_some_and(|row| row.priority == URGENT);
         self.write_queue.raise_priority(if urgent {
-            Rank::Takeover
+            Priority::Takeover
         } else {
-            Rank::Durable
+            Priority::Durable
         });
         let entry = crate::record::JobRecord::new(id.clone(), spec, submitted_at);
         self.jobs.insert(id.clone(), Job::new(entry));
@@ -391,7 +391,7 @@
                     job: id.clone(),
                     index,
                 },
-                Manner::Kill,
+                StopMode::Kill,
             );
         }
         self.write_queue.mark_dirty();
@@ -400,11 +400,11 @@
     }
 
     /// Orders a running task to stop.
-    pub(crate) fn stop(&mut self, task: &Task, manner: Manner) {
+    pub(crate) fn stop(&mut self, task: &Task, manner: StopMode) {
         let Some(run) = self.running.get_mut(task) else {
             return;
         };
-        if run.stopping && manner == Manner::Checkpoint {
+        if run.stopping && manner == StopMode::Checkpoint {
             return;
         }
         let worker = self.fleet.worker_mut(run.worker);
--- a/components/sched/src/cell_selection.rs
+++ b/components/sched/src/cell_selection.rs
@@ -36,7 +36,7 @@
             "max_running of class {class} leaves no tasks for hall {cell}"
         ));
     }
-    if let Some(kind) = spec.size.lacks(limit.ceiling) {
+    if let Some(kind) = spec.size.shortage(limit.ceiling) {
         return refused(format!(
             "the ceiling of class {class} leaves too little {kind} for hall {cell}"
         ));
@@ -76,7 +76,7 @@
     let text = if admits {
         let kind = spec
             .size
-            .lacks(largest)
+            .shortage(largest)
             .unwrap_or("of every resource on one worker");
         format!(
             "no worker of hall {cell} has enough {kind} ({}); the largest amounts are {largest}",
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -7,11 +7,11 @@
     },
     infra::{
         Store,
-        budget::{self, Bucket},
-        settle::{self, Settled},
+        budget::{self, TokenBucket},
+        read_back::{self, WriteOutcome},
     },
     kernel::{ActorRef, Failure, stakker::Cx, task::Signal, verdict::Cause},
-    lease::{Record, epoch},
+    lease::{OwnerRecord, epoch},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -34,7 +34,7 @@
 /// A cell that was taken over.
 pub struct Claimed {
     /// The owner record with the raised epoch.
-    pub record: Record,
+    pub record: OwnerRecord,
     /// The previous owner of the cell; `None` for a first owner.
     pub before: Option<Arc<str>>,
     /// The store version of the claimed cell record.
@@ -57,7 +57,8 @@
     /// # Errors
     ///
     /// Returns `Stopping` when this process does not own the cell in this epoch.
-    fn due_priority(&mut self, cell: &str, epoch: u64) -> Result<Option<budget::Rank>, Failure>;
+    fn due_priority(&mut self, cell: &str, epoch: u64)
+    -> Result<Option<budget::Priority>, Failure>;
 
     /// Returns the next batch of a cell's record; `None` when no write is due.
     ///
@@ -113,7 +114,7 @@
 impl<A: CellOwner> Writer<A> {
     /// Writes until the cell has another owner or the process stops.
     pub fn run(self) {
-        let mut bucket = Bucket::new(WRITE_RATE, WRITE_BURST, Instant::now());
+        let mut bucket = TokenBucket::new(WRITE_RATE, WRITE_BURST, Instant::now());
         let mut failures = 0;
         while !self.signal.is_stopped() {
             let (cell, epoch) = (self.cell.clone(), self.epoch);
@@ -126,9 +127,9 @@
                 continue;
             };
             let now = Instant::now();
-            if !bucket.take(rank, now) {
+            if !bucket.try_take(rank, now) {
                 // A write of higher priority notifies the signal before this wait ends.
-                self.signal.wait(bucket.until(rank, now));
+                self.signal.wait(bucket.wait_time(rank, now));
                 continue;
             }
             match self.write_next() {
@@ -169,27 +170,27 @@
         let (cell, epoch) = (self.cell.clone(), self.epoch);
         let mut attempts = 0;
         while !self.signal.is_stopped() {
-            match settle::swap(self.store.as_ref(), &key, version, bytes) {
-                Settled::Done(version) => {
+            match read_back::swap(self.store.as_ref(), &key, version, bytes) {
+                WriteOutcome::Written(version) => {
                     metrics::counter!("magpie_book_writes_total").increment(1);
                     self.remote
                         .tell(move |sched, cx| sched.batch_written(cx, &cell, epoch, version));
                     return Some(true);
                 }
-                Settled::Lost(_) | Settled::Overtaken(_) => {
+                WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {
                     self.remote.tell(move |sched, cx| {
                         sched.yield_cell(&cell, "another owner claimed the cell record", cx.now())
                     });
                     return None;
                 }
                 // After an attempt with an unknown outcome, only the same bytes may be written again.
-                Settled::NotRun(failure) if attempts == 0 => {
+                WriteOutcome::NotRun(failure) if attempts == 0 => {
                     log::warn!(target: "sched", "The cell record was not written. cell={cell} {failure}");
                     self.remote
                         .tell(move |sched, _| sched.batch_failed(&cell, epoch));
                     return Some(false);
                 }
-                Settled::NotRun(failure) | Settled::Unknown(failure) => {
+                WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => {
                     if attempts == 0 {
                         log::warn!(target: "sched", "The outcome of a cell record write is unknown; retrying. cell={cell} {failure}");
                     }
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -165,7 +165,7 @@
     if queue.running >= limit.running {
         return Err(Blocked::Reason("max_running of the class is reached"));
     }
-    match queue.used.plus(size).lacks(limit.ceiling) {
+    match queue.used.plus(size).shortage(limit.ceiling) {
         Some("processors") => {
             return Err(Blocked::Reason("max_processors of the class is reached"));
         }
@@ -197,7 +197,7 @@
     let Some(Stage::Active(tenure)) = &mut cell.stage else {
         return;
     };
-    let attempt = tenure.attempt();
+    let attempt = tenure.next_attempt();
     let Some(job) = cell.jobs.get_mut(id) else {
         return;
     };
--- a/components/sched/src/persistence.rs
+++ b/components/sched/src/persistence.rs
@@ -7,7 +7,7 @@
         record::{CellRecord, MAX_RECORD},
         write_queue::{AfterWrite, WriteCallback},
     },
-    infra::budget::Rank,
+    infra::budget::Priority,
     kernel::{Failure, sync::lock, verdict::Cause, wall_clock, wire},
     std::sync::{Arc, Mutex},
 };
@@ -79,7 +79,7 @@
             ));
         }
         self.write_queue.dirty = false;
-        self.write_queue.priority = Rank::Read;
+        self.write_queue.priority = Priority::Read;
         self.write_queue.writing = true;
         let staged = std::mem::take(&mut self.write_queue.staged);
         self.write_queue.in_flight.extend(staged);
--- a/components/sched/src/record.rs
+++ b/components/sched/src/record.rs
@@ -4,7 +4,7 @@
     crate::spec::Spec,
     infra::{
         Store,
-        settle::{self, Settled},
+        read_back::{self, WriteOutcome},
     },
     kernel::{Failure, wire},
     rangemap::RangeInclusiveSet,
@@ -110,10 +110,10 @@
         }
         record.epoch = epoch;
         record.write = u64::from(write);
-        match settle::swap(store, &key(cell), version, &wire::encode(&record)?) {
-            Settled::Done(version) => return Ok((version, record)),
-            Settled::Lost(_) | Settled::Overtaken(_) => {}
-            Settled::NotRun(failure) | Settled::Unknown(failure) => last = failure,
+        match read_back::swap(store, &key(cell), version, &wire::encode(&record)?) {
+            WriteOutcome::Written(version) => return Ok((version, record)),
+            WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {}
+            WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => last = failure,
         }
     }
     Err(last)
--- a/components/sched/src/report.rs
+++ b/components/sched/src/report.rs
@@ -7,7 +7,7 @@
         job,
         write_queue::AfterWrite,
     },
-    infra::worker::{Manner, Order, Phase, Record, Refusal, Report, Stop, Task},
+    infra::worker::{Order, Phase, Record, Refusal, Report, Stop, StopMode, Task},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -67,7 +67,7 @@
                 let stop = Stop {
                     task,
                     attempt,
-                    manner: Manner::Kill,
+                    manner: StopMode::Kill,
                 };
                 self.fleet.worker_mut(worker_index).outbox.stops.push(stop);
             }
@@ -86,7 +86,7 @@
                 let stop = Stop {
                     task,
                     attempt,
-                    manner: Manner::Kill,
+                    manner: StopMode::Kill,
                 };
                 self.fleet.worker_mut(worker_index).outbox.stops.push(stop);
             }
@@ -123,7 +123,7 @@
         };
         self.running.insert(task.clone(), run);
         if cancelled {
-            self.stop(&task, Manner::Kill);
+            self.stop(&task, StopMode::Kill);
         }
     }
 
@@ -175,7 +175,7 @@
         job.losses.remove(&index);
         self.counts.finished += 1;
         // A later start of the same task is redundant.
-        self.stop(&record.task, Manner::Kill);
+        self.stop(&record.task, StopMode::Kill);
         self.check_ended(&record.task.job);
     }
 
@@ -314,7 +314,7 @@
     /// Declares workers lost that were unreachable until their leases had certainly expired.
     pub(crate) fn expire_unreachable(&mut self, now: Instant) {
         let timing = self.timing;
-        let expired = |last: &LastReport| timing.is_over(last.received_at, now);
+        let expired = |last: &LastReport| timing.is_expired(last.received_at, now);
         let unreachable: Vec<usize> = (0..self.fleet.workers().len())
             .filter(|worker_index| {
                 self.fleet
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -16,8 +16,8 @@
         task::{self, Signal},
         token::Token,
     },
-    lease::Term,
-    members::roster::Roster,
+    lease::LeaseTiming,
+    members::watcher::BoxWatcher,
     std::{
         io,
         net::SocketAddr,
@@ -67,7 +67,7 @@
     /// The client for calls to workers.
     pub workers: Arc<dyn Workers>,
     /// Lease duration and clock drift.
-    pub timing: Term,
+    pub timing: LeaseTiming,
     /// Interval between exchanges with a worker when nothing is due.
     pub heartbeat: Duration,
     /// Name of the placement policy.
@@ -91,7 +91,7 @@
     server: Server,
     ready: Readiness,
     actor: ActorThread<Scheduler>,
-    _roster: Roster,
+    _roster: BoxWatcher,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
 }
@@ -147,7 +147,7 @@
             let list = list.clone();
             on_list.tell(move |sched, cx| sched.set_list(cx, list));
         });
-        let roster = Roster::start(settings.boxes, LIST_INTERVAL, changed)?;
+        let roster = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
         let on_table = remote.clone();
         let follower = Follower::start(
             settings.name,
--- a/components/sched/src/write_queue.rs
+++ b/components/sched/src/write_queue.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::record::MAX_RECORD,
-    infra::{budget::Rank, worker::Task},
+    infra::{budget::Priority, worker::Task},
     kernel::{Failure, verdict::Cause},
     std::sync::Arc,
 };
@@ -28,7 +28,7 @@
     pub(crate) store_version: u64,
     pub(crate) write_number: u64,
     pub(crate) dirty: bool,
-    pub(crate) priority: Rank,
+    pub(crate) priority: Priority,
     pub(crate) staged: Vec<AfterWrite>,
     pub(crate) in_flight: Vec<AfterWrite>,
     pub(crate) writing: bool,
@@ -45,7 +45,7 @@
             store_version: version,
             write_number: write,
             dirty: false,
-            priority: Rank::Read,
+            priority: Priority::Read,
             staged: Vec::new(),
             in_flight: Vec::new(),
             writing: false,
@@ -65,12 +65,12 @@
     }
 
     /// Raises the priority of the next write to at least this one.
-    pub fn raise_priority(&mut self, rank: Rank) {
+    pub fn raise_priority(&mut self, rank: Priority) {
         self.priority = self.priority.min(rank);
     }
 
     /// Returns the priority of the next write; `None` when no write is due or one is in flight.
-    pub fn due_priority(&self) -> Option<Rank> {
+    pub fn due_priority(&self) -> Option<Priority> {
         (self.is_dirty() && !self.writing).then_some(self.priority)
     }
 
--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -9,7 +9,7 @@
         boxes::{Item, Kind, List, State},
         worker::Workers,
     },
-    lease::{Tenure, Term},
+    lease::{LeaseTiming, Ownership},
     magpie_sched_core::{
         Cell, Spec, job, limits::Limits, pass, placement, record::CellRecord,
         write_queue::AfterWrite,
@@ -101,8 +101,8 @@
     /// Creates an owner with the next epoch and the last written record.
     fn take_over(&mut self) -> Cell {
         self.epoch += 1;
-        let tenure = Tenure::begin(Arc::from("h1"), self.epoch);
-        let term = Term {
+        let tenure = Ownership::begin(Arc::from("h1"), self.epoch);
+        let term = LeaseTiming {
             length: Duration::from_millis(LEASE),
             drift: 10,
         };
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -8,8 +8,10 @@
         boxes::{Item, Kind, List, State},
     },
     kernel::ActorThread,
-    lease::Term,
-    magpie_sched_core::{Scheduler, actor::Shared, claim::CellOwner},
+    lease::LeaseTiming,
+    magpie_sched_core::Scheduler,
+    magpie_sched_core::actor::Shared,
+    magpie_sched_core::claim::CellOwner,
     standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
     std::{
         sync::Arc,
@@ -24,7 +26,7 @@
         url: Arc::from("http://127.0.0.1:1"),
         workers: Arc::new(Farm::new(clock.clone(), Witness::new())),
         store: Arc::new(Store::new(Rates::default(), clock)),
-        timing: Term::default(),
+        timing: LeaseTiming::default(),
         heartbeat: Duration::from_secs(2),
         placement: Arc::from("mixed"),
     };
--- a/components/table/src/follow.rs
+++ b/components/table/src/follow.rs
@@ -11,7 +11,7 @@
         client::Timeout,
         task::{self, Signal},
     },
-    members::roster::View,
+    members::watcher::View,
     std::{io, sync::Arc, thread::JoinHandle, time::Duration},
 };
 
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -6,8 +6,10 @@
         boxes::{Item, Kind, List, State},
         worker::Workers,
     },
-    lease::{Tenure, Term},
-    sched::{Cell, Spec, job, limits::Limits, pass, placement, record::CellRecord},
+    lease::{LeaseTiming, Ownership},
+    sched::limits::Limits,
+    sched::record::CellRecord,
+    sched::{Cell, Spec, job, pass, placement},
     standin::{Farm, Witness, clock::Clock},
     std::{
         sync::Arc,
@@ -70,7 +72,7 @@
             farm.add(&item.name, WORKER);
         }
         let start = Instant::now();
-        let tenure = Tenure::begin(Arc::from(CELL), 1);
+        let tenure = Ownership::begin(Arc::from(CELL), 1);
         let Ok(policy) = placement::create("mixed") else {
             unreachable!("mixed is built in")
         };
@@ -78,7 +80,7 @@
             tenure,
             CellRecord::default(),
             0,
-            Term::default(),
+            LeaseTiming::default(),
             policy,
             start,
         );
