--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -56,8 +56,8 @@
         owned.writer.notify();
     }
 
-    /// Cancels the jobs of owned cells. Responds once the cancellation is persisted in every cell, with
-    /// the ids of the jobs that no owned cell has.
+    /// Cancels the jobs of owned cells. Responds once the cancellation is persisted in every cell,
+    /// with the ids of the jobs that no owned cell has.
     pub fn cancel(
         &mut self,
         ids: &[Arc<str>],
--- a/components/sched/src/actor/membership.rs
+++ b/components/sched/src/actor/membership.rs
@@ -11,8 +11,8 @@
     },
 };
 
-/// How long an assignment must be stable before a cell is moved from a healthy owner. A cell that was
-/// yielded is not claimed again within this time either.
+/// How long an assignment must be stable before a cell is moved from a healthy owner. A cell that
+/// was yielded is not claimed again within this time either.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// A call that exchanges summaries with another scheduler.
@@ -31,7 +31,7 @@
     pub(super) fn publish_summaries(&mut self, now: Instant) {
         let mut summaries = Vec::new();
         for (name, owned) in &mut self.cells {
-            owned.heartbeat += 1;
+            owned.heartbeat_count += 1;
             summaries.push(summary(name, owned, &self.shared, now));
         }
         self.directory.merge(summaries, now);
@@ -95,13 +95,14 @@
             if self.cells.contains_key(&cell) || claims.contains(&cell) {
                 continue;
             }
-            // A recently yielded cell is left to its new owner until that owner can be known here, so that
-            // two boxes do not take the cell from each other in turns.
+            // A recently yielded cell is left to its new owner until that owner can be known here,
+            // so that two boxes do not take the cell from each other in turns.
             let recently = |yielded: &Instant| now < *yielded + SETTLE_TIME;
             if self.yielded.get(&cell).is_some_and(recently) {
                 continue;
             }
-            // An unreachable owner is replaced at once, a healthy one when the assignment is stable.
+            // An unreachable owner is replaced at once, a healthy one when the assignment is
+            // stable.
             if !self.directory.is_fresh(&cell, now) || now > since + SETTLE_TIME {
                 claims.push(cell);
             }
@@ -114,8 +115,8 @@
         self.handovers.push(cell);
     }
 
-    /// Returns the health checks of this process: the first successor of a cell monitors its owner, the
-    /// second successor monitors both.
+    /// Returns the health checks of this process: the first successor of a cell monitors its owner,
+    /// the second successor monitors both.
     pub fn watch_targets(&self, now: Instant) -> Vec<Target> {
         let cells = cell_selection::cells(&self.list);
         let names = self.live_boxes();
@@ -216,7 +217,7 @@
     Summary {
         cell: name.clone(),
         epoch: cell.epoch(),
-        beat: owned.heartbeat,
+        beat: owned.heartbeat_count,
         owner: shared.name.clone(),
         url: shared.url.clone(),
         holding: cell.is_active(),
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -1,8 +1,8 @@
 //! The actor that owns the cells of this process.
 //!
 //! This module begins and ends ownerships, runs passes and handles exchanges with workers.
-//! [`membership`] decides which cells to own, [`writes`] provides the cell records to be written, and
-//! [`jobs`] serves the requests of operators and clients.
+//! [`membership`] decides which cells to own, [`writes`] provides the cell records to be written,
+//! and [`jobs`] serves the requests of operators and clients.
 
 mod jobs;
 mod membership;
@@ -69,7 +69,7 @@
 /// A cell owned by this process, with the signals of its tasks.
 struct Owned {
     cell: Cell,
-    heartbeat: u64,
+    heartbeat_count: u64,
     worker_signals: Vec<Signal>,
     writer: Signal,
     pass_due: bool,
@@ -162,7 +162,7 @@
             return;
         };
         owned.cell.set_limits(limits);
-        let new_workers = owned.cell.merge(&items);
+        let new_workers = owned.cell.update_workers(&items);
         let epoch = owned.cell.epoch();
         for worker_index in new_workers {
             let signal = Signal::new();
@@ -207,13 +207,13 @@
                 return;
             }
         };
-        let tenure = Ownership::begin(cell.clone(), record.epoch);
+        let ownership = Ownership::begin(cell.clone(), record.epoch);
         let now = cx.now();
         log::info!(target: "sched", "Cell taken over. cell={cell} epoch={}", record.epoch);
         metrics::counter!("magpie_takeovers_total").increment(1);
         let writer = Signal::new();
         let mut owner = Cell::new(
-            tenure,
+            ownership,
             cell_record,
             version,
             self.shared.timing,
@@ -223,7 +223,7 @@
         owner.predecessor = before;
         let owned = Owned {
             cell: owner,
-            heartbeat: 0,
+            heartbeat_count: 0,
             worker_signals: Vec::new(),
             writer: writer.clone(),
             pass_due: false,
@@ -311,8 +311,8 @@
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
         if now > self.last_tick + OWNER_TIMEOUT {
-            // Other boxes may own the cells after a pause, so this process waits for their summaries
-            // before it claims any, as after a start.
+            // Other boxes may own the cells after a pause, so this process waits for their
+            // summaries before it claims any, as after a start.
             log::warn!(target: "sched", "The process was paused. for={:?}", now - self.last_tick);
             self.first_listing = self.first_listing.map(|_| now);
         }
@@ -341,8 +341,8 @@
     }
 }
 
-/// Returns true when the previous owner of a cell certainly gives no more orders: there was none, it is
-/// not listed, or it is an earlier incarnation of this box.
+/// Returns true when the previous owner of a cell certainly gives no more orders: there was none,
+/// it is not listed, or it is an earlier incarnation of this box.
 fn is_predecessor_gone(before: &Option<Arc<str>>, own: &Arc<str>, list: &List) -> bool {
     let Some(before) = before else { return true };
     before == own || !list.items.iter().any(|item| item.name == *before)
@@ -372,7 +372,7 @@
         let owned = self.owned(cell, epoch)?;
         match result {
             Ok(report) => {
-                owned.cell.on_report(worker_index, order, report, now);
+                owned.cell.handle_report(worker_index, order, report, now);
                 let wait = match owned.cell.fleet.worker(worker_index).outbox.is_empty() {
                     true => owned.cell.exchange_wait(worker_index, heartbeat, now),
                     false => Duration::ZERO,
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -26,8 +26,8 @@
 /// Time-out of a call that lists all jobs or workers of a cell.
 const LIST_TIMEOUT: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
-/// Maximum wait of a request for a write to the store. The server must keep answering other schedulers
-/// while the store is down.
+/// Maximum wait of a request for a write to the store. The server must keep answering other
+/// schedulers while the store is down.
 const MAX_WRITE_WAIT: Duration = Duration::from_secs(3);
 
 /// Time-out of the probe of an owner before a request is forwarded to it.
@@ -66,10 +66,10 @@
                 self.route(&submit).map(|(id, _)| id)
             }),
             "/jobs/submit" => self.submit(request),
-            "/jobs/show" => respond_with(request, |named: JobQuery| self.show(&named)),
-            "/jobs/list" => respond_with(request, |ask: ListQuery| self.list(&ask)),
+            "/jobs/show" => respond_with(request, |query: JobQuery| self.show(&query)),
+            "/jobs/list" => respond_with(request, |query: ListQuery| self.list(&query)),
             "/jobs/cancel" => self.cancel(request),
-            "/workers/list" => respond_with(request, |ask: ListQuery| self.workers(&ask)),
+            "/workers/list" => respond_with(request, |query: ListQuery| self.workers(&query)),
             "/workers/drain" => respond_with(request, |drain: Drain| self.drain(&drain)),
             "/cells/list" => respond_with(request, |_: ListQuery| self.cells()),
             "/cells/exchange" => {
@@ -156,10 +156,11 @@
             .post(&format!("{url}{path}"), message, PEER_TIMEOUT)
     }
 
-    /// Returns the base URL of a cell's owner after a successful probe; `None` when no owner is known.
+    /// Returns the base URL of a cell's owner after a successful probe; `None` when no owner is
+    /// known.
     ///
-    /// A hanging owner would delay the request and leave its outcome unknown, so the owner's summary is
-    /// requested first.
+    /// A hanging owner would delay the request and leave its outcome unknown, so the owner's
+    /// summary is requested first.
     fn reachable_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
         let asked = cell.to_owned();
         let url = self.remote.ask(move |sched, _| sched.owner_url(&asked))?;
@@ -184,16 +185,16 @@
         }
     }
 
-    fn show(&self, named: &JobQuery) -> Result<Status, Failure> {
-        let id = named.id.clone();
+    fn show(&self, query: &JobQuery) -> Result<Status, Failure> {
+        let id = query.id.clone();
         let here = self.remote.ask(move |sched, _| sched.status(&id))?;
         match here {
             Err(failure) if failure.cause == Cause::Refused => {
                 let passed = JobQuery {
                     passed: true,
-                    ..named.clone()
+                    ..query.clone()
                 };
-                self.forward(&named.id, named.passed, "/jobs/show", &passed)
+                self.forward(&query.id, query.passed, "/jobs/show", &passed)
             }
             here => here,
         }
@@ -243,11 +244,11 @@
     /// Appends the lists of the other owners, if all cells are requested.
     fn gather<R: DeserializeOwned>(
         &self,
-        ask: &ListQuery,
+        query: &ListQuery,
         path: &str,
         mut all: Vec<R>,
     ) -> Result<Vec<R>, Failure> {
-        if !ask.all {
+        if !query.all {
             return Ok(all);
         }
         let summaries = self.cells()?;
@@ -268,14 +269,14 @@
         Ok(all)
     }
 
-    fn list(&self, ask: &ListQuery) -> Result<Vec<Status>, Failure> {
+    fn list(&self, query: &ListQuery) -> Result<Vec<Status>, Failure> {
         let here = self.remote.ask(|sched, _| sched.statuses())?;
-        self.gather(ask, "/jobs/list", here)
+        self.gather(query, "/jobs/list", here)
     }
 
-    fn workers(&self, ask: &ListQuery) -> Result<Vec<Worker>, Failure> {
+    fn workers(&self, query: &ListQuery) -> Result<Vec<Worker>, Failure> {
         let here = self.remote.ask(|sched, cx| sched.workers(cx.now()))?;
-        self.gather(ask, "/workers/list", here)
+        self.gather(query, "/workers/list", here)
     }
 
     fn drain(&self, drain: &Drain) -> Result<bool, Failure> {
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -49,8 +49,8 @@
     pub size: Size,
     /// When the task was placed or adopted.
     pub since: Instant,
-    /// When the task should end by its declared length; `None` for a task without an end, and for an
-    /// adopted one.
+    /// When the task should end by its declared length; `None` for a task without an end, and for
+    /// an adopted one.
     pub expected_end: Option<Instant>,
     /// True once the task was ordered to stop.
     pub stopping: bool,
@@ -69,8 +69,8 @@
     /// Returns the epoch.
     pub fn epoch(&self) -> u64 {
         match self {
-            Stage::Fencing(tenure) => tenure.epoch(),
-            Stage::Active(tenure) => tenure.epoch(),
+            Stage::Fencing(ownership) => ownership.epoch(),
+            Stage::Active(ownership) => ownership.epoch(),
         }
     }
 }
@@ -127,7 +127,7 @@
 impl Cell {
     /// Begins an ownership with a raised epoch and the claimed record at store version `version`.
     pub fn new(
-        tenure: Ownership<Fencing>,
+        ownership: Ownership<Fencing>,
         record: CellRecord,
         version: u64,
         timing: LeaseTiming,
@@ -137,10 +137,10 @@
         let jobs = record
             .jobs
             .into_iter()
-            .map(|entry| (entry.id.clone(), Job::new(entry)));
+            .map(|record| (record.id.clone(), Job::new(record)));
         Cell {
-            name: tenure.cell().clone(),
-            stage: Some(Stage::Fencing(tenure)),
+            name: ownership.cell().clone(),
+            stage: Some(Stage::Fencing(ownership)),
             timing: timing,
             fleet: Fleet::default(),
             jobs: jobs.collect(),
@@ -168,7 +168,7 @@
     }
 
     /// Applies the platform's listing of the cell's workers. Returns the indexes of new workers.
-    pub fn merge(&mut self, items: &[&Item]) -> Vec<usize> {
+    pub fn update_workers(&mut self, items: &[&Item]) -> Vec<usize> {
         let new_workers = self.fleet.update(items);
         let drained = self.write_queue.drained.clone();
         for name in drained {
@@ -194,9 +194,9 @@
             .order(&name, epoch, length)
     }
 
-    /// Returns the wait before the next exchange with a worker: until the first of its tasks should end,
-    /// so that its capacity is not idle until the next heartbeat. Tasks past their expected end are
-    /// checked at the heartbeat.
+    /// Returns the wait before the next exchange with a worker: until the first of its tasks should
+    /// end, so that its capacity is not idle until the next heartbeat. Tasks past their expected
+    /// end are checked at the heartbeat.
     pub fn exchange_wait(
         &self,
         worker_index: usize,
@@ -214,8 +214,8 @@
         wait.max(MIN_EXCHANGE_WAIT)
     }
 
-    /// Handles elapsed time: declares unreachable workers lost, ends the fencing, and releases unconfirmed
-    /// tasks.
+    /// Handles elapsed time: declares unreachable workers lost, ends the fencing, and releases
+    /// unconfirmed tasks.
     pub fn tick(&mut self, now: Instant) {
         self.expire_unreachable(now);
         if !self.is_active() {
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Returns true while a listed worker, which may run tasks of a previous owner, has not reported its
-    /// ledger.
+    /// Returns true while a listed worker, which may run tasks of a previous owner, has not
+    /// reported its ledger.
     fn has_unread_workers(&self) -> bool {
         self.fleet
             .workers()
@@ -239,32 +239,32 @@
             .any(|worker| worker.listed && !worker.ledger_read)
     }
 
-    /// Records that the previous owner certainly gives no more orders. Once the leases that it may have
-    /// extended until then have expired, unconfirmed tasks may run elsewhere.
+    /// Records that the previous owner certainly gives no more orders. Once the leases that it may
+    /// have extended until then have expired, unconfirmed tasks may run elsewhere.
     pub fn handle_predecessor_gone(&mut self, now: Instant) {
         let gone = *self.predecessor_gone.get_or_insert(now);
         self.leases_expired = self.timing.is_expired(gone, now);
     }
 
-    /// Ends the fencing: tasks that were not found running may be placed, except those that may run on a
-    /// worker whose ledger was not read.
+    /// Ends the fencing: tasks that were not found running may be placed, except those that may run
+    /// on a worker whose ledger was not read.
     fn activate(&mut self) {
-        let Some(Stage::Fencing(tenure)) = self.stage.take() else {
+        let Some(Stage::Fencing(ownership)) = self.stage.take() else {
             return;
         };
         log::info!(
             target: "sched",
             "Fencing ended; placing tasks. cell={} epoch={} adopted={}",
-            self.name, tenure.epoch(), self.counts.adopted
+            self.name, ownership.epoch(), self.counts.adopted
         );
-        self.stage = Some(Stage::Active(tenure.activate()));
+        self.stage = Some(Stage::Active(ownership.activate()));
         let has_unread = self.has_unread_workers();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.entry.ended.is_some() {
+            if job.record.ended.is_some() {
                 continue;
             }
             job.classify_tasks(has_unread);
@@ -280,7 +280,7 @@
             .jobs
             .values()
             .filter(|job| !job.unconfirmed.is_empty())
-            .map(|job| job.entry.id.clone())
+            .map(|job| job.record.id.clone())
             .collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -303,7 +303,7 @@
         }
         job.queued = true;
         self.queues
-            .class_mut(&job.entry.spec.class)
+            .class_mut(&job.record.spec.class)
             .jobs
             .push_back(id.clone());
     }
@@ -313,9 +313,9 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.entry.ended.is_none() && job.is_finished() {
-            job.entry.ended = Some(kernel::wall_clock::millis());
-            job.entry.resume.clear();
+        if job.record.ended.is_none() && job.is_finished() {
+            job.record.ended = Some(kernel::wall_clock::millis());
+            job.record.resume.clear();
             self.write_queue.mark_dirty();
         }
     }
@@ -324,12 +324,12 @@
     ///
     /// # Errors
     ///
-    /// Fails if the specification is invalid or can never run in this cell, if another job has the id, or
-    /// if the cell record is full.
+    /// Fails if the specification is invalid or can never run in this cell, if another job has the
+    /// id, or if the cell record is full.
     pub fn submit(&mut self, id: &Arc<str>, spec: Spec, submitted_at: u64) -> Result<(), Failure> {
         if let Some(job) = self.jobs.get(id) {
             // A repeated submission, after a lost reply.
-            if job.entry.spec == spec {
+            if job.record.spec == spec {
                 return Ok(());
             }
             return Err(Failure::not_run(
@@ -349,8 +349,8 @@
         } else {
             Priority::Durable
         });
-        let entry = crate::record::JobRecord::new(id.clone(), spec, submitted_at);
-        self.jobs.insert(id.clone(), Job::new(entry));
+        let record = crate::record::JobRecord::new(id.clone(), spec, submitted_at);
+        self.jobs.insert(id.clone(), Job::new(record));
         self.write_queue.mark_dirty();
         Ok(())
     }
@@ -378,10 +378,10 @@
                 format!("there is no job {id}"),
             ));
         };
-        if job.entry.cancelled || job.entry.ended.is_some() {
+        if job.record.cancelled || job.record.ended.is_some() {
             return Ok(());
         }
-        job.entry.cancelled = true;
+        job.record.cancelled = true;
         job.ready.clear();
         job.unmarked.clear();
         let running: Vec<u32> = job.running.iter().copied().collect();
@@ -400,11 +400,11 @@
     }
 
     /// Orders a running task to stop.
-    pub(crate) fn stop(&mut self, task: &Task, manner: StopMode) {
+    pub(crate) fn stop(&mut self, task: &Task, mode: StopMode) {
         let Some(run) = self.running.get_mut(task) else {
             return;
         };
-        if run.stopping && manner == StopMode::Checkpoint {
+        if run.stopping && mode == StopMode::Checkpoint {
             return;
         }
         let worker = self.fleet.worker_mut(run.worker);
@@ -415,7 +415,7 @@
         worker.outbox.stops.push(Stop {
             task: task.clone(),
             attempt: run.attempt,
-            manner,
+            manner: mode,
         });
     }
 
@@ -466,7 +466,7 @@
         };
         self.jobs
             .values()
-            .filter(|job| job.entry.ended.is_none())
+            .filter(|job| job.record.ended.is_none())
             .map(waiting)
             .sum()
     }
--- a/components/sched/src/cell_selection.rs
+++ b/components/sched/src/cell_selection.rs
@@ -89,13 +89,13 @@
     Err(Failure::not_run(Cause::Refused, text))
 }
 
-/// Selects the cell for a job: of those where it can run, the least loaded in proportion to its size.
-/// Cells without an active owner come last.
+/// Selects the cell for a job: of those where it can run, the least loaded in proportion to its
+/// size. Cells without an active owner come last.
 ///
 /// # Errors
 ///
-/// Returns `Invalid` when the specification is invalid, and `Refused` with the reason of each cell when
-/// the job can run in no cell.
+/// Returns `Invalid` when the specification is invalid, and `Refused` with the reason of each cell
+/// when the job can run in no cell.
 pub fn select(
     spec: &Spec,
     table: &Arc<Table>,
@@ -138,8 +138,8 @@
     }
 }
 
-/// Returns the sort key of a cell: without an active owner, load (waiting tasks per worker, then the
-/// share in use), and a random value that breaks ties.
+/// Returns the sort key of a cell: without an active owner, load (waiting tasks per worker, then
+/// the share in use), and a random value that breaks ties.
 fn load(directory: &Directory, cell: &str) -> (bool, u64, u64) {
     let tie_breaker = fastrand::u64(..64);
     let Some(summary) = directory.get(cell) else {
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -21,8 +21,8 @@
 /// Sustained rate of writes of one cell's record, per second.
 const WRITE_RATE: f64 = 1.0;
 
-/// Burst of writes after an idle period. Low-priority writes leave half of the burst to submissions,
-/// and submissions leave a fifth of it to urgent writes.
+/// Burst of writes after an idle period. Low-priority writes leave half of the burst to
+/// submissions, and submissions leave a fifth of it to urgent writes.
 const WRITE_BURST: f64 = 5.0;
 
 /// How often the writer checks for due writes without a notification.
@@ -64,7 +64,8 @@
     ///
     /// # Errors
     ///
-    /// The cell is not owned here any more, as `Stopping`
+    /// Returns `Stopping` when this process does not own the cell in this epoch, and `Busy` when
+    /// the record is too large.
     fn take_batch(&mut self, cell: &str, epoch: u64) -> Result<Option<WriteBatch>, Failure>;
 
     /// Handles a written batch; `version` is the new store version.
@@ -122,14 +123,14 @@
                 .remote
                 .ask(move |sched, _| sched.due_priority(&cell, epoch));
             let Ok(Ok(due)) = due else { return };
-            let Some(rank) = due else {
+            let Some(priority) = due else {
                 self.signal.wait(CHECK_INTERVAL);
                 continue;
             };
             let now = Instant::now();
-            if !bucket.try_take(rank, now) {
+            if !bucket.try_take(priority, now) {
                 // A write of higher priority notifies the signal before this wait ends.
-                self.signal.wait(bucket.wait_time(rank, now));
+                self.signal.wait(bucket.wait_time(priority, now));
                 continue;
             }
             match self.write_next() {
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Writes one batch. Returns true when it is written, false when it is certainly not written, and
-    /// `None` when the cell has another owner or the task ends.
+    /// Writes one batch. Returns true when it is written, false when it is certainly not written,
+    /// and `None` when the cell has another owner or the task ends.
     fn write(&self, version: u64, bytes: &[u8]) -> Option<bool> {
         let key = record::key(&self.cell);
         let (cell, epoch) = (self.cell.clone(), self.epoch);
@@ -183,7 +184,8 @@
                     });
                     return None;
                 }
-                // After an attempt with an unknown outcome, only the same bytes may be written again.
+                // After an attempt with an unknown outcome, only the same bytes may be written
+                // again.
                 WriteOutcome::NotRun(failure) if attempts == 0 => {
                     log::warn!(target: "sched", "The cell record was not written. cell={cell} {failure}");
                     self.remote
@@ -192,7 +194,7 @@
                 }
                 WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => {
                     if attempts == 0 {
-                        log::warn!(target: "sched", "The outcome of a cell record write is unknown; retrying. cell={cell} {failure}");
+                        log::warn!(target: "sched", "Cell record write has an unknown outcome; retrying. cell={cell} {failure}");
                     }
                     self.back_off(attempts);
                     attempts += 1;
--- a/components/sched/src/directory.rs
+++ b/components/sched/src/directory.rs
@@ -30,7 +30,7 @@
     pub beat: u64,
     /// The owner's box.
     pub owner: Arc<str>,
-    /// The base address of the owner's scheduler.
+    /// Base URL of the owner's scheduler.
     pub url: Arc<str>,
     /// True when the owner has finished fencing and places tasks.
     pub holding: bool,
--- a/components/sched/src/evict.rs
+++ b/components/sched/src/evict.rs
@@ -34,7 +34,7 @@
     let Some(id) = cell.queues.class_mut(class).jobs.front() else {
         return Vec::new();
     };
-    let Some(size) = cell.jobs.get(id).map(|job| job.entry.spec.size) else {
+    let Some(size) = cell.jobs.get(id).map(|job| job.record.spec.size) else {
         return Vec::new();
     };
     let Some(row) = cell.limits.row(class) else {
@@ -88,8 +88,8 @@
         .collect()
 }
 
-/// Selects tasks of lower priority whose end frees enough capacity; `None` if there are not enough. Lowest
-/// priority first, then most recently started, since those lose the least work.
+/// Selects tasks of lower priority whose end frees enough capacity; `None` if there are not enough.
+/// Lowest priority first, then most recently started, since those lose the least work.
 fn victims(
     cell: &Cell,
     worker_index: usize,
@@ -109,7 +109,7 @@
         let once = cell
             .jobs
             .get(&task.job)
-            .is_none_or(|job: &job::Job| job.entry.spec.once);
+            .is_none_or(|job: &job::Job| job.record.spec.once);
         let recent = now.saturating_duration_since(run.since) < MIN_RUN_TIME;
         if run.stopping || once || recent || row.kind == Kind::Service || row.priority >= priority {
             continue;
--- a/components/sched/src/fleet.rs
+++ b/components/sched/src/fleet.rs
@@ -94,7 +94,7 @@
     pub drained: bool,
     /// Consecutive task failures.
     pub failures: u32,
-    /// End of the last quarantine.
+    /// End of the last quarantine; `None` before the first.
     pub quarantined_until: Option<Instant>,
     /// Quarantines since the last successful task.
     pub quarantines: u32,
@@ -110,8 +110,8 @@
         reachable && self.listed && !self.draining && !quarantined
     }
 
-    /// Returns the state for display: `live`, `draining`, `aside` (quarantined), `silent` (unreachable)
-    /// or `gone` (not listed).
+    /// Returns the state for display: `live`, `draining`, `aside` (quarantined), `silent`
+    /// (unreachable) or `gone` (not listed).
     pub fn state(&self, now: Instant) -> &'static str {
         if !self.listed {
             return "gone";
@@ -155,10 +155,11 @@
         true
     }
 
-    /// Builds the next order. The lease is extended relative to the worker's clock in its last report.
-    pub fn order(&mut self, cell: &Arc<str>, epoch: u64, term: Duration) -> Order {
+    /// Builds the next order. The lease is extended relative to the worker's clock in its last
+    /// report.
+    pub fn order(&mut self, cell: &Arc<str>, epoch: u64, lease: Duration) -> Order {
         self.order_number += 1;
-        let length = term.as_millis() as u64;
+        let length = lease.as_millis() as u64;
         let extend = self.last_report.map(|report| Extension {
             from: report.clock,
             length,
@@ -183,8 +184,8 @@
     }
 
     /// Returns the oldest stops, up to the first whose start is not known to be delivered. A worker
-    /// executes the stops of an order before its starts, so such a stop would have no effect and the
-    /// task would keep running.
+    /// executes the stops of an order before its starts, so such a stop would have no effect and
+    /// the task would keep running.
     fn sendable_stops(&self) -> Vec<Stop> {
         let is_sendable = |stop: &&Stop| {
             let is_its_start =
@@ -233,8 +234,8 @@
         &self.workers[index]
     }
 
-    /// Returns the worker with this index. Its free capacity must only change through [`Fleet::allocate`]
-    /// and [`Fleet::release`].
+    /// Returns the worker with this index. Its free capacity must only change through
+    /// [`Fleet::allocate`] and [`Fleet::release`].
     pub fn worker_mut(&mut self, index: usize) -> &mut WorkerState {
         &mut self.workers[index]
     }
--- a/components/sched/src/job.rs
+++ b/components/sched/src/job.rs
@@ -54,7 +54,7 @@
 /// A job in the memory of the cell's owner.
 pub struct Job {
     /// The persisted state.
-    pub entry: JobRecord,
+    pub record: JobRecord,
     /// Tasks that may be started.
     pub ready: RangeInclusiveSet<u32>,
     /// At-most-once tasks that must be marked in the store before they may be started.
@@ -70,10 +70,10 @@
     /// Tasks below this index may have been started.
     pub started: u32,
     /// By task: the workers on which it failed.
-    pub failures: BTreeMap<u32, BTreeSet<Arc<str>>>,
+    pub failed_workers: BTreeMap<u32, BTreeSet<Arc<str>>>,
     /// By task: consecutive losses together with its worker soon after a start. The count is not
     /// persisted; a new owner starts from zero.
-    pub losses: BTreeMap<u32, u32>,
+    pub early_losses: BTreeMap<u32, u32>,
     /// True while the job is in the queue of its class.
     pub queued: bool,
     /// Why the next task cannot be placed.
@@ -118,10 +118,10 @@
 
 impl Job {
     /// Creates a job from its persisted state, with no task known to run.
-    pub fn new(entry: JobRecord) -> Self {
-        let reserved = entry.reserved;
+    pub fn new(record: JobRecord) -> Self {
+        let reserved = record.reserved;
         Job {
-            entry,
+            record,
             ready: RangeInclusiveSet::new(),
             unmarked: RangeInclusiveSet::new(),
             unconfirmed: RangeInclusiveSet::new(),
@@ -129,8 +129,8 @@
             classified: false,
             reserved,
             started: reserved,
-            failures: BTreeMap::new(),
-            losses: BTreeMap::new(),
+            failed_workers: BTreeMap::new(),
+            early_losses: BTreeMap::new(),
             queued: false,
             blocked: None,
         }
@@ -138,8 +138,8 @@
 
     /// Returns the tasks in a terminal state: finished, failed or unknown.
     pub fn terminal_tasks(&self) -> RangeInclusiveSet<u32> {
-        let mut set = self.entry.done.clone();
-        for range in self.entry.failed.iter().chain(self.entry.unknown.iter()) {
+        let mut set = self.record.done.clone();
+        for range in self.record.failed.iter().chain(self.record.unknown.iter()) {
             set.insert(range.clone());
         }
         set
@@ -152,7 +152,7 @@
             failed,
             unknown,
             ..
-        } = &self.entry;
+        } = &self.record;
         done.contains(&index) || failed.contains(&index) || unknown.contains(&index)
     }
 
@@ -162,41 +162,41 @@
             return false;
         }
         let has_waiting = !self.classified || !self.ready.is_empty() || !self.unmarked.is_empty();
-        self.entry.cancelled || !has_waiting
+        self.record.cancelled || !has_waiting
     }
 
-    /// Makes a task ready again after it was stopped or lost. Does nothing if the job is cancelled or the
-    /// task is in a terminal state.
+    /// Makes a task ready again after it was stopped or lost. Does nothing if the job is cancelled
+    /// or the task is in a terminal state.
     pub fn requeue(&mut self, index: u32) {
-        if self.entry.cancelled || self.is_terminal(index) {
+        if self.record.cancelled || self.is_terminal(index) {
             return;
         }
         insert(&mut self.ready, index);
     }
 
-    /// Classifies the tasks that are neither running nor terminal as ready, unmarked, unconfirmed or
-    /// unknown.
+    /// Classifies the tasks that are neither running nor terminal as ready, unmarked, unconfirmed
+    /// or unknown.
     ///
     /// `has_unread` is true when some may run on a worker whose ledger was not read yet.
     pub fn classify_tasks(&mut self, has_unread: bool) {
         self.classified = true;
-        if self.entry.cancelled {
+        if self.record.cancelled {
             return;
         }
         let mut waiting = RangeInclusiveSet::new();
-        waiting.insert(0..=self.entry.spec.count - 1);
+        waiting.insert(0..=self.record.spec.count - 1);
         remove_all(&mut waiting, &self.terminal_tasks());
         for index in &self.running {
             remove(&mut waiting, *index);
         }
         let mut never_started = waiting.clone();
-        if self.entry.spec.once {
-            remove_all(&mut never_started, &self.entry.marked);
-        } else if self.entry.reserved > 0 {
-            never_started.remove(0..=self.entry.reserved - 1);
+        if self.record.spec.once {
+            remove_all(&mut never_started, &self.record.marked);
+        } else if self.record.reserved > 0 {
+            never_started.remove(0..=self.record.reserved - 1);
         }
         remove_all(&mut waiting, &never_started);
-        let (maybe_started, once) = (waiting, self.entry.spec.once);
+        let (maybe_started, once) = (waiting, self.record.spec.once);
         insert_all(
             if once {
                 &mut self.unmarked
@@ -207,34 +207,34 @@
         );
         let target = match (has_unread, once) {
             (true, _) => &mut self.unconfirmed,
-            (false, true) => &mut self.entry.unknown,
+            (false, true) => &mut self.record.unknown,
             (false, false) => &mut self.ready,
         };
         insert_all(target, &maybe_started);
     }
 
-    /// Releases the unconfirmed tasks, which certainly run nowhere: they become ready, or unknown if they
-    /// may run at most once.
+    /// Releases the unconfirmed tasks, which certainly run nowhere: they become ready, or unknown
+    /// if they may run at most once.
     pub fn release_unconfirmed(&mut self) {
-        let held = std::mem::take(&mut self.unconfirmed);
-        if self.entry.cancelled {
+        let released = std::mem::take(&mut self.unconfirmed);
+        if self.record.cancelled {
             return;
         }
-        let once = self.entry.spec.once;
+        let once = self.record.spec.once;
         insert_all(
             if once {
-                &mut self.entry.unknown
+                &mut self.record.unknown
             } else {
                 &mut self.ready
             },
-            &held,
+            &released,
         );
     }
 
     /// Makes the tasks ready whose mark is written. Returns true when there were any.
     pub fn release_marked(&mut self) -> bool {
         let mut unwritten = self.unmarked.clone();
-        remove_all(&mut unwritten, &self.entry.marked);
+        remove_all(&mut unwritten, &self.record.marked);
         let mut marked = std::mem::replace(&mut self.unmarked, unwritten.clone());
         remove_all(&mut marked, &unwritten);
         insert_all(&mut self.ready, &marked);
@@ -243,20 +243,20 @@
 
     /// Returns the status.
     pub fn status(&self) -> Status {
-        let entry = &self.entry;
+        let record = &self.record;
         let waiting =
             count_of(&self.ready) + count_of(&self.unmarked) + count_of(&self.unconfirmed);
         Status {
-            id: entry.id.clone(),
-            class: entry.spec.class.clone(),
-            count: entry.spec.count,
-            queued: if entry.cancelled { 0 } else { waiting },
+            id: record.id.clone(),
+            class: record.spec.class.clone(),
+            count: record.spec.count,
+            queued: if record.cancelled { 0 } else { waiting },
             running: self.running.len() as u32,
-            finished: count_of(&entry.done),
-            failed: count_of(&entry.failed),
-            unknown: count_of(&entry.unknown),
-            cancelled: entry.cancelled,
-            ended: entry.ended.is_some(),
+            finished: count_of(&record.done),
+            failed: count_of(&record.failed),
+            unknown: count_of(&record.unknown),
+            cancelled: record.cancelled,
+            ended: record.ended.is_some(),
             blocked: self.blocked.map(str::to_owned),
         }
     }
@@ -272,7 +272,7 @@
 
     /// A job of eight tasks: 0 is done, 1 runs, four are reserved, 0 to 2 are marked.
     fn job_after_takeover(once: bool) -> Job {
-        let mut entry = JobRecord::new(
+        let mut record = JobRecord::new(
             id("h1", 1),
             Spec {
                 count: 8,
@@ -281,10 +281,10 @@
             },
             0,
         );
-        entry.reserved = 4;
-        insert(&mut entry.done, 0);
-        entry.marked.insert(0..=2);
-        let mut job = Job::new(entry);
+        record.reserved = 4;
+        insert(&mut record.done, 0);
+        record.marked.insert(0..=2);
+        let mut job = Job::new(record);
         job.running.insert(1);
         job
     }
@@ -299,11 +299,11 @@
         let Job {
             ready,
             unmarked,
-            unconfirmed: held,
-            entry,
+            unconfirmed,
+            record,
             ..
         } = &job;
-        let sizes = [ready, unmarked, held, &entry.unknown].map(count_of);
+        let sizes = [ready, unmarked, unconfirmed, &record.unknown].map(count_of);
         assert_eq!((sizes[0], sizes[1], sizes[2], sizes[3]), expected);
     }
 
@@ -311,7 +311,7 @@
     fn release_marked_makes_ready() {
         let mut job = job_after_takeover(true);
         job.classify_tasks(false);
-        job.entry.marked.insert(3..=5);
+        job.record.marked.insert(3..=5);
         assert!(job.release_marked() && !job.release_marked());
         assert_eq!((count_of(&job.ready), count_of(&job.unmarked)), (3, 2));
     }
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -1,8 +1,8 @@
 //! A cell's share of the fleet-wide ceilings and quotas.
 //!
-//! Ceilings apply to the whole fleet, but cells place tasks independently. Each cell gets a share in
-//! proportion to its capacity. The shares of all cells add up exactly to the whole, so the fleet stays
-//! within its ceilings as long as the owners of the cells have the same list of boxes.
+//! Ceilings apply to the whole fleet, but cells place tasks independently. Each cell gets a share
+//! in proportion to its capacity. The shares of all cells add up exactly to the whole, so the fleet
+//! stays within its ceilings as long as the owners of the cells have the same list of boxes.
 
 use {
     infra::{
@@ -13,8 +13,8 @@
     table::{Row, Table},
 };
 
-/// A cell's interval within the fleet's capacity, with cells ordered by name: the capacity before it,
-/// its own, and the total, for each resource.
+/// A cell's interval within the fleet's capacity, with cells ordered by name: the capacity before
+/// it, its own, and the total, for each resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CapacityShare {
     before: [u64; 3],
@@ -43,13 +43,13 @@
         }
         let mut share = CapacityShare::default();
         for (hall, amounts) in halls {
-            for (kind, amount) in amounts.into_iter().enumerate() {
-                share.all[kind] += amount;
+            for (resource, amount) in amounts.into_iter().enumerate() {
+                share.all[resource] += amount;
                 if hall < cell {
-                    share.before[kind] += amount;
+                    share.before[resource] += amount;
                 }
                 if hall == cell {
-                    share.own[kind] = amount;
+                    share.own[resource] = amount;
                 }
             }
         }
@@ -57,13 +57,14 @@
     }
 
     /// Returns the cell's share of an amount, in proportion to its capacity of a resource.
-    fn share_of(&self, amount: u32, kind: usize) -> u32 {
-        let all = self.all[kind];
+    fn share_of(&self, amount: u32, resource: usize) -> u32 {
+        let all = self.all[resource];
         if all == 0 {
             return 0;
         }
         let portion = |end: u64| u64::from(amount) * end / all;
-        (portion(self.before[kind] + self.own[kind]) - portion(self.before[kind])) as u32
+        (portion(self.before[resource] + self.own[resource]) - portion(self.before[resource]))
+            as u32
     }
 }
 
@@ -116,8 +117,9 @@
 }
 
 fn limit(row: &Row, share: &CapacityShare) -> ClassLimit {
-    let share_of =
-        |limit: Option<u32>, kind| limit.map_or(u32::MAX, |total| share.share_of(total, kind));
+    let share_of = |limit: Option<u32>, resource| {
+        limit.map_or(u32::MAX, |total| share.share_of(total, resource))
+    };
     let ceiling = Size::new(
         share_of(row.cpu, 0),
         share_of(row.memory, 1),
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -140,7 +140,7 @@
     if index >= job.reserved {
         return Err(Blocked::Reason("waiting for a write to the store"));
     }
-    let size = job.entry.spec.size;
+    let size = job.record.spec.size;
     let Some(row) = cell.limits.row(class) else {
         return Err(Blocked::Reason("the class has no row in the table"));
     };
@@ -194,10 +194,10 @@
     team: &Arc<str>,
     now: Instant,
 ) {
-    let Some(Stage::Active(tenure)) = &mut cell.stage else {
+    let Some(Stage::Active(ownership)) = &mut cell.stage else {
         return;
     };
-    let attempt = tenure.next_attempt();
+    let attempt = ownership.next_attempt();
     let Some(job) = cell.jobs.get_mut(id) else {
         return;
     };
@@ -208,13 +208,13 @@
     if persistence::needs_reservation(job) {
         cell.write_queue.mark_dirty();
     }
-    let spec = &job.entry.spec;
+    let spec = &job.record.spec;
     let (class, size) = (spec.class.clone(), spec.size);
     let task = Task {
         job: id.clone(),
         index,
     };
-    let resume = job.entry.resume.get(&index).copied().unwrap_or(0);
+    let resume = job.record.resume.get(&index).copied().unwrap_or(0);
     let start = Start {
         task,
         attempt,
--- a/components/sched/src/persistence.rs
+++ b/components/sched/src/persistence.rs
@@ -67,7 +67,7 @@
         let record = CellRecord {
             epoch: self.epoch(),
             write: self.write_queue.write_number,
-            jobs: self.jobs.values().map(|job| job.entry.clone()).collect(),
+            jobs: self.jobs.values().map(|job| job.record.clone()).collect(),
             drained: self.write_queue.drained.clone(),
         };
         let bytes = wire::encode(&record)?;
@@ -94,7 +94,7 @@
         self.write_queue.store_version = version;
         self.write_queue.writing = false;
         for job in self.jobs.values_mut() {
-            job.reserved = job.entry.reserved;
+            job.reserved = job.record.reserved;
         }
         for effect in std::mem::take(&mut self.write_queue.in_flight) {
             match effect {
@@ -112,8 +112,8 @@
         self.enqueue_marked();
     }
 
-    /// Handles the failure of the write in flight, which is certain to have had no effect. It becomes due
-    /// again together with later changes.
+    /// Handles the failure of the write in flight, which is certain to have had no effect. It
+    /// becomes due again together with later changes.
     pub fn batch_failed(&mut self) {
         self.write_queue.writing = false;
         self.write_queue.dirty = true;
@@ -123,28 +123,28 @@
     fn enqueue_marked(&mut self) {
         let mut ids = Vec::new();
         for job in self.jobs.values_mut() {
-            if job.entry.spec.once && job.release_marked() {
-                ids.push(job.entry.id.clone());
+            if job.record.spec.once && job.release_marked() {
+                ids.push(job.record.id.clone());
             }
         }
         for id in ids {
             self.enqueue(&id);
         }
         // Tasks that still need a mark make a write due, even if nothing else has changed.
-        let unmarked = |job: &Job| !job.entry.cancelled && !job.unmarked.is_empty();
+        let unmarked = |job: &Job| !job.record.cancelled && !job.unmarked.is_empty();
         if self.jobs.values().any(unmarked) {
             self.write_queue.mark_dirty();
         }
     }
 
-    /// Removes jobs that ended more than [`ENDED_RETENTION_MS`] ago, or all ended jobs when the record
-    /// is larger than half its maximum.
+    /// Removes jobs that ended more than [`ENDED_RETENTION_MS`] ago, or all ended jobs when the
+    /// record is larger than half its maximum.
     fn remove_ended(&mut self) {
         let limit = wall_clock::millis().saturating_sub(ENDED_RETENTION_MS);
         let full = self.write_queue.record_bytes > MAX_RECORD / 2;
         let kept = |ended: u64| ended > limit && !full;
         self.jobs
-            .retain(|_, job| !job.running.is_empty() || job.entry.ended.is_none_or(kept));
+            .retain(|_, job| !job.running.is_empty() || job.record.ended.is_none_or(kept));
     }
 }
 
@@ -153,27 +153,27 @@
     let ahead = job
         .started
         .saturating_add(RESERVE_AHEAD)
-        .min(job.entry.spec.count);
-    if job.entry.ended.is_none() && ahead > job.entry.reserved {
-        job.entry.reserved = ahead;
+        .min(job.record.spec.count);
+    if job.record.ended.is_none() && ahead > job.record.reserved {
+        job.record.reserved = ahead;
     }
 }
 
 /// Returns true when a job will soon run out of reserved task indexes.
 pub fn needs_reservation(job: &Job) -> bool {
-    job.reserved < job.entry.spec.count && job.started + RESERVE_AHEAD / 2 > job.reserved
+    job.reserved < job.record.spec.count && job.started + RESERVE_AHEAD / 2 > job.reserved
 }
 
 /// Marks the next at-most-once tasks.
 fn mark_next(job: &mut Job) {
-    if !job.entry.spec.once || job.entry.cancelled {
+    if !job.record.spec.once || job.record.cancelled {
         return;
     }
     let mut remaining = MARKS_PER_WRITE;
     for range in job.unmarked.iter() {
         let end = (*range.end()).min(range.start().saturating_add(remaining - 1));
         remaining -= end - range.start() + 1;
-        job.entry.marked.insert(*range.start()..=end);
+        job.record.marked.insert(*range.start()..=end);
         if remaining == 0 {
             return;
         }
--- a/components/sched/src/placement.rs
+++ b/components/sched/src/placement.rs
@@ -27,7 +27,8 @@
 
 /// A placement policy.
 pub trait Placement: Send {
-    /// Returns the index of the worker to start the task on; `None` when the task fits on no worker.
+    /// Returns the index of the worker to start the task on; `None` when the task fits on no
+    /// worker.
     fn choose(&mut self, demand: &Demand<'_>, fleet: &Fleet) -> Option<usize>;
 }
 
@@ -40,7 +41,8 @@
     plugin::make(KIND, name)
 }
 
-/// Returns true when the worker is schedulable, of an admitted generation, and has enough free capacity.
+/// Returns true when the worker is schedulable, of an admitted generation, and has enough free
+/// capacity.
 pub fn fits(demand: &Demand<'_>, fleet: &Fleet, index: usize) -> bool {
     let worker = fleet.worker(index);
     demand.size.fits(worker.free)
@@ -117,7 +119,7 @@
     Entry {
         kind: KIND,
         name: "packing",
-        about: "The worker with the least room that fits.",
+        about: "The fitting worker with the least free CPU.",
         make: || boxed(Packing),
     }
 }
@@ -126,7 +128,7 @@
     Entry {
         kind: KIND,
         name: "spread",
-        about: "The worker with the most room.",
+        about: "The fitting worker with the most free CPU.",
         make: || boxed(Spread),
     }
 }
@@ -135,7 +137,7 @@
     Entry {
         kind: KIND,
         name: "first-fit",
-        about: "The first worker of the list that fits.",
+        about: "The first fitting worker of the list.",
         make: || boxed(FirstFit),
     }
 }
@@ -144,7 +146,7 @@
     Entry {
         kind: KIND,
         name: "random",
-        about: "Any worker that fits.",
+        about: "A random worker that fits.",
         make: || boxed(Random(fastrand::Rng::with_seed(1))),
     }
 }
@@ -153,7 +155,7 @@
     Entry {
         kind: KIND,
         name: "mixed",
-        about: "Services where the most room is, the rest packed.",
+        about: "Spreads services and packs everything else.",
         make: || boxed(Mixed),
     }
 }
--- a/components/sched/src/queue.rs
+++ b/components/sched/src/queue.rs
@@ -11,7 +11,7 @@
 /// The queue of one class.
 #[derive(Debug, Default)]
 pub struct ClassQueue {
-    /// Jobs with ready tasks, next first.
+    /// Jobs with ready tasks, in the order in which they were queued.
     pub jobs: VecDeque<Arc<str>>,
     /// Allocation of its running tasks.
     pub used: Size,
--- a/components/sched/src/record.rs
+++ b/components/sched/src/record.rs
@@ -88,8 +88,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the store fails, a newer epoch has claimed the record, the record keeps changing, or the
-/// value can't be decoded.
+/// Fails if the store fails, a newer epoch has claimed the record, the record keeps changing, or
+/// the value can't be decoded.
 pub fn claim(store: &dyn Store, cell: &str, epoch: u64) -> Result<(u64, CellRecord), Failure> {
     let mut last = Failure::not_run(
         kernel::verdict::Cause::Conflict,
--- a/components/sched/src/report.rs
+++ b/components/sched/src/report.rs
@@ -17,8 +17,9 @@
 /// Number of workers on which a task fails before it counts as failed for good.
 const MAX_FAILED_WORKERS: usize = 4;
 /// Consecutive early losses of a task with its worker after which it counts as failed, since it
-/// presumably crashes its workers. Without a limit, one such task takes down a worker at each start,
-/// as in a test of 20 rounds. Long-running tasks that lose their worker occasionally are unaffected.
+/// presumably crashes its workers. Without a limit, one such task takes down a worker at each
+/// start, as in a test of 20 rounds. Long-running tasks that lose their worker occasionally are
+/// unaffected.
 const MAX_EARLY_LOSSES: u32 = 5;
 /// A loss within this time after the start counts as early. The limit is ten times as long as most
 /// tasks run, the same as for the cells of the users' platform.
@@ -26,7 +27,13 @@
 
 impl Cell {
     /// Handles the report that answers an order.
-    pub fn on_report(&mut self, worker_index: usize, order: &Order, report: Report, now: Instant) {
+    pub fn handle_report(
+        &mut self,
+        worker_index: usize,
+        order: &Order,
+        report: Report,
+        now: Instant,
+    ) {
         let worker = self.fleet.worker_mut(worker_index);
         let rebooted = worker
             .last_report
@@ -51,17 +58,17 @@
             self.release_lost_tasks(worker_index, now);
         }
         for record in records {
-            self.on_record(worker_index, record, now);
+            self.handle_record(worker_index, record, now);
         }
         for refusal in refusals {
-            self.on_refusal(worker_index, &refusal);
+            self.handle_refusal(worker_index, &refusal);
         }
     }
 
-    fn on_record(&mut self, worker_index: usize, record: Record, now: Instant) {
+    fn handle_record(&mut self, worker_index: usize, record: Record, now: Instant) {
         let known = self.jobs.contains_key(&record.task.job);
         match record.phase {
-            Phase::Running if known => self.on_running(worker_index, record, now),
+            Phase::Running if known => self.handle_running(worker_index, record, now),
             Phase::Running => {
                 let (task, attempt) = (record.task, record.attempt);
                 let stop = Stop {
@@ -71,15 +78,15 @@
                 };
                 self.fleet.worker_mut(worker_index).outbox.stops.push(stop);
             }
-            Phase::Finished => self.on_finished(worker_index, &record),
-            Phase::Failed => self.on_failed(worker_index, &record, now),
-            Phase::Stopped => self.on_stopped(worker_index, &record),
+            Phase::Finished => self.handle_finished(worker_index, &record),
+            Phase::Failed => self.handle_failed(worker_index, &record, now),
+            Phase::Stopped => self.handle_stopped(worker_index, &record),
         }
     }
 
-    /// Handles a running task. Adopts it if this owner did not start it, and stops it if another start of
-    /// the task is current.
-    fn on_running(&mut self, worker_index: usize, record: Record, now: Instant) {
+    /// Handles a running task. Adopts it if this owner did not start it, and stops it if another
+    /// start of the task is current.
+    fn handle_running(&mut self, worker_index: usize, record: Record, now: Instant) {
         if let Some(run) = self.running.get(&record.task) {
             if run.attempt != record.attempt {
                 let (task, attempt) = (record.task, record.attempt);
@@ -99,7 +106,7 @@
         job::remove(&mut job.unconfirmed, index);
         job::remove(&mut job.ready, index);
         job.running.insert(index);
-        let cancelled = job.entry.cancelled;
+        let cancelled = job.record.cancelled;
         self.counts.adopted += 1;
         let team = self.limits.row(&record.class).map(|row| row.team.clone());
         self.queues
@@ -155,7 +162,7 @@
         ));
     }
 
-    fn on_finished(&mut self, worker_index: usize, record: &Record) {
+    fn handle_finished(&mut self, worker_index: usize, record: &Record) {
         self.end_run(&record.task, record.attempt);
         self.fleet.worker_mut(worker_index).record_success();
         self.stage_forget(worker_index, record);
@@ -163,23 +170,23 @@
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
         };
-        if job.entry.done.contains(&index) {
+        if job.record.done.contains(&index) {
             return;
         }
-        job::insert(&mut job.entry.done, index);
+        job::insert(&mut job.record.done, index);
         job::remove(&mut job.ready, index);
         job::remove(&mut job.unconfirmed, index);
-        job::remove(&mut job.entry.unknown, index);
-        job.entry.resume.remove(&index);
-        job.failures.remove(&index);
-        job.losses.remove(&index);
+        job::remove(&mut job.record.unknown, index);
+        job.record.resume.remove(&index);
+        job.failed_workers.remove(&index);
+        job.early_losses.remove(&index);
         self.counts.finished += 1;
         // A later start of the same task is redundant.
         self.stop(&record.task, StopMode::Kill);
         self.check_ended(&record.task.job);
     }
 
-    fn on_failed(&mut self, worker_index: usize, record: &Record, now: Instant) {
+    fn handle_failed(&mut self, worker_index: usize, record: &Record, now: Instant) {
         let worker = self.fleet.worker_mut(worker_index);
         let name = worker.name.clone();
         if worker.record_failure(now) {
@@ -193,15 +200,15 @@
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
         };
-        let workers = job.failures.entry(index).or_default();
+        let workers = job.failed_workers.entry(index).or_default();
         workers.insert(name);
-        if workers.len() >= MAX_FAILED_WORKERS || job.entry.spec.once {
+        if workers.len() >= MAX_FAILED_WORKERS || job.record.spec.once {
             log::warn!(
                 target: "sched",
                 "Task failed; the failure limit is reached. task={} workers={}",
                 record.task, workers.iter().map(|w| &**w).collect::<Vec<_>>().join(",")
             );
-            job::insert(&mut job.entry.failed, index);
+            job::insert(&mut job.record.failed, index);
             self.check_ended(&record.task.job);
         } else {
             job.requeue(index);
@@ -210,14 +217,14 @@
         self.write_queue.mark_dirty();
     }
 
-    fn on_stopped(&mut self, worker_index: usize, record: &Record) {
+    fn handle_stopped(&mut self, worker_index: usize, record: &Record) {
         self.stage_forget(worker_index, record);
         let ran = self.end_run(&record.task, record.attempt);
         let index = record.task.index;
         let Some(job) = self.jobs.get_mut(&record.task.job) else {
             return;
         };
-        let resume = job.entry.resume.entry(index).or_default();
+        let resume = job.record.resume.entry(index).or_default();
         *resume = record.checkpoint.max(*resume);
         if ran.is_some() {
             self.return_to_queue(&record.task);
@@ -231,8 +238,8 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.entry.spec.once && !job.entry.cancelled {
-            job::insert(&mut job.entry.unknown, task.index);
+        if job.record.spec.once && !job.record.cancelled {
+            job::insert(&mut job.record.unknown, task.index);
         } else {
             job.requeue(task.index);
         }
@@ -241,9 +248,9 @@
         self.write_queue.mark_dirty();
     }
 
-    /// Handles a refused start: requeues the task, which did not run, and requests the worker's whole
-    /// ledger.
-    fn on_refusal(&mut self, worker_index: usize, refusal: &Refusal) {
+    /// Handles a refused start: requeues the task, which did not run, and requests the worker's
+    /// whole ledger.
+    fn handle_refusal(&mut self, worker_index: usize, refusal: &Refusal) {
         log::debug!(
             target: "sched", "Start refused by the worker. task={} reason={}",
             refusal.task, refusal.reason
@@ -262,8 +269,8 @@
         self.check_ended(&refusal.task.job);
     }
 
-    /// Requeues the tasks of a worker on which they certainly run no more, or fails those with too many
-    /// early losses.
+    /// Requeues the tasks of a worker on which they certainly run no more, or fails those with too
+    /// many early losses.
     pub(crate) fn release_lost_tasks(&mut self, worker_index: usize, now: Instant) {
         let tasks = self.fleet.worker(worker_index).tasks.clone();
         let worker = self.fleet.worker_mut(worker_index);
@@ -293,10 +300,10 @@
             return false;
         };
         if !is_early {
-            job.losses.remove(&task.index);
+            job.early_losses.remove(&task.index);
             return false;
         }
-        let losses = job.losses.entry(task.index).or_default();
+        let losses = job.early_losses.entry(task.index).or_default();
         *losses += 1;
         *losses >= MAX_EARLY_LOSSES
     }
@@ -305,7 +312,7 @@
     fn fail_task(&mut self, task: &Task) {
         log::warn!(target: "sched", "Task failed; it was repeatedly lost with its worker. task={task}");
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job::insert(&mut job.entry.failed, task.index);
+            job::insert(&mut job.record.failed, task.index);
         }
         self.check_ended(&task.job);
         self.write_queue.mark_dirty();
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -40,8 +40,8 @@
 /// Interval between health checks of owners.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Interval per known cell between two exchanges of all summaries with a random box, so that the bytes
-/// per second do not grow with the number of cells.
+/// Interval per known cell between two exchanges of all summaries with a random box, so that the
+/// bytes per second do not grow with the number of cells.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time-out of one exchange of summaries.
@@ -91,7 +91,7 @@
     server: Server,
     ready: Readiness,
     actor: ActorThread<Scheduler>,
-    _roster: BoxWatcher,
+    _watcher: BoxWatcher,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
 }
@@ -147,11 +147,11 @@
             let list = list.clone();
             on_list.tell(move |sched, cx| sched.set_list(cx, list));
         });
-        let roster = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
+        let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
         let on_table = remote.clone();
         let follower = Follower::start(
             settings.name,
-            roster.view().clone(),
+            watcher.view().clone(),
             client.clone(),
             Box::new(move |table| {
                 on_table.tell(move |sched, cx| sched.set_table(cx, table));
@@ -170,7 +170,7 @@
             server,
             ready,
             actor: host,
-            _roster: roster,
+            _watcher: watcher,
             follower,
             threads,
         })
@@ -186,8 +186,8 @@
         &self.tasks.remote
     }
 
-    /// Stops gracefully: reports as not ready, stops placing tasks, persists the cells and hands them
-    /// over. Tasks keep running on the workers.
+    /// Stops gracefully: reports as not ready, stops placing tasks, persists the cells and hands
+    /// them over. Tasks keep running on the workers.
     pub fn stop(&mut self) {
         self.ready.set(false);
         self.tasks.hand_over();
--- a/components/sched/src/worker_link.rs
+++ b/components/sched/src/worker_link.rs
@@ -19,8 +19,8 @@
         worker_index: usize,
     ) -> Option<(Arc<str>, Order)>;
 
-    /// Handles the outcome of an exchange. `place` is the cell, the epoch and the index of the worker.
-    /// Returns the wait before the next exchange; `None` when the exchange failed.
+    /// Handles the outcome of an exchange. `place` is the cell, the epoch and the index of the
+    /// worker. Returns the wait before the next exchange; `None` when the exchange failed.
     fn handle_exchange(
         &mut self,
         cx: &mut Cx<'_, Self>,
--- a/components/sched/src/write_queue.rs
+++ b/components/sched/src/write_queue.rs
@@ -38,8 +38,8 @@
 }
 
 impl WriteQueue {
-    /// Creates the queue for a claimed record: its store version, its last write number, and the drained
-    /// workers.
+    /// Creates the queue for a claimed record: its store version, its last write number, and the
+    /// drained workers.
     pub fn new(version: u64, write: u64, drained: Vec<Arc<str>>) -> Self {
         WriteQueue {
             store_version: version,
@@ -65,8 +65,8 @@
     }
 
     /// Raises the priority of the next write to at least this one.
-    pub fn raise_priority(&mut self, rank: Priority) {
-        self.priority = self.priority.min(rank);
+    pub fn raise_priority(&mut self, priority: Priority) {
+        self.priority = self.priority.min(priority);
     }
 
     /// Returns the priority of the next write; `None` when no write is due or one is in flight.
--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -101,21 +101,21 @@
     /// Creates an owner with the next epoch and the last written record.
     fn take_over(&mut self) -> Cell {
         self.epoch += 1;
-        let tenure = Ownership::begin(Arc::from("h1"), self.epoch);
+        let ownership = Ownership::begin(Arc::from("h1"), self.epoch);
         let term = LeaseTiming {
             length: Duration::from_millis(LEASE),
             drift: 10,
         };
         let policy = placement::create("packing").unwrap();
         let mut cell = Cell::new(
-            tenure,
+            ownership,
             self.record.clone(),
             self.epoch,
             term,
             policy,
             self.now(),
         );
-        cell.merge(&self.items.iter().collect::<Vec<_>>());
+        cell.update_workers(&self.items.iter().collect::<Vec<_>>());
         cell.set_limits(limits(&self.items));
         cell
     }
@@ -162,7 +162,7 @@
             }
             let order = cell.next_order(worker_index);
             if let Ok(report) = self.farm.exchange(&self.items[worker_index].name, &order) {
-                cell.on_report(worker_index, &order, report, self.now());
+                cell.handle_report(worker_index, &order, report, self.now());
             }
         }
     }
@@ -221,7 +221,8 @@
     let mut old = world.active_owner();
     let id = world.submit(&mut old, 1, spec(3, 500));
     world.step(&mut old, 100);
-    // The tasks end and the old owner receives the reports, but it crashes before it persists the ends.
+    // The tasks end and the old owner receives the reports, but it crashes before it persists the
+    // ends.
     world.clock.advance(600);
     world.exchange(&mut old);
     world.exchange(&mut old);
@@ -306,9 +307,9 @@
     assert_eq!(cell.status(&id).unwrap().finished, 4);
 }
 
-/// A task that crashes its workers fails after five starts. A crashed worker reports no failure of the
-/// task, so without the limit on early losses the task would take down one worker after another, as in
-/// an incident with crashing tasks.
+/// A task that crashes its workers fails after five starts. A crashed worker reports no failure of
+/// the task, so without the limit on early losses the task would take down one worker after
+/// another, as in an incident with crashing tasks.
 #[test]
 fn task_that_crashes_workers_fails() {
     let mut world = World::new(2);
@@ -330,8 +331,8 @@
     assert_eq!(world.witness.totals().starts, 5);
 }
 
-/// A task is restarted when its worker crashes long after each start: only early losses count towards
-/// the limit.
+/// A task is restarted when its worker crashes long after each start: only early losses count
+/// towards the limit.
 #[test]
 fn late_losses_do_not_fail_a_task() {
     let mut world = World::new(2);
@@ -424,8 +425,8 @@
         (1, 1)
     );
     world.step(&mut cell, 600);
-    // The evicted task resumes from its checkpoint: every task ends after 9 s of run time, the evicted
-    // one later by the time it was stopped.
+    // The evicted task resumes from its checkpoint: every task ends after 9 s of run time, the
+    // evicted one later by the time it was stopped.
     world.step(&mut cell, 5400);
     assert_eq!(cell.status(&id).unwrap().finished, 3);
     world.step(&mut cell, 700);
@@ -456,8 +457,8 @@
     }
 }
 
-/// A worker executes the stops of an order before its starts. A stop in the same order as its start had
-/// no effect, so the task of a cancelled job kept running.
+/// A worker executes the stops of an order before its starts. A stop in the same order as its start
+/// had no effect, so the task of a cancelled job kept running.
 #[test_case(Delivery::NotSent; "not sent")]
 #[test_case(Delivery::OrderLost; "order lost")]
 #[test_case(Delivery::ReportLost; "report lost")]
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -68,8 +68,8 @@
     assert_eq!(claims, Ok([0, 0, 1]));
 }
 
-/// Without a pause after yielding, an owner resumed from suspension and its successor took the cell from
-/// each other in turns, up to epoch 7 within 4 s.
+/// Without a pause after yielding, an owner resumed from suspension and its successor took the cell
+/// from each other in turns, up to epoch 7 within 4 s.
 #[test]
 fn yielded_cell_is_not_claimed_at_once() {
     let host = scheduler();
--- a/programs/load/src/slope/book.rs
+++ b/programs/load/src/slope/book.rs
@@ -26,7 +26,7 @@
         rig.submit_many(jobs, TASKS, 1000);
         for job in rig.cell.jobs.values_mut() {
             for index in (0..TASKS).step_by(2) {
-                job.entry.done.insert(index..=index);
+                job.record.done.insert(index..=index);
             }
         }
         let mut bytes = 0;
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -84,7 +84,7 @@
             policy,
             start,
         );
-        cell.merge(&items.iter().collect::<Vec<_>>());
+        cell.update_workers(&items.iter().collect::<Vec<_>>());
         let list = List { version: 1, items };
         cell.set_limits(Limits::of(CELL, table(4), &list));
         let mut rig = Rig {
@@ -169,7 +169,7 @@
                 continue;
             };
             let started = Instant::now();
-            self.cell.on_report(at, &order, report, now);
+            self.cell.handle_report(at, &order, report, now);
             spent += started.elapsed();
         }
         spent
