--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -141,7 +141,7 @@
         Cell {
             name: ownership.cell().clone(),
             stage: Some(Stage::Fencing(ownership)),
-            timing: timing,
+            timing,
             fleet: Fleet::default(),
             jobs: jobs.collect(),
             queues: Queues::default(),
