--- a/components/sched/src/job.rs
+++ b/components/sched/src/job.rs
@@ -1,7 +1,7 @@
-//! Jobs: arrays of tasks of one class, and where their tasks stand.
+//! Jobs: arrays of tasks of one class, and the states of their tasks.
 
 use {
-    crate::book::Entry,
+    crate::record::JobRecord,
     kernel::settings,
     rangemap::RangeInclusiveSet,
     serde::{Deserialize, Serialize},
@@ -11,248 +11,252 @@
     },
 };
 
-/// The id of a job: its cell, a dot, and a key that its submitter chose.
+/// Builds the id of a job: its cell, a dot, and a key chosen by the submitter.
 ///
-/// The same id sent again is the same job, so a submission whose reply was lost may be repeated.
+/// Submissions are idempotent by id, so one whose reply was lost may be repeated.
 pub fn id(cell: &str, key: u64) -> Arc<str> {
     Arc::from(format!("{cell}.{key:016x}"))
 }
 
-/// The cell of a job's id; `None` when it is not an id.
+/// Returns the cell of a job id; `None` when the text is not a job id.
 pub fn cell_of(id: &str) -> Option<&str> {
     let (cell, key) = id.rsplit_once('.')?;
     (settings::is_name(cell) && key.len() == 16).then_some(cell)
 }
 
-/// Where the tasks of a job stand.
+/// The status of a job, with counts of its tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The job's id.
     pub id: Arc<str>,
-    /// The class.
+    /// The class of work.
     pub class: Arc<str>,
-    /// The number of tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// Tasks that wait.
+    /// Waiting tasks.
     pub queued: u32,
-    /// Tasks that run.
+    /// Running tasks.
     pub running: u32,
-    /// Tasks that finished.
+    /// Finished tasks.
     pub finished: u32,
-    /// Tasks that were given up after failures.
+    /// Tasks that reached the failure limit.
     pub failed: u32,
-    /// Tasks that must not be started twice and whose end is not known.
+    /// At-most-once tasks whose outcome is unknown.
     pub unknown: u32,
     /// True after a cancellation.
     pub cancelled: bool,
-    /// True when no task will run any more.
+    /// True once the job has ended: no task runs or will run.
     pub ended: bool,
-    /// Why the next task is not placed.
+    /// Why the next task cannot be placed.
     pub blocked: Option<String>,
 }
 
-/// A job in the memory of its cell's owner.
+/// A job in the memory of the cell's owner.
 pub struct Job {
-    /// What lasts.
-    pub entry: Entry,
-    /// Tasks that may be started now.
+    /// The persisted state.
+    pub record: JobRecord,
+    /// Tasks that may be started.
     pub ready: RangeInclusiveSet<u32>,
-    /// Tasks that must be marked in the store before they may be started.
+    /// At-most-once tasks that must be marked in the store before they may be started.
     pub unmarked: RangeInclusiveSet<u32>,
-    /// Tasks that may run on a worker which was not heard yet.
-    pub held: RangeInclusiveSet<u32>,
-    /// Tasks that run.
+    /// Tasks that may run on a worker whose ledger was not read yet.
+    pub unconfirmed: RangeInclusiveSet<u32>,
+    /// Tasks that run or were ordered to start.
     pub running: BTreeSet<u32>,
-    /// True once the job is written down and its tasks are sorted.
-    pub begun: bool,
-    /// Tasks below this place may be started, as the store knows.
+    /// True once the job is persisted and its tasks are classified.
+    pub classified: bool,
+    /// Tasks below this index may be started; persisted value.
     pub reserved: u32,
-    /// Tasks below this place may have been started.
+    /// Tasks below this index may have been started.
     pub started: u32,
-    /// Workers on which a task has failed, by task.
-    pub failures: BTreeMap<u32, BTreeSet<Arc<str>>>,
-    /// How often in a row a task was lost with its worker soon after it had started. Kept by one owner: the next one
-    /// counts anew.
-    pub losses: BTreeMap<u32, u32>,
-    /// True while the job stands in its class's line.
-    pub lined: bool,
-    /// Why the next task is not placed.
+    /// By task: the workers on which it failed.
+    pub failed_workers: BTreeMap<u32, BTreeSet<Arc<str>>>,
+    /// By task: consecutive losses together with its worker soon after a start. The count is not
+    /// persisted; a new owner starts from zero.
+    pub early_losses: BTreeMap<u32, u32>,
+    /// True while the job is in the queue of its class.
+    pub queued: bool,
+    /// Why the next task cannot be placed.
     pub blocked: Option<&'static str>,
 }
 
-/// The number of values in a set of ranges.
-pub fn size_of(set: &RangeInclusiveSet<u32>) -> u32 {
+/// Returns the number of values in a set of ranges.
+pub fn count_of(set: &RangeInclusiveSet<u32>) -> u32 {
     set.iter()
         .map(|range| range.end() - range.start() + 1)
         .sum()
 }
 
-/// Adds one value.
-pub fn put(set: &mut RangeInclusiveSet<u32>, index: u32) {
+/// Inserts one value.
+pub fn insert(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.insert(index..=index);
 }
 
-/// Takes one value out.
-pub fn take(set: &mut RangeInclusiveSet<u32>, index: u32) {
+/// Removes one value.
+pub fn remove(set: &mut RangeInclusiveSet<u32>, index: u32) {
     set.remove(index..=index);
 }
 
-/// Adds all values of another set.
-fn add_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
+/// Inserts all values of another set.
+fn insert_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
     for range in other.iter() {
         set.insert(range.clone());
     }
 }
 
-/// Takes all values of another set out.
+/// Removes all values of another set.
 fn remove_all(set: &mut RangeInclusiveSet<u32>, other: &RangeInclusiveSet<u32>) {
     for range in other.iter() {
         set.remove(range.clone());
     }
 }
 
-/// The smallest value.
-pub fn first(set: &RangeInclusiveSet<u32>) -> Option<u32> {
+/// Returns the smallest value.
+pub fn first_of(set: &RangeInclusiveSet<u32>) -> Option<u32> {
     set.iter().next().map(|range| *range.start())
 }
 
 impl Job {
-    /// A job of which nothing was started as far as this owner knows.
-    pub fn new(entry: Entry) -> Self {
-        let reserved = entry.reserved;
+    /// Creates a job from its persisted state, with no task known to run.
+    pub fn new(record: JobRecord) -> Self {
+        let reserved = record.reserved;
         Job {
-            entry,
+            record,
             ready: RangeInclusiveSet::new(),
             unmarked: RangeInclusiveSet::new(),
-            held: RangeInclusiveSet::new(),
+            unconfirmed: RangeInclusiveSet::new(),
             running: BTreeSet::new(),
-            begun: false,
+            classified: false,
             reserved,
             started: reserved,
-            failures: BTreeMap::new(),
-            losses: BTreeMap::new(),
-            lined: false,
+            failed_workers: BTreeMap::new(),
+            early_losses: BTreeMap::new(),
+            queued: false,
             blocked: None,
         }
     }
 
-    /// Tasks that need nothing more: finished, given up, or unknown.
-    pub fn settled(&self) -> RangeInclusiveSet<u32> {
-        let mut set = self.entry.done.clone();
-        for range in self.entry.failed.iter().chain(self.entry.unknown.iter()) {
+    /// Returns the tasks in a terminal state: finished, failed or unknown.
+    pub fn terminal_tasks(&self) -> RangeInclusiveSet<u32> {
+        let mut set = self.record.done.clone();
+        for range in self.record.failed.iter().chain(self.record.unknown.iter()) {
             set.insert(range.clone());
         }
         set
     }
 
-    /// True when this task needs nothing more.
-    pub fn is_settled(&self, index: u32) -> bool {
-        let Entry {
+    /// Returns true when the task is in a terminal state.
+    pub fn is_terminal(&self, index: u32) -> bool {
+        let JobRecord {
             done,
             failed,
             unknown,
             ..
-        } = &self.entry;
+        } = &self.record;
         done.contains(&index) || failed.contains(&index) || unknown.contains(&index)
     }
 
-    /// True when no task runs or will run.
-    pub fn is_over(&self) -> bool {
-        if !self.running.is_empty() || !self.held.is_empty() {
+    /// Returns true when no task runs or will run.
+    pub fn is_finished(&self) -> bool {
+        if !self.running.is_empty() || !self.unconfirmed.is_empty() {
             return false;
         }
-        let waits = !self.begun || !self.ready.is_empty() || !self.unmarked.is_empty();
-        self.entry.cancelled || !waits
+        let has_waiting = !self.classified || !self.ready.is_empty() || !self.unmarked.is_empty();
+        self.record.cancelled || !has_waiting
     }
 
-    /// Lets a task wait again, after it was stopped or lost.
+    /// Makes a task ready again after it was stopped or lost. Does nothing if the job is cancelled
+    /// or the task is in a terminal state.
     pub fn requeue(&mut self, index: u32) {
-        if self.entry.cancelled || self.is_settled(index) {
+        if self.record.cancelled || self.is_terminal(index) {
             return;
         }
-        put(&mut self.ready, index);
+        insert(&mut self.ready, index);
     }
 
-    /// Sorts the tasks that neither run nor are settled into ready, unmarked, unknown and held.
+    /// Classifies the tasks that are neither running nor terminal as ready, unmarked, unconfirmed
+    /// or unknown.
     ///
-    /// `unheard` says that some may run on a worker that was not heard yet.
-    pub fn begin(&mut self, unheard: bool) {
-        self.begun = true;
-        if self.entry.cancelled {
+    /// `has_unread` is true when some may run on a worker whose ledger was not read yet.
+    pub fn classify_tasks(&mut self, has_unread: bool) {
+        self.classified = true;
+        if self.record.cancelled {
             return;
         }
         let mut waiting = RangeInclusiveSet::new();
-        waiting.insert(0..=self.entry.spec.count - 1);
-        remove_all(&mut waiting, &self.settled());
+        waiting.insert(0..=self.record.spec.count - 1);
+        remove_all(&mut waiting, &self.terminal_tasks());
         for index in &self.running {
-            take(&mut waiting, *index);
+            remove(&mut waiting, *index);
         }
-        let mut untouched = waiting.clone();
-        if self.entry.spec.once {
-            remove_all(&mut untouched, &self.entry.marked);
-        } else if self.entry.reserved > 0 {
-            untouched.remove(0..=self.entry.reserved - 1);
+        let mut never_started = waiting.clone();
+        if self.record.spec.once {
+            remove_all(&mut never_started, &self.record.marked);
+        } else if self.record.reserved > 0 {
+            never_started.remove(0..=self.record.reserved - 1);
         }
-        remove_all(&mut waiting, &untouched);
-        let (touched, once) = (waiting, self.entry.spec.once);
-        add_all(
+        remove_all(&mut waiting, &never_started);
+        let (maybe_started, once) = (waiting, self.record.spec.once);
+        insert_all(
             if once {
                 &mut self.unmarked
             } else {
                 &mut self.ready
             },
-            &untouched,
+            &never_started,
         );
-        let doubtful = match (unheard, once) {
-            (true, _) => &mut self.held,
-            (false, true) => &mut self.entry.unknown,
+        let target = match (has_unread, once) {
+            (true, _) => &mut self.unconfirmed,
+            (false, true) => &mut self.record.unknown,
             (false, false) => &mut self.ready,
         };
-        add_all(doubtful, &touched);
+        insert_all(target, &maybe_started);
     }
 
-    /// Frees the tasks that were held: they surely run nowhere.
-    pub fn release(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        if self.entry.cancelled {
+    /// Releases the unconfirmed tasks, which certainly run nowhere: they become ready, or unknown
+    /// if they may run at most once.
+    pub fn release_unconfirmed(&mut self) {
+        let released = std::mem::take(&mut self.unconfirmed);
+        if self.record.cancelled {
             return;
         }
-        let once = self.entry.spec.once;
-        add_all(
+        let once = self.record.spec.once;
+        insert_all(
             if once {
-                &mut self.entry.unknown
+                &mut self.record.unknown
             } else {
                 &mut self.ready
             },
-            &held,
+            &released,
         );
     }
 
-    /// Lets tasks be started whose mark is written. True when there were some.
-    pub fn open_marked(&mut self) -> bool {
-        let mut rest = self.unmarked.clone();
-        remove_all(&mut rest, &self.entry.marked);
-        let mut marked = std::mem::replace(&mut self.unmarked, rest.clone());
-        remove_all(&mut marked, &rest);
-        add_all(&mut self.ready, &marked);
+    /// Makes the tasks ready whose mark is written. Returns true when there were any.
+    pub fn release_marked(&mut self) -> bool {
+        let mut unwritten = self.unmarked.clone();
+        remove_all(&mut unwritten, &self.record.marked);
+        let mut marked = std::mem::replace(&mut self.unmarked, unwritten.clone());
+        remove_all(&mut marked, &unwritten);
+        insert_all(&mut self.ready, &marked);
         !marked.is_empty()
     }
 
-    /// Where the tasks stand.
+    /// Returns the status.
     pub fn status(&self) -> Status {
-        let entry = &self.entry;
-        let waiting = size_of(&self.ready) + size_of(&self.unmarked) + size_of(&self.held);
+        let record = &self.record;
+        let waiting =
+            count_of(&self.ready) + count_of(&self.unmarked) + count_of(&self.unconfirmed);
         Status {
-            id: entry.id.clone(),
-            class: entry.spec.class.clone(),
-            count: entry.spec.count,
-            queued: if entry.cancelled { 0 } else { waiting },
+            id: record.id.clone(),
+            class: record.spec.class.clone(),
+            count: record.spec.count,
+            queued: if record.cancelled { 0 } else { waiting },
             running: self.running.len() as u32,
-            finished: size_of(&entry.done),
-            failed: size_of(&entry.failed),
-            unknown: size_of(&entry.unknown),
-            cancelled: entry.cancelled,
-            ended: entry.ended.is_some(),
+            finished: count_of(&record.done),
+            failed: count_of(&record.failed),
+            unknown: count_of(&record.unknown),
+            cancelled: record.cancelled,
+            ended: record.ended.is_some(),
             blocked: self.blocked.map(str::to_owned),
         }
     }
@@ -267,8 +271,8 @@
     };
 
     /// A job of eight tasks: 0 is done, 1 runs, four are reserved, 0 to 2 are marked.
-    fn taken_over(once: bool) -> Job {
-        let mut entry = Entry::new(
+    fn job_after_takeover(once: bool) -> Job {
+        let mut record = JobRecord::new(
             id("h1", 1),
             Spec {
                 count: 8,
@@ -277,39 +281,39 @@
             },
             0,
         );
-        entry.reserved = 4;
-        put(&mut entry.done, 0);
-        entry.marked.insert(0..=2);
-        let mut job = Job::new(entry);
+        record.reserved = 4;
+        insert(&mut record.done, 0);
+        record.marked.insert(0..=2);
+        let mut job = Job::new(record);
         job.running.insert(1);
         job
     }
 
     #[test_case(false, false, (6, 0, 0, 0); "repeatable")]
-    #[test_case(false, true, (4, 0, 2, 0); "repeatable with a silent worker")]
+    #[test_case(false, true, (4, 0, 2, 0); "repeatable with an unreachable worker")]
     #[test_case(true, false, (0, 5, 0, 1); "once")]
-    #[test_case(true, true, (0, 5, 1, 0); "once with a silent worker")]
-    fn begin_sorts(once: bool, unheard: bool, expected: (u32, u32, u32, u32)) {
-        let mut job = taken_over(once);
-        job.begin(unheard);
+    #[test_case(true, true, (0, 5, 1, 0); "once with an unreachable worker")]
+    fn classify_tasks_by_state(once: bool, has_unread: bool, expected: (u32, u32, u32, u32)) {
+        let mut job = job_after_takeover(once);
+        job.classify_tasks(has_unread);
         let Job {
             ready,
             unmarked,
-            held,
-            entry,
+            unconfirmed,
+            record,
             ..
         } = &job;
-        let sizes = [ready, unmarked, held, &entry.unknown].map(size_of);
+        let sizes = [ready, unmarked, unconfirmed, &record.unknown].map(count_of);
         assert_eq!((sizes[0], sizes[1], sizes[2], sizes[3]), expected);
     }
 
     #[test]
-    fn open_marked_moves() {
-        let mut job = taken_over(true);
-        job.begin(false);
-        job.entry.marked.insert(3..=5);
-        assert!(job.open_marked() && !job.open_marked());
-        assert_eq!((size_of(&job.ready), size_of(&job.unmarked)), (3, 2));
+    fn release_marked_makes_ready() {
+        let mut job = job_after_takeover(true);
+        job.classify_tasks(false);
+        job.record.marked.insert(3..=5);
+        assert!(job.release_marked() && !job.release_marked());
+        assert_eq!((count_of(&job.ready), count_of(&job.unmarked)), (3, 2));
     }
 
     #[test_case("h1.00000000000000ff", Some("h1"); "an id")]
