--- a/components/cell/src/halls.rs
+++ b/components/cell/src/halls.rs
@@ -1,53 +1,54 @@
-//! Data halls that the operators have shut: nothing starts there until they are open again.
+//! Data halls closed by the operators: nothing starts there until they are opened again.
 //!
-//! What runs there goes on. Its workers are sound, and a move costs a stop, a start and the work since the last
-//! checkpoint, for nothing that anybody who waits would gain. It moves where it would move elsewhere too: slowed tasks
-//! that have better room, and tasks on workers that leave.
+//! Tasks that are running there continue. Their workers are healthy, and a move costs a stop, a
+//! start and the work since the last checkpoint, with no benefit. Tasks move for the usual reasons
+//! only: throttled tasks with better capacity elsewhere, and tasks on leaving workers.
 
 use {
     crate::{
         cell::Cell,
         order::Order,
-        worker::{Key, Worker},
+        worker::{TaskKey, Worker},
     },
     std::{collections::HashSet, sync::Arc},
 };
 
 impl Cell {
-    /// Takes in which data halls are shut now. Starts for them that have not left yet are taken back.
-    pub fn shut(&mut self, halls: HashSet<Arc<str>>) {
-        if self.shut == halls {
+    /// Sets the closed data halls. Starts for them that are not sent yet are revoked.
+    pub fn set_closed_halls(&mut self, halls: HashSet<Arc<str>>) {
+        if self.closed_halls == halls {
             return;
         }
-        let former = std::mem::replace(&mut self.shut, halls);
+        let former = std::mem::replace(&mut self.closed_halls, halls);
         for worker in self.workers.values_mut() {
-            let is_shut = self.shut.contains(&worker.entry.hall);
-            worker.changed |= former.contains(&worker.entry.hall) && !is_shut;
+            let is_closed = self.closed_halls.contains(&worker.entry.hall);
+            worker.changed |= former.contains(&worker.entry.hall) && !is_closed;
         }
-        for hall in self.shut.difference(&former) {
+        for hall in self.closed_halls.difference(&former) {
             let workers = self.workers.iter();
-            let here = workers.filter(|(_, worker)| worker.entry.hall == *hall);
+            let in_hall = workers.filter(|(_, worker)| worker.entry.hall == *hall);
             let (mut count, mut running) = (0, 0);
-            for (id, worker) in here {
+            for (id, worker) in in_hall {
                 count += 1;
                 running += worker.slots.len();
-                withdraw(id, worker, &mut self.orders);
+                revoke_starts(id, worker, &mut self.orders);
             }
-            log::info!(target: "cell", hall = &**hall, workers = count, tasks = running; "A data hall is shut: nothing more starts there.");
+            log::info!(target: "cell", hall = &**hall, workers = count, tasks = running; "Data hall closed; no tasks start there.");
         }
     }
 
-    /// True for a worker in a data hall that is shut.
-    pub(crate) fn is_shut(&self, worker: &Worker) -> bool {
-        !self.shut.is_empty() && self.shut.contains(&worker.entry.hall)
+    /// True for a worker in a closed data hall.
+    pub(crate) fn is_in_closed_hall(&self, worker: &Worker) -> bool {
+        !self.closed_halls.is_empty() && self.closed_halls.contains(&worker.entry.hall)
     }
 }
 
-/// Keeps the starts of a worker from leaving that have not left yet. One that has left begins or not within 1.5 s; a
-/// stop sent after it would end lasting tasks that have just begun to work, several of a step at once.
-fn withdraw(id: &Arc<str>, worker: &Worker, orders: &mut Vec<(Arc<str>, Order)>) {
+/// Revokes the unsent starts of a worker. A start that was sent begins within 1.5 s or never.
+/// Stopping it afterwards would end long-running tasks that have just started, several of a
+/// step at once.
+fn revoke_starts(id: &Arc<str>, worker: &Worker, orders: &mut Vec<(Arc<str>, Order)>) {
     let sent = worker.slots.iter().filter(|(_, slot)| slot.is_sent());
-    let mut starts: Vec<(&Key, u64)> = sent.map(|(key, slot)| (key, slot.run)).collect();
+    let mut starts: Vec<(&TaskKey, u64)> = sent.map(|(key, slot)| (key, slot.run)).collect();
     starts.sort();
     for (key, run) in starts {
         let key = key.clone();
--- /dev/null
+++ b/components/cell/src/persistence.rs
@@ -0,0 +1,166 @@
+//! Batches of records that the owner persists, and the effects of their completion.
+
+use {
+    crate::{
+        cell::{Cell, Job},
+        interference::Interference,
+        worker::Entry,
+    },
+    job::{Id, Record},
+    std::{collections::HashSet, sync::Arc},
+};
+
+/// A batch of records to write.
+#[derive(Debug, Clone, Default)]
+pub struct WriteBatch {
+    /// Jobs and their records.
+    pub records: Vec<(Id, Record)>,
+    /// Those jobs that have ended and whose specification is stored separately, to be deleted with
+    /// the batch.
+    pub separate_specs: HashSet<Id>,
+    /// The workers that may hold tasks, if that set has changed.
+    pub fleet: Option<Vec<Entry>>,
+    /// The highest number of a run end that the batch persists, by worker.
+    pub ends: Vec<(Arc<str>, u64)>,
+}
+
+impl WriteBatch {
+    /// True if there is nothing to write.
+    pub fn is_empty(&self) -> bool {
+        self.records.is_empty() && self.fleet.is_none()
+    }
+}
+
+/// Returns the number of store entries that writing a record takes.
+fn entries_of(record: &Record, has_separate_spec: bool) -> usize {
+    if record.state.is_final() {
+        2 + usize::from(has_separate_spec)
+    } else {
+        1
+    }
+}
+
+impl Job {
+    /// True if the specification is stored separately, for senders of start orders.
+    fn has_separate_spec(&self) -> bool {
+        self.progress.submission.spec.text.is_empty()
+    }
+}
+
+impl Cell {
+    /// Returns the interference model if it is due to be written. It is written separately, since
+    /// no other write depends on it, and with 16 serving and 30 best-effort images it is larger
+    /// than many batches.
+    pub fn take_interference(&mut self) -> Option<Interference> {
+        std::mem::take(&mut self.interference_due).then(|| self.interference.clone())
+    }
+
+    /// Returns the next batch, whose records take at most `most` store entries. The record of an
+    /// ended job takes two or three entries, since its submission is deleted.
+    pub fn take_write_batch(&mut self, most: usize) -> WriteBatch {
+        let mut batch = WriteBatch::default();
+        let mut entries = 0;
+        while let Some(id) = self.dirty.peek() {
+            let job = self.jobs.get(id);
+            let has_separate_spec = job.is_some_and(Job::has_separate_spec);
+            let record = job.map(|job| job.progress.record());
+            entries += record
+                .as_ref()
+                .map_or(0, |record| entries_of(record, has_separate_spec));
+            if entries > most && !batch.records.is_empty() {
+                break;
+            }
+            let id = self.dirty.pop();
+            if let (Some(id), Some(record)) = (&id, &record)
+                && has_separate_spec
+                && record.state.is_final()
+            {
+                batch.separate_specs.insert(id.clone());
+            }
+            batch.records.extend(id.zip(record));
+        }
+        if std::mem::take(&mut self.fleet_dirty) {
+            let entries = self.workers.values().map(|worker| worker.entry.clone());
+            batch.fleet = Some(entries.collect());
+        }
+        for (id, worker) in &self.workers {
+            let is_persisted = |(_, job): &&(u64, Id)| !self.dirty.contains(job);
+            let last = worker.unwritten_ends.iter().take_while(is_persisted).last();
+            if let Some((number, _)) = last {
+                batch.ends.push((id.clone(), *number));
+            }
+        }
+        batch
+    }
+
+    /// Handles a completed write. Returns the workers whose run ends can be acknowledged.
+    pub fn batch_written(&mut self, batch: &WriteBatch) -> Vec<Arc<str>> {
+        for (id, record) in &batch.records {
+            self.apply_written(id, record);
+        }
+        for entry in batch.fleet.iter().flatten() {
+            self.mark_recorded(&entry.id);
+        }
+        let mut acknowledged = Vec::new();
+        for (id, number) in &batch.ends {
+            let Some(worker) = self.workers.get_mut(id) else {
+                continue;
+            };
+            worker.ends_written = worker.ends_written.max(*number);
+            worker.unwritten_ends.retain(|(end, _)| end > number);
+            if worker.unwritten_ends.is_empty() {
+                acknowledged.push(id.clone());
+            }
+        }
+        acknowledged
+    }
+
+    /// Records that the persisted record of workers contains a worker.
+    pub(crate) fn mark_recorded(&mut self, id: &str) {
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.changed |= !worker.recorded;
+            worker.recorded = true;
+        }
+    }
+
+    /// Makes the persisted state of a job visible to callers, and removes a job that has ended.
+    fn apply_written(&mut self, id: &Id, record: &Record) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.written_state != record.state {
+            log::info!(target: "cell", job = id.as_str(), state = record.state.as_str(); "State of a job persisted.");
+        }
+        job.written_state = record.state;
+        if job.crash_unpersisted && record.crashed == job.progress.crashed() {
+            job.crash_unpersisted = false;
+        }
+        if record.state.is_final() {
+            self.ended_jobs
+                .insert(id.clone(), (record.state, record.ended));
+            self.jobs.remove(id);
+        }
+    }
+
+    /// Requeues a batch that was not written or whose result is unknown.
+    pub fn batch_failed(&mut self, batch: WriteBatch) {
+        for (id, record) in batch.records {
+            if record.state.is_final() {
+                self.dirty.insert_first(id);
+            } else {
+                self.dirty.insert(id);
+            }
+        }
+        self.fleet_dirty |= batch.fleet.is_some();
+    }
+
+    /// True if there is something to write.
+    pub fn is_dirty(&self) -> bool {
+        !self.dirty.is_empty() || self.fleet_dirty
+    }
+
+    /// Returns the number of records to be written.
+    pub fn backlog(&self) -> usize {
+        self.dirty.len()
+    }
+}
--- /dev/null
+++ b/components/cell/src/run_end.rs
@@ -0,0 +1,215 @@
+//! Handling of run ends: completed, failed and interrupted runs, and what follows for tasks and
+//! jobs.
+
+use {
+    crate::{
+        cell::Cell,
+        order::{EndCause, RunEnd},
+        report::Times,
+        run_log::FinishedRun,
+        worker::TaskKey,
+    },
+    job::{Phase, State},
+    std::sync::Arc,
+};
+
+impl Cell {
+    /// Processes a listed run end, unless it was processed before.
+    pub(crate) fn handle_end(&mut self, id: &Arc<str>, end: &RunEnd, times: Times) {
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        if end.number <= worker.ends_read {
+            return;
+        }
+        worker.ends_read = end.number;
+        worker
+            .unwritten_ends
+            .push_back((end.number, end.job.clone()));
+        let Some(key) = self.task_key(id, &end.job, end.address) else {
+            return;
+        };
+        if !self.jobs.contains_key(&end.job) {
+            self.release_slot(id, &key, end.run);
+            return;
+        }
+        self.log_end(id, &key, end, times);
+        let was_held = self.release_slot(id, &key, end.run);
+        self.record_worker_result(id, end.how, times.now);
+        self.record_checkpoint(&key, end.saved.as_ref());
+        if matches!(end.how, EndCause::Done | EndCause::Failed) {
+            self.complete_trial(id, &key);
+            self.reset_crashes(&key);
+        }
+        match end.how {
+            EndCause::Done => self.run_done(id, &key, was_held, times),
+            EndCause::Failed => self.run_failed(&key, end.run, was_held, times),
+            _ if was_held => self.run_interrupted(&key),
+            _ => {}
+        }
+    }
+
+    /// Logs a run end. Completed runs are logged in batches, all others at once.
+    fn log_end(&mut self, id: &Arc<str>, key: &TaskKey, end: &RunEnd, times: Times) {
+        if end.how == EndCause::Done {
+            self.defer_done_log(FinishedRun {
+                key: key.clone(),
+                run: end.run,
+                worker: id.clone(),
+                at: times.now,
+            });
+            return;
+        }
+        let place = key.place;
+        log::info!(target: "cell", job = key.job.as_str(), place, worker = &**id, run = end.run, how:? = end.how; "A run has ended.");
+    }
+
+    /// Releases the slot of a run. Returns true if the worker held this very run.
+    fn release_slot(&mut self, id: &Arc<str>, key: &TaskKey, run: u64) -> bool {
+        let Some(worker) = self.workers.get_mut(id) else {
+            return false;
+        };
+        if worker.slots.get(key).is_none_or(|slot| slot.run != run) {
+            return false;
+        }
+        worker.remove_slot(key).is_some()
+    }
+
+    /// Counts the run for or against its worker, if its end says something about the worker.
+    fn record_worker_result(&mut self, id: &Arc<str>, how: EndCause, now: u64) {
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        match how {
+            EndCause::Done => worker.record_result(false, now),
+            EndCause::Failed => worker.record_result(true, now),
+            _ => {}
+        }
+    }
+
+    /// Requeues a task whose run ended before the task was complete.
+    fn run_interrupted(&mut self, key: &TaskKey) {
+        self.mark_dirty(key);
+        self.requeue_if_unplaced(key);
+    }
+
+    /// Marks the record of a job to be written, unless the job has ended.
+    fn mark_dirty(&mut self, key: &TaskKey) {
+        let is_open = self
+            .jobs
+            .get(&key.job)
+            .is_some_and(|job| !job.progress.state.is_final());
+        if is_open {
+            self.dirty.insert(key.job.clone());
+        }
+    }
+
+    /// Requeues a task unless a worker still holds a slot for it.
+    pub(crate) fn requeue_if_unplaced(&mut self, key: &TaskKey) {
+        let job = self.jobs.get(&key.job);
+        let Some(task) = job.and_then(|job| job.progress.tasks.get(key.place)) else {
+            return;
+        };
+        if let Phase::Placed(worker) = &task.phase
+            && let Some(worker) = self.workers.get(worker)
+            && worker.slots.contains_key(key)
+        {
+            return;
+        }
+        self.requeue(key);
+    }
+
+    /// Handles a completed run: dependent steps may become ready, or the job is complete.
+    fn run_done(&mut self, id: &Arc<str>, key: &TaskKey, was_held: bool, times: Times) {
+        let Some(job) = self.jobs.get(&key.job) else {
+            return;
+        };
+        if job.progress.state.is_final() {
+            return;
+        }
+        if job.progress.step(key.place).lasting {
+            if was_held {
+                self.run_interrupted(key);
+            }
+            return;
+        }
+        for (worker, place) in self.complete(id, key) {
+            let job = key.job.clone();
+            self.stop(&worker, &TaskKey { job, place }, times.now);
+        }
+        let is_done = self
+            .jobs
+            .get(&key.job)
+            .is_some_and(|job| job.progress.is_done());
+        if is_done {
+            self.finish(&key.job, State::Completed, times.now, times.wall);
+        } else {
+            self.activate_steps(&key.job, times.wall);
+        }
+    }
+
+    /// Marks a task complete, with its whole gang. Returns other workers on which the task is
+    /// placed, whose runs are to be stopped.
+    fn complete(&mut self, id: &Arc<str>, key: &TaskKey) -> Vec<(Arc<str>, usize)> {
+        let Some(job) = self.jobs.get_mut(&key.job) else {
+            return Vec::new();
+        };
+        let address = job.progress.submission.spec.address(key.place);
+        let is_gang = job.progress.step(key.place).gang;
+        let places = if is_gang {
+            job.progress.places(address.time, address.step)
+        } else {
+            key.place..key.place + 1
+        };
+        let mut duplicates = Vec::new();
+        for place in places {
+            if let Phase::Placed(worker) = &job.progress.tasks[place].phase
+                && (worker != id || place != key.place)
+                && !is_gang
+            {
+                duplicates.push((worker.clone(), place));
+            }
+            job.ready.remove(&place);
+            job.progress.mark_done(place);
+        }
+        if job.ready.is_empty() {
+            self.ready_jobs.remove(&job.rank);
+            job.reset_waiting();
+        }
+        self.dirty.insert(key.job.clone());
+        duplicates
+    }
+
+    /// Handles a failed run: its task is requeued, or the job fails.
+    fn run_failed(&mut self, key: &TaskKey, run: u64, was_held: bool, times: Times) {
+        let Some(job) = self.jobs.get_mut(&key.job) else {
+            return;
+        };
+        if job.progress.state.is_final() {
+            return;
+        }
+        let attempts = job.progress.submission.queue.attempts;
+        let is_lasting = job.progress.step(key.place).lasting;
+        let is_done = job.progress.tasks[key.place].phase == Phase::Done;
+        // Long-running tasks may fail any number of times. A previous owner may have recorded this
+        // failure already.
+        if is_done || is_lasting || !job.progress.record_failure(key.place, run) {
+            if was_held {
+                self.requeue_if_unplaced(key);
+            }
+            return;
+        }
+        let task = &mut job.progress.tasks[key.place];
+        task.run = task.run.max(run);
+        let failures = task.failed.len() as u32;
+        self.dirty.insert(key.job.clone());
+        if failures >= attempts {
+            log::info!(target: "cell", job = key.job.as_str(), place = key.place, failures; "Task failed; no attempts left.");
+            self.finish(&key.job, State::Failed, times.now, times.wall);
+            return;
+        }
+        if was_held {
+            self.requeue_if_unplaced(key);
+        }
+    }
+}
--- a/components/cell/src/summary.rs
+++ b/components/cell/src/summary.rs
@@ -1,46 +1,46 @@
-//! What a cell looks like at a moment, for logs and metrics.
+//! Aggregate figures of a cell for logs and metrics.
 
 use crate::{cell::Cell, slot::Slot};
 
-/// Sums over a cell. Processors are in thousandths of a core.
+/// Aggregate figures of a cell. CPU is in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Jobs that have not ended.
     pub jobs: usize,
-    /// Tasks that are placed.
+    /// Placed tasks.
     pub placed: usize,
     /// Workers.
     pub workers: usize,
     /// Workers that may be given work.
-    pub open: usize,
+    pub schedulable: usize,
     /// Workers without serving tasks.
-    pub unserving: usize,
+    pub without_serving: usize,
     /// Workers with serving tasks of more than one image.
     pub mixed: usize,
-    /// Filling tasks that are slowed down.
-    pub paced: usize,
-    /// Processors of serving tasks.
-    pub serving: u64,
-    /// Processors of other tasks that take room.
-    pub firm: u64,
-    /// Free processors for tasks that take room.
-    pub free: u64,
-    /// The most that is free on one worker.
-    pub largest: u64,
-    /// Processors that nobody is reckoned to use.
-    pub unused: u64,
-    /// Processors of ready tasks that take room.
-    pub waiting: u64,
-    /// Processors of ready filling tasks.
-    pub filling: u64,
-    /// Suspected tasks that are being tried.
+    /// Throttled tasks.
+    pub throttled: usize,
+    /// CPU of serving tasks.
+    pub serving_cpu: u64,
+    /// CPU reserved by other tasks.
+    pub other_cpu: u64,
+    /// Free CPU for tasks that reserve it.
+    pub free_cpu: u64,
+    /// The most free CPU on one worker.
+    pub largest_free: u64,
+    /// CPU that is expected to be idle.
+    pub idle_cpu: u64,
+    /// CPU demand of ready tasks that reserve CPU.
+    pub waiting_cpu: u64,
+    /// CPU demand of ready best-effort tasks.
+    pub waiting_best_effort: u64,
+    /// Trials of suspected tasks in progress.
     pub trials: usize,
-    /// For how long the oldest of these trials has gone on, in milliseconds: some seconds, or something is wrong.
+    /// The age of the oldest trial, in milliseconds. More than some seconds indicates a fault.
     pub trial_age: u64,
 }
 
 impl Cell {
-    /// Sums over the cell now.
+    /// Returns the current aggregate figures.
     pub fn summary(&self, now: u64) -> Summary {
         let (trials, trial_age) = self.trials(now);
         let mut summary = Summary {
@@ -52,27 +52,27 @@
         };
         for worker in self.workers.values() {
             summary.placed += worker.slots.len();
-            summary.serving += worker.serving;
-            summary.firm += worker.firm.cpu - worker.serving;
-            if !worker.is_open(now) || self.is_shut(worker) {
+            summary.serving_cpu += worker.serving_cpu;
+            summary.other_cpu += worker.reserved.cpu - worker.serving_cpu;
+            if !worker.is_schedulable(now) || self.is_in_closed_hall(worker) {
                 continue;
             }
-            summary.open += 1;
-            summary.mixed += usize::from(worker.serve_images.len() > 1);
-            summary.unserving += usize::from(worker.serving == 0);
+            summary.schedulable += 1;
+            summary.mixed += usize::from(worker.serving_images.len() > 1);
+            summary.without_serving += usize::from(worker.serving_cpu == 0);
             let is_paced = |slot: &&Slot| slot.percent < 100;
-            summary.paced += worker.slots.values().filter(is_paced).count();
-            summary.free += worker.free().cpu;
-            summary.largest = summary.largest.max(worker.free().cpu);
-            summary.unused += worker.unused();
+            summary.throttled += worker.slots.values().filter(is_paced).count();
+            summary.free_cpu += worker.free().cpu;
+            summary.largest_free = summary.largest_free.max(worker.free().cpu);
+            summary.idle_cpu += worker.idle_cpu();
         }
         for job in self.jobs.values() {
             for &place in &job.ready {
                 let step = job.progress.step(place);
                 if step.fills {
-                    summary.filling += step.size.cpu;
+                    summary.waiting_best_effort += step.size.cpu;
                 } else {
-                    summary.waiting += step.size.cpu;
+                    summary.waiting_cpu += step.size.cpu;
                 }
             }
         }
--- /dev/null
+++ b/components/cell/tests/decisions/maintenance.rs
@@ -0,0 +1,244 @@
+//! Maintenance waves: limit, draining, and completion.
+
+use {
+    crate::common::{JOB, World, end, entry, run, step},
+    job::{Id, Step},
+    magpie_cell::{EndCause, Machine, MaintenanceOrder, Order, Outcome, Run, Wave},
+    std::{collections::HashMap, slice::from_ref},
+    test_case::test_case,
+};
+
+fn wave(limit: usize) -> Wave {
+    Wave {
+        number: 3,
+        machines: vec!["m1".into(), "m2".into()],
+        limit,
+        done: Vec::new(),
+    }
+}
+
+fn machine(name: &str, worker: Option<&str>) -> Machine {
+    Machine {
+        name: name.into(),
+        up: worker.is_some(),
+        in_maintenance: false,
+        worker: worker.map(Into::into),
+    }
+}
+
+fn both() -> [Machine; 2] {
+    [machine("m1", Some("w1")), machine("m2", Some("w2"))]
+}
+
+fn order(machine: &str) -> MaintenanceOrder {
+    MaintenanceOrder {
+        wave: 3,
+        machine: machine.into(),
+    }
+}
+
+#[test]
+fn wave_limit_is_respected() {
+    let mut world = World::new(&["w1", "w2"]);
+    let orders = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
+    assert_eq!(orders, [order("m1")]);
+    let down = [machine("m1", None), machine("m2", Some("w2"))];
+    assert!(
+        world
+            .cell
+            .plan_maintenance(&[wave(1)], &down, world.now)
+            .is_empty()
+    );
+    let back = [machine("m1", Some("w9")), machine("m2", Some("w2"))];
+    let orders = world.cell.plan_maintenance(&[wave(1)], &back, world.now);
+    assert_eq!(orders, [order("m2")]);
+}
+
+#[test]
+fn wave_completes_when_machines_return() {
+    let mut world = World::new(&["w1", "w2"]);
+    world.cell.plan_maintenance(&[wave(2)], &both(), world.now);
+    assert!(!world.cell.wave_statuses(&[wave(2)])[0].complete);
+    let back = [machine("m1", Some("w8")), machine("m2", Some("w9"))];
+    world.cell.plan_maintenance(&[wave(2)], &back, world.now);
+    assert!(world.cell.wave_statuses(&[wave(2)])[0].complete);
+}
+
+/// A machine that left the fleet needs no maintenance; one that an owner recorded is done.
+#[test]
+fn removed_and_recorded_machines_are_done() {
+    let mut world = World::new(&["w1"]);
+    let mut noted = wave(1);
+    noted.done = vec!["m1".into()];
+    let orders = world
+        .cell
+        .plan_maintenance(&[noted.clone()], &both()[..1], world.now);
+    assert!(orders.is_empty());
+    assert!(world.cell.wave_statuses(&[noted])[0].complete);
+}
+
+#[test]
+fn drain_precedes_maintenance() {
+    let mut world = World::new(&["w1", "w2"]);
+    let mut long_running = step(1, 1_000);
+    long_running.lasting = true;
+    long_running.may_miss = Some(1);
+    world.submit(JOB, vec![long_running]);
+    let (worker, start) = world.starts()[0].clone();
+    world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
+    let mut single = wave(1);
+    let name = if &*worker == "w1" { "m1" } else { "m2" };
+    single.machines = vec![name.into()];
+    assert!(
+        world
+            .cell
+            .plan_maintenance(&[single.clone()], &both(), world.now)
+            .is_empty()
+    );
+    assert_eq!(world.stops(), [(worker.clone(), start.run)]);
+    world.now += 10_000;
+    world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
+    assert!(
+        world
+            .cell
+            .plan_maintenance(&[single.clone()], &both(), world.now)
+            .is_empty()
+    );
+    let ended = end(1, JOB, 0, start.run, EndCause::Stopped);
+    world.report(&worker, vec![], vec![ended]);
+    assert_ne!(world.starts()[0].0, worker);
+    let orders = world.cell.plan_maintenance(&[single], &both(), world.now);
+    assert_eq!(orders, [order(name)]);
+}
+
+#[test]
+fn refused_order_is_repeated() {
+    let mut world = World::new(&["w1", "w2"]);
+    let orders = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
+    world.cell.maintenance_refused(&orders[0]);
+    let repeated = world.cell.plan_maintenance(&[wave(1)], &both(), world.now);
+    assert_eq!(repeated, orders);
+}
+
+/// Guards against a worker that stays closed when its wave, or its machine's part in it, is
+/// withdrawn during draining.
+#[test_case(&[]; "no wave remains")]
+#[test_case(&["m2"]; "the machine is in no wave")]
+fn withdrawn_wave_reopens_drained_worker(machines: &[&str]) {
+    let mut world = World::new(&["w1"]);
+    let long_running = Step {
+        lasting: true,
+        ..step(1, 1_000)
+    };
+    world.submit(JOB, vec![long_running]);
+    let (worker, start) = world.starts()[0].clone();
+    world.report(&worker, vec![run(JOB, 0, start.run)], vec![]);
+    let list = [machine("m1", Some("w1"))];
+    assert!(
+        world
+            .cell
+            .plan_maintenance(&[wave(1)], &list, world.now)
+            .is_empty()
+    );
+    world.submit("00000000000000b2", vec![step(1, 1_000)]);
+    assert!(world.starts().is_empty());
+    let mut remaining = wave(1);
+    remaining.machines = machines.iter().map(|name| (*name).into()).collect();
+    let waves = [remaining];
+    let count = usize::from(!machines.is_empty());
+    world
+        .cell
+        .plan_maintenance(&waves[..count], &list, world.now);
+    assert_eq!(world.starts().len(), 1);
+}
+
+/// Draining continues with the next incarnation of a worker that crashes while it is drained. The
+/// drain state belonged to the old incarnation; the next one got long-running tasks, was never
+/// drained, and the wave never completed.
+#[test]
+fn wave_continues_with_next_incarnation() {
+    let mut world = World::new(&["w1", "w2"]);
+    let wave = Wave {
+        number: 3,
+        machines: vec!["m1".into()],
+        limit: 1,
+        done: Vec::new(),
+    };
+    let machine = |worker: &str| Machine {
+        name: "m1".into(),
+        up: true,
+        in_maintenance: false,
+        worker: Some(worker.into()),
+    };
+    let long_running = Step {
+        lasting: true,
+        spread: 1,
+        ..step(2, 1_000)
+    };
+    world.submit(JOB, vec![long_running]);
+    let mut listed = HashMap::new();
+    for (worker, start) in world.starts() {
+        world.answer(&worker, &start, Outcome::Done);
+        let mut reported = run(JOB, 0, start.run);
+        reported.address = start.address;
+        listed.insert(worker, reported);
+    }
+    world.now += 100;
+    let orders = world
+        .cell
+        .plan_maintenance(from_ref(&wave), &[machine("w1")], world.now);
+    assert!(orders.is_empty());
+    // Another incarnation of the worker replaces the first.
+    world
+        .cell
+        .end_incarnation(&"w1".into(), "another incarnation answers", world.now);
+    world.list(vec![entry("w3", 4), entry("w2", 4)]);
+    let mut orders_to_next = Vec::new();
+    let mut moved_job: Option<Id> = None;
+    let mut number = 0;
+    let mut on_next: Vec<Run> = Vec::new();
+    for _ in 0..300 {
+        world.now += 100;
+        let running = listed.get("w2").cloned().into_iter().collect();
+        world.report("w2", running, vec![]);
+        world.report("w3", on_next.clone(), vec![]);
+        world.cell.rerank(world.now, world.now);
+        world.cell.place(world.now);
+        for (worker, order) in world.cell.take_orders() {
+            match &order {
+                Order::Start(start) if &*worker == "w3" => {
+                    world
+                        .cell
+                        .handle_outcome(&worker, &order, Outcome::Done, world.now);
+                    let mut reported = run(JOB, 0, start.run);
+                    reported.address = start.address;
+                    on_next.push(reported);
+                    moved_job = Some(start.key.job.clone());
+                }
+                Order::Stop { run, address, .. } if &*worker == "w3" => {
+                    on_next.clear();
+                    number += 1;
+                    let mut ended = end(number, JOB, 0, *run, EndCause::Stopped);
+                    ended.address = *address;
+                    world.report("w3", vec![], vec![ended]);
+                }
+                _ => {}
+            }
+        }
+        world.persist();
+        orders_to_next.extend(world.cell.plan_maintenance(
+            from_ref(&wave),
+            &[machine("w3")],
+            world.now,
+        ));
+    }
+    assert!(
+        moved_job.is_some(),
+        "no task started on the next incarnation"
+    );
+    assert_eq!(
+        orders_to_next.len(),
+        1,
+        "the machine gets no maintenance order in 30 s"
+    );
+}
--- a/components/infra/examples/settle.rs
+++ b/components/infra/examples/read_back.rs
@@ -1,13 +1,13 @@
-//! A write whose reply is lost, and what is known of it afterwards:
-//! `cargo run -p magpie-infra --example settle`.
+//! Determines the outcome of a write whose reply was lost:
+//! `cargo run -p magpie-infra --example read_back`.
 
 use {
     kernel::{Failure, verdict::Cause},
-    magpie_infra::{Store, Swap, Versioned, settle},
+    magpie_infra::{Store, Swap, Versioned, read_back},
     std::{sync::Mutex, time::Duration},
 };
 
-/// A store of one key that loses every reply to a write.
+/// A store with one key that applies writes but loses all replies to them.
 struct Lossy {
     value: Mutex<Option<Versioned>>,
 }
@@ -35,5 +35,5 @@
     let store = Lossy {
         value: Mutex::new(None),
     };
-    println!("{}", settle::swap(&store, "key", 0, b"mine"));
+    println!("{}", read_back::swap(&store, "key", 0, b"mine"));
 }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,43 +1,46 @@
-//! One box of the system: it accepts jobs, and owns the cell of workers when it is its turn.
+//! A box: one control-plane node of the scheduler. It accepts jobs, and schedules the cell of
+//! workers while it owns the cell.
 //!
-//! The state is in one actor, [`core::Core`]. Around it, each written straight down: a task that
-//! follows the configuration, one that follows and claims ownership, one that accepts jobs, one that
-//! tells the owner of cancellations again, and while owning one that renews the lease, one that reads
-//! the intake, one that writes groups, one that lists workers. Two for each worker wait on the thread of all connections.
+//! One actor, [`core::Core`], holds the state. Background threads do the blocking work. Every box
+//! has threads that follow the configuration, watch and claim the ownership of the cell, accept
+//! jobs, exchange messages with the owner, and repeat cancellations to it until it confirms them.
+//! The owner also has threads that renew its lease, read the intake, write groups of records, list
+//! the workers, run maintenance waves and read which data halls are closed. Two async tasks for
+//! each worker run on the network thread.
 
 pub mod accept;
 pub mod callers;
 pub mod cancel;
 pub mod claim;
-pub mod comeback;
 pub mod config;
 pub mod core;
-pub mod fetch;
-pub mod follow;
+pub mod decode;
+pub mod external;
 pub mod group;
 pub mod heartbeat;
-pub mod kept;
+pub mod job_cache;
 pub mod keys;
 pub mod message;
-pub mod news;
-pub mod outside;
-pub mod owning;
+pub mod order_queue;
+pub mod owner_tasks;
+pub mod owner_watch;
+pub mod ownership;
 pub mod peer;
-pub mod queued;
 pub mod relay;
 pub mod relays;
+pub mod report_delta;
+pub mod retry_after;
 pub mod settings;
+pub mod spec_text;
 pub mod store;
-pub mod tenure;
-pub mod texts;
 pub mod time;
 pub mod worker;
 
 pub use callers::{Call, Reply};
 pub use core::{Core, Node};
-pub use outside::{
-    Advisor, Closure, Closures, Configs, Found, Later, Machines, Outside, Read, Unheard, Waited,
-    Workers,
+pub use external::{
+    Advisor, BoxFuture, ConfigRead, ConfigSnapshot, ConfigSource, ConfigWait, External,
+    HallClosure, HallClosures, Machines, PollError, Workers,
 };
 pub use settings::Settings;
 pub use store::Store;
--- /dev/null
+++ b/components/node/src/order_queue.rs
@@ -0,0 +1,210 @@
+//! The queue of orders to one worker, which are sent one at a time and in order.
+//!
+//! A queued stop takes effect at once on a start of the same run that was not sent yet: the start
+//! is revoked, since a cancelled or evicted run would start only to be stopped. The same holds for
+//! a start that is withdrawn because its data hall was closed.
+
+use {
+    crate::settings::MAX_START_WAIT_MS,
+    cell::{Order, TaskKey},
+    kernel::sync::lock,
+    std::{
+        collections::HashSet,
+        sync::{Arc, Mutex},
+    },
+    tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender},
+};
+
+/// An order in the queue.
+#[derive(Debug)]
+pub struct QueuedOrder {
+    /// The order.
+    pub order: Order,
+    /// The number of the order between the owner and a relay; 0 on the box of the owner.
+    pub number: u64,
+    /// The time of the decision, in milliseconds on the clock of this box.
+    decided: u64,
+}
+
+impl QueuedOrder {
+    /// An order that was decided `age` milliseconds before `now`.
+    pub fn new(order: Order, number: u64, age: u64, now: u64) -> Self {
+        QueuedOrder {
+            order,
+            number,
+            decided: now.saturating_sub(age),
+        }
+    }
+
+    /// True for a start that has waited for more than [`MAX_START_WAIT_MS`] and must not be sent.
+    pub fn is_stale(&self, now: u64) -> bool {
+        let is_start = matches!(self.order, Order::Start(_));
+        is_start && now.saturating_sub(self.decided) > MAX_START_WAIT_MS
+    }
+}
+
+/// Runs whose starts must not be sent.
+type Revoked = Arc<Mutex<HashSet<(TaskKey, u64)>>>;
+
+/// The sending end of a worker's queue.
+#[derive(Debug)]
+pub struct OrderSender {
+    orders: UnboundedSender<QueuedOrder>,
+    revoked: Revoked,
+}
+
+/// The receiving end of a worker's queue.
+#[derive(Debug)]
+pub struct OrderReceiver {
+    orders: UnboundedReceiver<QueuedOrder>,
+    revoked: Revoked,
+}
+
+/// Creates the queue of one worker.
+pub fn channel() -> (OrderSender, OrderReceiver) {
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let revoked = Revoked::default();
+    let sender = OrderSender {
+        orders: sender,
+        revoked: revoked.clone(),
+    };
+    let receiver = OrderReceiver {
+        orders: receiver,
+        revoked,
+    };
+    (sender, receiver)
+}
+
+impl OrderSender {
+    /// Revokes the start of the run that a stop or withdrawal is about. Other orders revoke nothing.
+    pub fn revoke_start(&self, order: &Order) {
+        if let Some(run) = revoked_by(order) {
+            lock(&self.revoked).insert(run);
+        }
+    }
+
+    /// Queues an order. False if the receiving end is closed.
+    pub fn send(&self, queued: QueuedOrder) -> bool {
+        self.revoke_start(&queued.order);
+        self.orders.send(queued).is_ok()
+    }
+}
+
+impl OrderReceiver {
+    /// Waits for the next order; `None` once the sending end is closed.
+    pub async fn next(&mut self) -> Option<QueuedOrder> {
+        let queued = self.orders.recv().await?;
+        if let Some(run) = revoked_by(&queued.order) {
+            lock(&self.revoked).remove(&run);
+        }
+        Some(queued)
+    }
+
+    /// True for a start that must not be sent, because a stop or a withdrawal of its run is queued.
+    pub fn is_revoked(&self, order: &Order) -> bool {
+        let Order::Start(start) = order else {
+            return false;
+        };
+        lock(&self.revoked).contains(&(start.key.clone(), start.run))
+    }
+}
+
+/// The run whose start an order revokes.
+fn revoked_by(order: &Order) -> Option<(TaskKey, u64)> {
+    match order {
+        Order::Stop { key, run, .. } | Order::Withdraw { key, run } => Some((key.clone(), *run)),
+        Order::Start(_) | Order::Pace { .. } => None,
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use {
+        super::*,
+        crate::time,
+        cell::{Start, TaskKey},
+        job::{Address, Id},
+        kernel::{clock, runtime},
+        std::time::Duration,
+        test_case::test_case,
+    };
+
+    const ADDRESS: Address = Address {
+        time: 0,
+        step: 0,
+        index: 0,
+    };
+
+    fn key() -> TaskKey {
+        TaskKey {
+            job: Id::new("00000000000000a1").unwrap(),
+            place: 0,
+        }
+    }
+
+    fn start() -> Order {
+        Order::Start(Start {
+            key: key(),
+            address: ADDRESS,
+            run: 1,
+            text: "text".into(),
+            saved: None,
+            deadline: 1_500,
+            ticket: None,
+        })
+    }
+
+    fn stop() -> Order {
+        Order::Stop {
+            key: key(),
+            address: ADDRESS,
+            run: 1,
+        }
+    }
+
+    /// A start must not be sent late: one that had waited 1.3 s behind two unanswered orders was
+    /// sent 1.2 s after its task had ended elsewhere. A stop is sent at any time.
+    #[test_case(start(), 0, MAX_START_WAIT_MS, false; "start in time")]
+    #[test_case(start(), 0, MAX_START_WAIT_MS + 1, true; "start too late")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 400, false; "start in time after an exchange")]
+    #[test_case(start(), 400, MAX_START_WAIT_MS - 399, true; "start too late after an exchange")]
+    #[test_case(stop(), 0, 60_000, false; "stop")]
+    fn is_stale_by_wait(order: Order, age: u64, wait: u64, is_stale: bool) {
+        let now = 100_000;
+        assert_eq!(
+            QueuedOrder::new(order, 0, age, now).is_stale(now + wait),
+            is_stale
+        );
+    }
+
+    /// A start from before a suspension of the machine is stale, although the monotonic clock has
+    /// not advanced.
+    #[test]
+    fn is_stale_after_suspension() {
+        let queued = QueuedOrder::new(start(), 0, 0, time::now());
+        clock::simulate_suspension(Duration::from_secs(2));
+        assert!(queued.is_stale(time::now()));
+    }
+
+    fn next(receiver: &mut OrderReceiver) -> QueuedOrder {
+        runtime::block_on(receiver.next()).unwrap().unwrap()
+    }
+
+    fn withdrawal() -> Order {
+        Order::Withdraw { key: key(), run: 1 }
+    }
+
+    /// A start that waits in the queue is revoked once its stop or withdrawal is queued behind it.
+    #[test_case(stop(); "stop")]
+    #[test_case(withdrawal(); "withdrawal")]
+    fn is_revoked_by_queued_order(order: Order) {
+        let (sender, mut receiver) = channel();
+        sender.send(QueuedOrder::new(start(), 0, 0, 1));
+        let first = next(&mut receiver);
+        assert!(!receiver.is_revoked(&first.order));
+        sender.send(QueuedOrder::new(order, 0, 0, 1));
+        assert!(receiver.is_revoked(&first.order));
+        next(&mut receiver);
+        assert!(!receiver.is_revoked(&first.order));
+    }
+}
--- /dev/null
+++ b/components/node/src/owner_tasks.rs
@@ -0,0 +1,383 @@
+//! Background threads of the owner: lease renewal, intake, group commit, worker listing,
+//! maintenance waves, closed data halls, placement advice and the interference model. They end with
+//! the ownership.
+
+use {
+    crate::{
+        core::Node,
+        decode,
+        group::{CELL, put_compact},
+        keys,
+        settings::{
+            HALLS_INTERVAL, INTAKE_WATCH_TIME, INTERFERENCE_INTERVAL, INTERFERENCE_PAUSE_FACTOR,
+            LIST_INTERVAL, LIST_PAUSE_FACTOR, OWNER_LEASE, RENEW_INTERVAL, STORE_RETRY_PAUSE,
+            WAVE_INTERVAL,
+        },
+        store::{ApplyResult, Change, Event, WatchResult, range_all},
+        time,
+    },
+    cell::{AdviceQuery, Cell, WaveStatus},
+    job::Id,
+    kernel::{Failure, task, wall_clock},
+    std::{
+        collections::HashMap,
+        sync::mpsc::{self, Receiver, Sender},
+        thread,
+        time::{Duration, Instant},
+    },
+};
+
+/// Starts the threads that every ownership has.
+pub fn start_all(node: &Node, fence: u64) {
+    start("renew", node, move |node| renew_lease(&node, fence));
+    start("intake", node, move |node| watch_intake(&node, fence));
+    start("write", node, move |node| write_groups(&node, fence));
+    start("list", node, move |node| list_workers(&node, fence));
+    start("upkeep", node, move |node| run_waves(&node, fence));
+    start("halls", node, move |node| follow_halls(&node, fence));
+}
+
+/// Runs the operators' maintenance waves and reports their progress.
+fn run_waves(node: &Node, fence: u64) {
+    let machines = &node.external.machines;
+    let mut reported: HashMap<u64, WaveStatus> = HashMap::new();
+    let mut had_waves = false;
+    while !has_ended(node, fence) {
+        let waves = match machines.waves() {
+            Ok(waves) => waves,
+            Err(failure) => {
+                log::info!(target: "owner", error:% = failure; "Could not read the maintenance waves.");
+                thread::sleep(WAVE_INTERVAL);
+                continue;
+            }
+        };
+        let has_waves = !waves.is_empty();
+        // One more pass after the last wave has ended lets the workers that were drained for it
+        // take tasks again.
+        if !has_waves && !had_waves {
+            thread::sleep(WAVE_INTERVAL);
+            continue;
+        }
+        let Ok(listed) = machines.list() else {
+            thread::sleep(LIST_INTERVAL);
+            continue;
+        };
+        let result = node.remote.ask(move |core, cx| {
+            let orders = core.plan_maintenance(cx, fence, &waves, &listed);
+            (orders, core.wave_progress(fence, &waves))
+        });
+        let Ok((orders, statuses)) = result else {
+            return;
+        };
+        had_waves = has_waves;
+        for order in orders {
+            let is_done = machines.start_maintenance(&order, &node.settings.name, fence);
+            log::info!(target: "owner", wave = order.wave, machine = &*order.machine, fence, done = is_done; "Machine ordered down for maintenance.");
+            if !is_done {
+                node.remote
+                    .tell(move |core, _| core.maintenance_refused(fence, &order));
+            }
+        }
+        for status in statuses {
+            if reported.get(&status.wave) == Some(&status) {
+                continue;
+            }
+            match machines.report_progress(&status) {
+                Ok(()) => {
+                    reported.insert(status.wave, status);
+                }
+                Err(failure) => {
+                    log::warn!(target: "owner", wave = status.wave, error:% = failure; "Could not report the progress of a maintenance wave.");
+                }
+            }
+        }
+        thread::sleep(LIST_INTERVAL);
+    }
+}
+
+/// Reads periodically which data halls the operators have closed.
+fn follow_halls(node: &Node, fence: u64) {
+    while !has_ended(node, fence) {
+        let started = time::now();
+        match node.external.closures.read() {
+            Ok(closures) => {
+                node.remote
+                    .tell(move |core, cx| core.handle_closures(cx, fence, closures, started));
+                thread::sleep(HALLS_INTERVAL);
+            }
+            Err(failure) => {
+                log::info!(target: "owner", error:% = failure; "Could not read the closed data halls.");
+                thread::sleep(HALLS_INTERVAL / 2);
+            }
+        }
+    }
+}
+
+/// Starts the thread that requests placement advice, one question at a time, since the service
+/// handles the calls of each box in sequence. Returns the sender for questions.
+pub fn start_advice(node: &Node, fence: u64) -> Sender<AdviceQuery> {
+    let (sender, questions) = mpsc::channel();
+    start("advice", node, move |node| advise(&node, fence, &questions));
+    sender
+}
+
+fn advise(node: &Node, fence: u64, questions: &Receiver<AdviceQuery>) {
+    for question in questions {
+        let answer = node.external.advisor.advise(&question);
+        if let Err(failure) = &answer {
+            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "The placement advisor gave no valid answer.");
+        }
+        node.remote
+            .tell(move |core, cx| core.handle_advice(cx, fence, &question, answer.ok()));
+    }
+}
+
+fn start(name: &str, node: &Node, run: impl FnOnce(Node) + Send + 'static) {
+    let node = node.clone();
+    if let Err(error) = task::spawn(name, move || run(node)) {
+        log::error!(target: "owner", task = name, error:% = error; "A background thread of the owner could not be started.");
+    }
+}
+
+fn has_ended(node: &Node, fence: u64) -> bool {
+    let is_owner = node
+        .remote
+        .ask(move |core, _| core.ownership_of(fence).is_some());
+    is_owner != Ok(true)
+}
+
+/// Renews the lease of the owner's key, and replaces it by a new one when it has expired.
+fn renew_lease(node: &Node, fence: u64) {
+    loop {
+        thread::sleep(RENEW_INTERVAL);
+        let lease = node
+            .remote
+            .ask(move |core, _| core.ownership_of(fence).map(|ownership| ownership.lease));
+        let Ok(Some(lease)) = lease else {
+            return;
+        };
+        let sent = time::now();
+        let renewed = if lease == 0 {
+            Ok(false)
+        } else {
+            node.external.store.renew(lease)
+        };
+        if renewed == Ok(true) {
+            node.remote.tell(move |core, _| {
+                if let Some(ownership) = core.ownership_of(fence) {
+                    ownership.confirm_at(sent);
+                }
+            });
+        }
+        if renewed != Ok(false) {
+            continue;
+        }
+        let Ok(lease) = node.external.store.grant(OWNER_LEASE) else {
+            continue;
+        };
+        log::info!(target: "owner", fence, lease; "The owner lease has expired; a new one was granted.");
+        node.remote.tell(move |core, cx| {
+            if let Some(ownership) = core.ownership_of(fence) {
+                ownership.lease = lease;
+                ownership.mark_unconfirmed();
+                core.wake_writer(cx);
+            }
+        });
+    }
+}
+
+/// Watches the intake and passes submissions and cancellations of callers to the cell.
+fn watch_intake(node: &Node, fence: u64) {
+    let mut after = fence;
+    loop {
+        let watched = node
+            .external
+            .store
+            .watch(keys::INTAKE, after, INTAKE_WATCH_TIME);
+        if has_ended(node, fence) {
+            return;
+        }
+        let events = match watched {
+            Ok(WatchResult::Events(events, at)) => {
+                after = at;
+                events
+            }
+            Ok(WatchResult::Compacted) => match range_all(&*node.external.store, keys::INTAKE) {
+                Ok((items, at)) => {
+                    log::info!(target: "owner", items = items.len(), at; "The watched history of the intake was compacted; the intake was read again.");
+                    after = at;
+                    items.into_iter().map(Event::Put).collect()
+                }
+                Err(_) => {
+                    thread::sleep(STORE_RETRY_PAUSE);
+                    continue;
+                }
+            },
+            Err(_) => {
+                thread::sleep(STORE_RETRY_PAUSE);
+                continue;
+            }
+        };
+        if events.is_empty() {
+            continue;
+        }
+        node.remote
+            .tell(move |core, cx| core.handle_intake(cx, fence, events));
+    }
+}
+
+/// Starts a thread that reads the intake once more after a takeover, when no former owner can start
+/// tasks any more.
+pub fn reread_intake(node: &Node, fence: u64) {
+    start("read again", node, move |node| {
+        while !has_ended(&node, fence) {
+            match read_unknown(&node, fence) {
+                Ok(events) => {
+                    node.remote
+                        .tell(move |core, cx| core.handle_reread(cx, fence, events));
+                    return;
+                }
+                Err(failure) => {
+                    log::info!(target: "owner", error:% = failure; "Could not read the intake again after the takeover.");
+                    thread::sleep(STORE_RETRY_PAUSE);
+                }
+            }
+        }
+    });
+}
+
+/// Starts the thread that writes the interference model, whose key has this revision.
+pub fn start_interference(node: &Node, fence: u64, revision: u64) {
+    start("learned", node, move |node| {
+        write_interference(&node, fence, revision)
+    });
+}
+
+/// Writes the interference model, separately from the groups of records that callers wait for. A
+/// former owner may write its model until the first write of this box; after that its condition
+/// fails.
+fn write_interference(node: &Node, fence: u64, mut revision: u64) {
+    let key = keys::interference(CELL);
+    let mut rest = INTERFERENCE_INTERVAL;
+    loop {
+        thread::sleep(rest);
+        let result = node
+            .remote
+            .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_interference()));
+        let Ok(Some(model)) = result else {
+            return;
+        };
+        let Some(model) = model else {
+            continue;
+        };
+        let change = Change {
+            expect: vec![(key.clone(), revision)],
+            put: vec![put_compact(key.clone(), &model)],
+            ..Change::default()
+        };
+        let started = Instant::now();
+        match node.external.store.apply(&change) {
+            Ok(ApplyResult::Done(now)) => revision = now,
+            Ok(ApplyResult::Conflict(items)) => {
+                revision = items.first().map_or(0, |item| item.revision)
+            }
+            Ok(ApplyResult::NoLease) => {}
+            Err(failure) => {
+                log::info!(target: "owner", error:% = failure; "Could not write the interference model.");
+            }
+        }
+        rest = INTERFERENCE_INTERVAL.max(started.elapsed() * INTERFERENCE_PAUSE_FACTOR);
+    }
+}
+
+/// Reads the cancellations, and the jobs that the cell does not know, from the intake.
+fn read_unknown(node: &Node, fence: u64) -> Result<Vec<Event>, Failure> {
+    let (items, _) = range_all(&*node.external.store, keys::INTAKE)?;
+    let ids: Vec<Id> = items
+        .iter()
+        .filter_map(|item| keys::id(&item.key, keys::JOB))
+        .collect();
+    let unknown = node
+        .remote
+        .ask(move |core, _| core.unknown_jobs(fence, ids))?;
+    let mut events = Vec::new();
+    for item in items {
+        let is_wanted = keys::id(&item.key, keys::JOB).is_none_or(|id| unknown.contains(&id));
+        if is_wanted {
+            events.push(Event::Put(item));
+        }
+    }
+    Ok(events)
+}
+
+/// Applies submissions and cancellations to the cell. Submissions come first, since a listing of
+/// the intake returns cancellations before the submissions they refer to.
+pub fn apply_intake(cell: &mut Cell, events: Vec<Event>) {
+    let mut cancelled = Vec::new();
+    for event in events {
+        let Event::Put(item) = event else {
+            continue;
+        };
+        if let Some(id) = keys::id(&item.key, keys::CANCEL) {
+            cancelled.push(id);
+            continue;
+        }
+        match decode::submission(&item) {
+            Ok(submission) => {
+                cell.admit(submission, wall_clock::millis());
+            }
+            Err(error) => {
+                log::error!(target: "owner", key = item.key.as_str(), error:% = error; "A stored submission cannot be decoded and is skipped.");
+            }
+        }
+    }
+    for id in cancelled {
+        if !cell.cancel(&id, time::now(), wall_clock::millis()) {
+            log::info!(target: "owner", job = id.as_str(); "A cancellation refers to an unknown job.");
+        }
+    }
+}
+
+/// Writes groups of records, one at a time.
+fn write_groups(node: &Node, fence: u64) {
+    loop {
+        let group = node
+            .remote
+            .ask_deferred(move |core, cx, answerer| core.next_group(cx, fence, answerer));
+        let Ok(Some(group)) = group else {
+            return;
+        };
+        let started = time::now();
+        let result = node.external.store.apply(&group.change);
+        let took = Duration::from_millis(time::now() - started);
+        metrics::histogram!("magpie_group_seconds").record(took);
+        if let Err(failure) = &result {
+            log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "The write of a group of records failed.");
+            thread::sleep(STORE_RETRY_PAUSE);
+        }
+        node.remote
+            .tell(move |core, cx| core.handle_write(cx, fence, group, result));
+    }
+}
+
+/// Lists the workers periodically. Each listing is complete, with 430 bytes per worker. A watch
+/// would report every heartbeat of every worker, which is as much data.
+fn list_workers(node: &Node, fence: u64) {
+    let mut took = Duration::ZERO;
+    loop {
+        thread::sleep(
+            (took * LIST_PAUSE_FACTOR).clamp(LIST_INTERVAL, node.settings.max_list_interval()),
+        );
+        let started = Instant::now();
+        let listing = node.external.workers.list();
+        took = started.elapsed();
+        if has_ended(node, fence) {
+            return;
+        }
+        let Ok(listing) = listing else {
+            continue;
+        };
+        node.remote
+            .tell(move |core, cx| core.handle_listing(cx, fence, listing));
+    }
+}
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -1,27 +1,28 @@
-//! The two tasks of a worker: one polls it, the other sends it orders.
+//! The two async tasks that connect the owner to one worker: one polls it, the other sends it
+//! orders.
 
 use {
     crate::{
         core::Node,
-        outside::Unheard,
-        queued::{self, Entrance, Exit, Queued},
-        settings::POLL_PAUSE,
+        external::PollError,
+        order_queue::{self, OrderReceiver, OrderSender, QueuedOrder},
+        settings::POLL_RETRY_PAUSE,
         time,
     },
-    cell::{Entry, Order, Outcome, Reason},
-    kernel::{Failure, net, verdict::Cause},
+    cell::{Entry, Order, Outcome, Refusal},
+    kernel::{Failure, runtime, verdict::Cause},
 };
 
-/// Starts the tasks of a worker; they end with the tenure or with the worker. Returns the way for
-/// its orders.
-pub fn tend(node: &Node, fence: u64, entry: Entry) -> Option<Entrance> {
-    let (entrance, orders) = queued::line();
-    let polled = poll(node.clone(), fence, entry.clone());
-    let sent = send(node.clone(), fence, entry, orders);
-    match net::spawn(polled).and_then(|()| net::spawn(sent)) {
-        Ok(()) => Some(entrance),
+/// Starts the tasks of a worker, which end with the ownership or with the worker. Returns the
+/// sender for its orders, or `None` if the tasks could not be started.
+pub fn start_tasks(node: &Node, fence: u64, entry: Entry) -> Option<OrderSender> {
+    let (sender, orders) = order_queue::channel();
+    let poll_task = poll(node.clone(), fence, entry.clone());
+    let send_task = send(node.clone(), fence, entry, orders);
+    match runtime::spawn(poll_task).and_then(|()| runtime::spawn(send_task)) {
+        Ok(()) => Some(sender),
         Err(error) => {
-            log::error!(target: "owner", error:% = error; "A worker's tasks cannot be started.");
+            log::error!(target: "owner", error:% = error; "The tasks that connect to a worker could not be started.");
             None
         }
     }
@@ -29,7 +30,7 @@
 
 async fn poll(node: Node, fence: u64, entry: Entry) {
     let id = entry.id.clone();
-    let first = node.remote.answered(move |core, _, answerer| {
+    let first = node.remote.ask_async(move |core, _, answerer| {
         answerer.send(core.first_poll(fence, &id));
     });
     let Ok(mut next) = first.await else {
@@ -37,76 +38,83 @@
     };
     while let Some(poll) = next {
         let sent = time::now();
-        let result = node.outside.workers.poll(&entry, fence, poll).await;
-        if let Err(Unheard::Silent(_)) = result {
+        let result = node.external.workers.poll(&entry, fence, poll).await;
+        if let Err(PollError::Silent(_)) = result {
             metrics::counter!("magpie_polls_failed_total").increment(1);
-            net::sleep(POLL_PAUSE).await;
+            runtime::sleep(POLL_RETRY_PAUSE).await;
         }
         let id = entry.id.clone();
-        let answer = node.remote.answered(move |core, cx, answerer| {
-            core.polled(cx, fence, &id, sent, result, answerer);
+        let answer = node.remote.ask_async(move |core, cx, answerer| {
+            core.handle_poll(cx, fence, &id, sent, result, answerer);
         });
         next = answer.await.unwrap_or_default();
     }
 }
 
-async fn send(node: Node, fence: u64, entry: Entry, mut orders: Exit) {
+async fn send(node: Node, fence: u64, entry: Entry, mut orders: OrderReceiver) {
     while let Some(queued) = orders.next().await {
-        // Orders may have waited behind others while the tenure ended.
+        // The ownership may have ended while the order was queued.
         if !node.shared.is_owning(fence) {
             return;
         }
         let order = queued.order.clone();
-        let outcome = send_one(&node, fence, &entry, queued, &orders).await;
+        let outcome = send_order(&node, fence, &entry, queued, &orders).await;
         if outcome == Outcome::Unknown {
-            log::info!(target: "owner", worker = &*entry.id, order:% = order; "An order has no answer.");
+            log::info!(target: "owner", worker = &*entry.id, order:% = order; "The outcome of an order is unknown: the worker gave no valid answer.");
         }
         let id = entry.id.clone();
-        let is_told = node
+        let is_delivered = node
             .remote
-            .tell(move |core, cx| core.answered(cx, fence, &id, &order, outcome));
-        if !is_told {
+            .tell(move |core, cx| core.handle_outcome(cx, fence, &id, &order, outcome));
+        if !is_delivered {
             return;
         }
     }
 }
 
-/// Sends an order, unless it has waited for too long or must not leave any more; a start with the specification of its job.
-pub(crate) async fn send_one(
+/// Sends an order to a worker and returns the outcome. Refuses it locally if it has been queued for
+/// too long or was revoked. Adds the specification of its job to a start that has none.
+pub(crate) async fn send_order(
     node: &Node,
     fence: u64,
     entry: &Entry,
-    mut queued: Queued,
-    line: &Exit,
+    mut queued: QueuedOrder,
+    receiver: &OrderReceiver,
 ) -> Outcome {
     if let Order::Withdraw { .. } = queued.order {
-        // It has done its part while it waited.
+        // It only revokes a queued start, which was done when it was queued.
         return Outcome::Done;
     }
     if let Order::Start(start) = &mut queued.order
         && start.text.is_empty()
     {
         let (own, job) = (node.clone(), start.key.job.clone());
-        let read = move || own.fetched.text(&*own.outside.store, &job);
-        match net::blocking(read).await.unwrap_or_else(|| Err(unread())) {
+        let read = move || own.specs.text(&*own.external.store, &job);
+        match runtime::spawn_blocking(read)
+            .await
+            .unwrap_or_else(|| Err(read_panicked()))
+        {
             Ok(text) => start.text = text,
             Err(failure) => {
-                log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A specification was not read; its start is not sent.");
-                return Outcome::Refused(Reason::NotSent);
+                log::info!(target: "worker", job = start.key.job.as_str(), error:% = failure; "A job specification could not be read; the start order is not sent.");
+                return Outcome::Refused(Refusal::NotSent);
             }
         }
     }
-    if queued.is_stale(time::now()) || line.is_barred(&queued.order) {
+    if queued.is_stale(time::now()) || receiver.is_revoked(&queued.order) {
         metrics::counter!("magpie_orders_stale_total").increment(1);
-        return Outcome::Refused(Reason::NotSent);
+        return Outcome::Refused(Refusal::NotSent);
     }
     metrics::counter!("magpie_orders_total").increment(1);
-    node.outside
+    node.external
         .workers
         .order(entry, fence, &queued.order)
         .await
 }
 
-fn unread() -> Failure {
-    Failure::not_run(Cause::Broken, "the read of a specification panicked")
+fn read_panicked() -> Failure {
+    Failure::not_run(
+        Cause::Broken,
+        "the thread that reads a job specification panicked",
+    )
 }
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -1,25 +1,25 @@
-//! One cell in the memory of its owner.
+//! The state of a cell in the memory of its owner: workers, jobs, queues, fencing and recovery.
 
 use {
     crate::{
-        book::Book,
+        cell_selection,
         fleet::Fleet,
         job::{self, Job, Status},
-        journal::Journal,
         limits::Limits,
         placement::Placement,
-        plan,
-        queue::Queue,
+        queue::Queues,
+        record::CellRecord,
         spec::Spec,
+        write_queue::WriteQueue,
     },
     infra::{
         Size,
         boxes::Item,
-        budget::Rank,
-        worker::{Manner, Order, Stop, Task},
+        budget::Priority,
+        worker::{Order, Stop, StopMode, Task},
     },
     kernel::{Failure, verdict::Cause},
-    lease::{Fencing, Holding, Tenure, Term},
+    lease::{Active, Fencing, LeaseTiming, Ownership},
     std::{
         collections::{BTreeMap, HashMap},
         sync::Arc,
@@ -27,339 +27,350 @@
     },
 };
 
-/// How long the fencing waits for workers that do not answer.
-const FENCING_MOST: Duration = Duration::from_millis(700);
+/// How long fencing waits for workers that do not answer.
+const MAX_FENCING: Duration = Duration::from_millis(700);
 
-/// The priority whose submissions are written down before others.
+/// The priority whose submissions are persisted before others.
 const URGENT: u8 = 9;
 
-/// The least time between two exchanges with a worker that has nothing due.
-const WAIT_LEAST: Duration = Duration::from_millis(100);
+/// Minimum time between two exchanges with a worker when nothing is due.
+const MIN_EXCHANGE_WAIT: Duration = Duration::from_millis(100);
 
-/// A task that runs, or was ordered to.
+/// A run of a task: ordered, running or stopping.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The worker's place.
+    /// Index of the worker.
     pub worker: usize,
-    /// The number of the start.
+    /// Number of the start.
     pub attempt: u64,
-    /// The class.
+    /// The class of work.
     pub class: Arc<str>,
-    /// What it is committed.
+    /// The allocated capacity.
     pub size: Size,
-    /// When it was placed or adopted.
+    /// When the task was placed or adopted.
     pub since: Instant,
-    /// When it should end by its declared length; `None` for a task without an end.
-    pub due: Option<Instant>,
-    /// True when it is being stopped.
+    /// When the task should end by its declared length; `None` for a task without an end, and for
+    /// an adopted one.
+    pub expected_end: Option<Instant>,
+    /// True once the task was ordered to stop.
     pub stopping: bool,
 }
 
 /// The stage of the ownership.
 #[derive(Debug)]
 pub enum Stage {
-    /// Workers are being fenced and read.
-    Fencing(Tenure<Fencing>),
-    /// Work is placed.
-    Holding(Tenure<Holding>),
+    /// Workers are being fenced and their ledgers read.
+    Fencing(Ownership<Fencing>),
+    /// Tasks are placed.
+    Active(Ownership<Active>),
 }
 
 impl Stage {
-    /// The epoch.
+    /// Returns the epoch.
     pub fn epoch(&self) -> u64 {
         match self {
-            Stage::Fencing(tenure) => tenure.epoch(),
-            Stage::Holding(tenure) => tenure.epoch(),
+            Stage::Fencing(ownership) => ownership.epoch(),
+            Stage::Active(ownership) => ownership.epoch(),
         }
     }
 }
 
-/// Counts of what the owner decided.
+/// Task counts since the ownership began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Tasks placed.
+    /// Started tasks.
     pub starts: u64,
-    /// Tasks that finished.
+    /// Finished tasks.
     pub finished: u64,
-    /// Tasks stopped for more urgent ones.
+    /// Tasks stopped for tasks of higher priority.
     pub evictions: u64,
-    /// Tasks adopted from an earlier owner.
+    /// Running tasks adopted from a previous owner.
     pub adopted: u64,
-    /// Tasks lost with their workers.
+    /// Tasks lost with their worker.
     pub lost: u64,
 }
 
-/// One cell.
+/// A cell owned by this process.
 pub struct Cell {
-    /// The name: the data hall.
+    /// The name of the cell: its data hall.
     pub name: Arc<str>,
-    /// The stage; `None` only while it changes.
+    /// The stage; `None` only during a transition.
     pub(crate) stage: Option<Stage>,
-    /// The terms of the leases.
-    pub term: Term,
+    /// Lease duration and clock drift.
+    pub timing: LeaseTiming,
     /// The workers.
     pub fleet: Fleet,
     /// The jobs.
     pub jobs: BTreeMap<Arc<str>, Job>,
-    /// The lines.
-    pub queue: Queue,
-    /// The tasks that run.
+    /// The job queues.
+    pub queues: Queues,
+    /// The runs of tasks.
     pub running: HashMap<Task, Run>,
     /// The limits.
     pub limits: Limits,
-    /// The policy.
+    /// The placement policy.
     pub placement: Box<dyn Placement>,
-    /// What waits to be written down.
-    pub journal: Journal,
-    /// The counts.
+    /// Unpersisted changes.
+    pub write_queue: WriteQueue,
+    /// Task counts.
     pub counts: Counts,
     /// When the ownership began.
     pub(crate) since: Instant,
-    /// Since when the earlier owner surely gives no orders.
-    gone: Option<Instant>,
-    /// True when the leases that the earlier owner may have extended are surely over.
-    released: bool,
-    /// The box that owned the cell before; `None` when none did.
-    pub before: Option<Arc<str>>,
+    /// Since when the previous owner certainly gives no orders.
+    predecessor_gone: Option<Instant>,
+    /// True once the leases that the previous owner may have extended have certainly expired.
+    leases_expired: bool,
+    /// The box that owned the cell before; `None` when no box did.
+    pub predecessor: Option<Arc<str>>,
 }
 
 impl Cell {
-    /// Begins an ownership with a raised epoch and the claimed book.
+    /// Begins an ownership with a raised epoch and the claimed record at store version `version`.
     pub fn new(
-        tenure: Tenure<Fencing>,
-        book: Book,
+        ownership: Ownership<Fencing>,
+        record: CellRecord,
         version: u64,
-        term: Term,
+        timing: LeaseTiming,
         placement: Box<dyn Placement>,
         now: Instant,
     ) -> Self {
-        let jobs = book
+        let jobs = record
             .jobs
             .into_iter()
-            .map(|entry| (entry.id.clone(), Job::new(entry)));
+            .map(|record| (record.id.clone(), Job::new(record)));
         Cell {
-            name: tenure.cell().clone(),
-            stage: Some(Stage::Fencing(tenure)),
-            term,
+            name: ownership.cell().clone(),
+            stage: Some(Stage::Fencing(ownership)),
+            timing,
             fleet: Fleet::default(),
             jobs: jobs.collect(),
-            queue: Queue::default(),
+            queues: Queues::default(),
             running: HashMap::new(),
             limits: Limits::default(),
             placement,
-            journal: Journal::new(version, book.write, book.drained),
+            write_queue: WriteQueue::new(version, record.write, record.drained),
             counts: Counts::default(),
             since: now,
-            gone: None,
-            released: false,
-            before: None,
+            predecessor_gone: None,
+            leases_expired: false,
+            predecessor: None,
         }
     }
 
-    /// The epoch.
+    /// Returns the epoch.
     pub fn epoch(&self) -> u64 {
         self.stage.as_ref().map_or(0, Stage::epoch)
     }
 
-    /// True when work is placed.
-    pub fn is_holding(&self) -> bool {
-        matches!(self.stage, Some(Stage::Holding(_)))
+    /// Returns true once fencing has ended and tasks are placed.
+    pub fn is_active(&self) -> bool {
+        matches!(self.stage, Some(Stage::Active(_)))
     }
 
-    /// Takes over what the list says of the cell's workers. Returns the places of new ones.
-    pub fn merge(&mut self, items: &[&Item]) -> Vec<usize> {
-        let fresh = self.fleet.merge(items);
-        let drained = self.journal.drained.clone();
+    /// Applies the platform's listing of the cell's workers. Returns the indexes of new workers.
+    pub fn update_workers(&mut self, items: &[&Item]) -> Vec<usize> {
+        let new_workers = self.fleet.update(items);
+        let drained = self.write_queue.drained.clone();
         for name in drained {
             self.set_drained(&name, true);
         }
-        fresh
+        new_workers
     }
 
-    /// Takes new limits over.
+    /// Applies new limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let limits = &self.limits;
-        self.queue
-            .recount(|class| limits.row(class).map(|row| &row.team));
+        self.queues
+            .recount_teams(|class| limits.row(class).map(|row| &row.team));
     }
 
-    /// The next order to a worker.
-    pub fn next_order(&mut self, at: usize) -> Order {
-        let (epoch, length) = (self.epoch(), self.term.length);
+    /// Builds the next order to a worker.
+    pub fn next_order(&mut self, worker_index: usize) -> Order {
+        let (epoch, length) = (self.epoch(), self.timing.length);
         let name = self.name.clone();
-        self.fleet.slot_mut(at).order(&name, epoch, length)
+        self.fleet
+            .worker_mut(worker_index)
+            .order(&name, epoch, length)
     }
 
-    /// How long the next exchange with a worker may wait: until the first of its tasks should end,
-    /// so that its room is not idle until the next heartbeat. A task that is past its time waits
-    /// for the heartbeat.
-    pub fn next_wait(&self, at: usize, heartbeat: Duration, now: Instant) -> Duration {
+    /// Returns the wait before the next exchange with a worker: until the first of its tasks should
+    /// end, so that its capacity is not idle until the next heartbeat. Tasks past their expected
+    /// end are checked at the heartbeat.
+    pub fn exchange_wait(
+        &self,
+        worker_index: usize,
+        heartbeat: Duration,
+        now: Instant,
+    ) -> Duration {
         let mut wait = heartbeat;
-        for task in &self.fleet.slot(at).tasks {
-            let due = self.running.get(task).and_then(|run| run.due);
+        for task in &self.fleet.worker(worker_index).tasks {
+            let due = self.running.get(task).and_then(|run| run.expected_end);
             let Some(due) = due else { continue };
             if due > now {
                 wait = wait.min(due - now);
             }
         }
-        wait.max(WAIT_LEAST)
+        wait.max(MIN_EXCHANGE_WAIT)
     }
 
-    /// Lets the time pass: the fencing may end, workers may be lost, held tasks may be released.
+    /// Handles elapsed time: declares unreachable workers lost, ends the fencing, and releases
+    /// unconfirmed tasks.
     pub fn tick(&mut self, now: Instant) {
-        self.lose_silent(now);
-        if !self.is_holding() {
-            let patient = now < self.since + FENCING_MOST;
-            if !(self.unheard() && patient) {
-                self.hold();
+        self.expire_unreachable(now);
+        if !self.is_active() {
+            let within_limit = now < self.since + MAX_FENCING;
+            if !(self.has_unread_workers() && within_limit) {
+                self.activate();
             }
         }
-        let unheard = self.unheard();
-        if self.is_holding() && (!unheard || self.released) {
-            self.release_held();
+        let has_unread = self.has_unread_workers();
+        if self.is_active() && (!has_unread || self.leases_expired) {
+            self.release_unconfirmed();
         }
     }
 
-    /// True while a worker that may run tasks of an earlier owner was not heard.
-    fn unheard(&self) -> bool {
+    /// Returns true while a listed worker, which may run tasks of a previous owner, has not
+    /// reported its ledger.
+    fn has_unread_workers(&self) -> bool {
         self.fleet
-            .slots()
+            .workers()
             .iter()
-            .any(|slot| slot.listed && !slot.read)
+            .any(|worker| worker.listed && !worker.ledger_read)
     }
 
-    /// Tells that the earlier owner surely gives no orders any more, from now at the latest. Once
-    /// the leases that it may have extended until then are over, what is held may run elsewhere.
-    pub fn owner_gone(&mut self, now: Instant) {
-        let gone = *self.gone.get_or_insert(now);
-        self.released = self.term.is_over(gone, now);
+    /// Records that the previous owner certainly gives no more orders. Once the leases that it may
+    /// have extended until then have expired, unconfirmed tasks may run elsewhere.
+    pub fn handle_predecessor_gone(&mut self, now: Instant) {
+        let gone = *self.predecessor_gone.get_or_insert(now);
+        self.leases_expired = self.timing.is_expired(gone, now);
     }
 
-    /// Ends the fencing: what was not found running may be placed, but for what may run on a
-    /// worker that was not heard.
-    fn hold(&mut self) {
-        let Some(Stage::Fencing(tenure)) = self.stage.take() else {
+    /// Ends the fencing: tasks that were not found running may be placed, except those that may run
+    /// on a worker whose ledger was not read.
+    fn activate(&mut self) {
+        let Some(Stage::Fencing(ownership)) = self.stage.take() else {
             return;
         };
         log::info!(
             target: "sched",
-            "A cell is held. cell={} epoch={} adopted={}",
-            self.name, tenure.epoch(), self.counts.adopted
+            "Fencing ended; placing tasks. cell={} epoch={} adopted={}",
+            self.name, ownership.epoch(), self.counts.adopted
         );
-        self.stage = Some(Stage::Holding(tenure.hold()));
-        let unheard = self.unheard();
+        self.stage = Some(Stage::Active(ownership.activate()));
+        let has_unread = self.has_unread_workers();
         let ids: Vec<Arc<str>> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.entry.ended.is_some() {
+            if job.record.ended.is_some() {
                 continue;
             }
-            job.begin(unheard);
-            self.line_up(&id);
-            self.conclude(&id);
+            job.classify_tasks(has_unread);
+            self.enqueue(&id);
+            self.check_ended(&id);
         }
-        self.journal.touch();
+        self.write_queue.mark_dirty();
     }
 
-    /// Frees the tasks that were held for workers which have by now been heard or are gone.
-    fn release_held(&mut self) {
+    /// Releases the unconfirmed tasks once every worker has reported or the leases have expired.
+    fn release_unconfirmed(&mut self) {
         let ids: Vec<Arc<str>> = self
             .jobs
             .values()
-            .filter(|job| !job.held.is_empty())
-            .map(|job| job.entry.id.clone())
+            .filter(|job| !job.unconfirmed.is_empty())
+            .map(|job| job.record.id.clone())
             .collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.release();
-            self.line_up(&id);
-            self.conclude(&id);
-            self.journal.touch();
+            job.release_unconfirmed();
+            self.enqueue(&id);
+            self.check_ended(&id);
+            self.write_queue.mark_dirty();
         }
     }
 
-    /// Puts a job into its class's line if it has tasks that may be started.
-    pub(crate) fn line_up(&mut self, id: &Arc<str>) {
+    /// Adds a job to the queue of its class if it has ready tasks.
+    pub(crate) fn enqueue(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.lined || job.ready.is_empty() {
+        if job.queued || job.ready.is_empty() {
             return;
         }
-        job.lined = true;
-        self.queue
-            .line(&job.entry.spec.class)
+        job.queued = true;
+        self.queues
+            .class_mut(&job.record.spec.class)
             .jobs
             .push_back(id.clone());
     }
 
-    /// Notes the end of a job whose tasks all ended.
-    pub(crate) fn conclude(&mut self, id: &Arc<str>) {
+    /// Marks a job as ended if no task runs or will run.
+    pub(crate) fn check_ended(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.entry.ended.is_none() && job.is_over() {
-            job.entry.ended = Some(kernel::wall::millis());
-            job.entry.resume.clear();
-            self.journal.touch();
+        if job.record.ended.is_none() && job.is_finished() {
+            job.record.ended = Some(kernel::wall_clock::millis());
+            job.record.resume.clear();
+            self.write_queue.mark_dirty();
         }
     }
 
-    /// Takes a job in. It may be started once it is written down.
+    /// Accepts a job. Its tasks may be started once it is persisted.
     ///
     /// # Errors
     ///
-    /// The spec breaks a rule, can never run in this cell, or there is no room to write it down.
-    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, at: u64) -> Result<(), Failure> {
+    /// Fails if the specification is invalid or can never run in this cell, if another job has the
+    /// id, or if the cell record is full.
+    pub fn submit(&mut self, id: &Arc<str>, spec: Spec, submitted_at: u64) -> Result<(), Failure> {
         if let Some(job) = self.jobs.get(id) {
-            // The same submission again, after a lost reply.
-            if job.entry.spec == spec {
+            // A repeated submission, after a lost reply.
+            if job.record.spec == spec {
                 return Ok(());
             }
             return Err(Failure::not_run(
                 Cause::Conflict,
-                format!("{id} is another job"),
+                format!("job {id} exists with another specification"),
             ));
         }
         let row = self.limits.row(&spec.class);
-        spec.check(row)?;
+        spec.validate(row)?;
         if let Some(row) = row {
-            plan::admitted(&self.name, &self.limits, row, &spec)?;
+            cell_selection::check_limits(&self.name, &self.limits, row, &spec)?;
         }
-        self.journal.admit()?;
+        self.write_queue.check_capacity()?;
         let urgent = row.is_some_and(|row| row.priority == URGENT);
-        self.journal.hurry(if urgent {
-            Rank::Takeover
+        self.write_queue.raise_priority(if urgent {
+            Priority::Takeover
         } else {
-            Rank::Durable
+            Priority::Durable
         });
-        let entry = crate::book::Entry::new(id.clone(), spec, at);
-        self.jobs.insert(id.clone(), Job::new(entry));
-        self.journal.touch();
+        let record = crate::record::JobRecord::new(id.clone(), spec, submitted_at);
+        self.jobs.insert(id.clone(), Job::new(record));
+        self.write_queue.mark_dirty();
         Ok(())
     }
 
-    /// Lets a job that is written down begin.
-    pub(crate) fn begin(&mut self, id: &Arc<str>) {
+    /// Activates a persisted job.
+    pub(crate) fn activate_job(&mut self, id: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.begun {
-            job.begin(false);
+        if !job.classified {
+            job.classify_tasks(false);
         }
-        self.line_up(id);
+        self.enqueue(id);
     }
 
-    /// Cancels a job: no task is started any more, and those that run are stopped.
+    /// Cancels a job: no further task is started, and running tasks are stopped.
     ///
     /// # Errors
     ///
-    /// There is no such job.
+    /// Fails if there is no such job.
     pub fn cancel(&mut self, id: &Arc<str>) -> Result<(), Failure> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Err(Failure::not_run(
@@ -367,10 +378,10 @@
                 format!("there is no job {id}"),
             ));
         };
-        if job.entry.cancelled || job.entry.ended.is_some() {
+        if job.record.cancelled || job.record.ended.is_some() {
             return Ok(());
         }
-        job.entry.cancelled = true;
+        job.record.cancelled = true;
         job.ready.clear();
         job.unmarked.clear();
         let running: Vec<u32> = job.running.iter().copied().collect();
@@ -380,62 +391,62 @@
                     job: id.clone(),
                     index,
                 },
-                Manner::Kill,
+                StopMode::Kill,
             );
         }
-        self.journal.touch();
-        self.conclude(id);
+        self.write_queue.mark_dirty();
+        self.check_ended(id);
         Ok(())
     }
 
-    /// Orders a task that runs to stop.
-    pub(crate) fn stop(&mut self, task: &Task, manner: Manner) {
+    /// Orders a running task to stop.
+    pub(crate) fn stop(&mut self, task: &Task, mode: StopMode) {
         let Some(run) = self.running.get_mut(task) else {
             return;
         };
-        if run.stopping && manner == Manner::Checkpoint {
+        if run.stopping && mode == StopMode::Checkpoint {
             return;
         }
-        let slot = self.fleet.slot_mut(run.worker);
+        let worker = self.fleet.worker_mut(run.worker);
         if !run.stopping {
-            slot.freeing = slot.freeing.plus(run.size);
+            worker.freeing = worker.freeing.plus(run.size);
         }
         run.stopping = true;
-        slot.outbox.stops.push(Stop {
+        worker.outbox.stops.push(Stop {
             task: task.clone(),
             attempt: run.attempt,
-            manner,
+            manner: mode,
         });
     }
 
-    /// Drains a worker, or takes that back. False when there is no such worker.
+    /// Drains a worker, or ends its drain. Returns false when there is no such worker.
     pub fn drain(&mut self, name: &Arc<str>, drained: bool) -> bool {
         if !self.set_drained(name, drained) {
             return false;
         }
-        self.journal.drained.retain(|other| other != name);
+        self.write_queue.drained.retain(|other| other != name);
         if drained {
-            self.journal.drained.push(name.clone());
+            self.write_queue.drained.push(name.clone());
         }
-        self.journal.touch();
+        self.write_queue.mark_dirty();
         true
     }
 
     fn set_drained(&mut self, name: &str, drained: bool) -> bool {
-        let Some(at) = self.fleet.place(name) else {
+        let Some(worker_index) = self.fleet.index_of(name) else {
             return false;
         };
-        let slot = self.fleet.slot_mut(at);
-        slot.drained = drained;
-        slot.draining = drained;
+        let worker = self.fleet.worker_mut(worker_index);
+        worker.drained = drained;
+        worker.draining = drained;
         true
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     ///
     /// # Errors
     ///
-    /// There is no such job.
+    /// Fails if there is no such job.
     pub fn status(&self, id: &str) -> Result<Status, Failure> {
         match self.jobs.get(id) {
             Some(job) => Ok(job.status()),
@@ -446,20 +457,22 @@
         }
     }
 
-    /// Tasks that wait.
-    pub fn queued(&self) -> u32 {
+    /// Returns the number of waiting tasks.
+    pub fn queued_tasks(&self) -> u32 {
         let waiting = |job: &Job| {
-            job::size_of(&job.ready) + job::size_of(&job.unmarked) + job::size_of(&job.held)
+            job::count_of(&job.ready)
+                + job::count_of(&job.unmarked)
+                + job::count_of(&job.unconfirmed)
         };
         self.jobs
             .values()
-            .filter(|job| job.entry.ended.is_none())
+            .filter(|job| job.record.ended.is_none())
             .map(waiting)
             .sum()
     }
 
-    /// True when nothing waits to be written down.
+    /// Returns true when there are no unpersisted changes.
     pub fn is_flushed(&self) -> bool {
-        !self.is_holding() || !(self.journal.is_dirty() || self.journal.is_sending())
+        !self.is_active() || !(self.write_queue.is_dirty() || self.write_queue.is_writing())
     }
 }
--- a/components/sched/src/queue.rs
+++ b/components/sched/src/queue.rs
@@ -1,4 +1,4 @@
-//! The lines of jobs by class, and what each class and team uses.
+//! The job queues of a cell by class, and the allocations of each class and team.
 
 use {
     infra::Size,
@@ -8,69 +8,69 @@
     },
 };
 
-/// One class's line.
+/// The queue of one class.
 #[derive(Debug, Default)]
-pub struct Line {
-    /// The jobs with tasks that may be started, the first first.
+pub struct ClassQueue {
+    /// Jobs with ready tasks, in the order in which they were queued.
     pub jobs: VecDeque<Arc<str>>,
-    /// What its running tasks are committed.
+    /// Allocation of its running tasks.
     pub used: Size,
-    /// How many of its tasks run.
+    /// Number of its running tasks.
     pub running: u32,
 }
 
-/// All lines of a cell.
+/// All queues of a cell.
 #[derive(Debug, Default)]
-pub struct Queue {
-    lines: BTreeMap<Arc<str>, Line>,
-    teams: BTreeMap<Arc<str>, Size>,
+pub struct Queues {
+    classes: BTreeMap<Arc<str>, ClassQueue>,
+    team_usage: BTreeMap<Arc<str>, Size>,
 }
 
-impl Queue {
-    /// A class's line, made when there is none.
-    pub fn line(&mut self, class: &Arc<str>) -> &mut Line {
-        self.lines.entry(class.clone()).or_default()
+impl Queues {
+    /// Returns the queue of a class, created if needed.
+    pub fn class_mut(&mut self, class: &Arc<str>) -> &mut ClassQueue {
+        self.classes.entry(class.clone()).or_default()
     }
 
-    /// All lines.
-    pub fn lines(&self) -> &BTreeMap<Arc<str>, Line> {
-        &self.lines
+    /// Returns all queues by class.
+    pub fn classes(&self) -> &BTreeMap<Arc<str>, ClassQueue> {
+        &self.classes
     }
 
-    /// What a team's running tasks are committed.
-    pub fn team(&self, team: &str) -> Size {
-        self.teams.get(team).copied().unwrap_or_default()
+    /// Returns the allocation of a team's running tasks.
+    pub fn team_usage(&self, team: &str) -> Size {
+        self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// A task of the class starts.
-    pub fn enter(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
-        let line = self.line(class);
-        line.used = line.used.plus(size);
-        line.running += 1;
+    /// Adds a started task to the usage of its class and team.
+    pub fn add_running(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
+        let queue = self.class_mut(class);
+        queue.used = queue.used.plus(size);
+        queue.running += 1;
         if let Some(team) = team {
-            let used = self.teams.entry(team.clone()).or_default();
+            let used = self.team_usage.entry(team.clone()).or_default();
             *used = used.plus(size);
         }
     }
 
-    /// A task of the class ended.
-    pub fn leave(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
-        let line = self.line(class);
-        line.used = line.used.minus(size);
-        line.running = line.running.saturating_sub(1);
+    /// Subtracts an ended task from the usage of its class and team.
+    pub fn remove_running(&mut self, class: &Arc<str>, team: Option<&Arc<str>>, size: Size) {
+        let queue = self.class_mut(class);
+        queue.used = queue.used.minus(size);
+        queue.running = queue.running.saturating_sub(1);
         if let Some(team) = team {
-            let used = self.teams.entry(team.clone()).or_default();
+            let used = self.team_usage.entry(team.clone()).or_default();
             *used = used.minus(size);
         }
     }
 
-    /// Works out anew what each team uses, after classes may have changed their teams.
-    pub fn recount<'a>(&mut self, team_of: impl Fn(&str) -> Option<&'a Arc<str>>) {
-        self.teams.clear();
-        for (class, line) in &self.lines {
+    /// Recomputes the usage of each team, since classes may have moved to other teams.
+    pub fn recount_teams<'a>(&mut self, team_of: impl Fn(&str) -> Option<&'a Arc<str>>) {
+        self.team_usage.clear();
+        for (class, queue) in &self.classes {
             let Some(team) = team_of(class) else { continue };
-            let used = self.teams.entry(team.clone()).or_default();
-            *used = used.plus(line.used);
+            let used = self.team_usage.entry(team.clone()).or_default();
+            *used = used.plus(queue.used);
         }
     }
 }
--- a/programs/ctl/src/hall.rs
+++ b/programs/ctl/src/hall.rs
@@ -3,9 +3,9 @@
 use {
     crate::{cli::HallCommand, context::Context, exit::Error, show},
     chrono::SecondsFormat,
-    kernel::wall,
+    kernel::wall_clock,
     node::{
-        message::{Ask, Shut, Told},
+        message::{ClosedHall, PeerRequest, PeerResponse},
         peer,
     },
 };
@@ -13,15 +13,16 @@
 /// Runs a command on data halls.
 pub fn run(context: &Context, command: HallCommand) -> Result<(), Error> {
     let HallCommand::List(command) = command;
-    let told: Told = context.entry_box(peer::PATH, &Ask::Halls { passed: false })?;
-    let Told::Halls(Some(halls)) = told else {
+    let told: PeerResponse =
+        context.entry_box(peer::PATH, &PeerRequest::Halls { passed: false })?;
+    let PeerResponse::Halls(Some(halls)) = told else {
         return Err(Error::Ended("no owner of the cell answers".to_owned()));
     };
     if command.json {
         show::json(&halls);
         return Ok(());
     }
-    let row = |shut: &Shut| {
+    let row = |shut: &ClosedHall| {
         [
             shut.hall.to_string(),
             time(shut.since),
@@ -35,5 +36,5 @@
 
 /// A time in milliseconds since 1970, for people.
 fn time(millis: u64) -> String {
-    wall::utc(millis, SecondsFormat::Secs).unwrap_or_else(|| millis.to_string())
+    wall_clock::utc(millis, SecondsFormat::Secs).unwrap_or_else(|| millis.to_string())
 }
--- a/programs/sched/src/cli.rs
+++ b/programs/sched/src/cli.rs
@@ -7,7 +7,7 @@
         Client, daemon,
         settings::{Fault, Reader},
     },
-    lease::Term,
+    lease::LeaseTiming,
     log::LevelFilter,
     sched::{Settings, placement, service},
     std::{sync::Arc, time::Duration},
@@ -71,7 +71,7 @@
     let boxes = reader.url("boxes", arguments.boxes, None);
     let chosen = reader.name("placement", arguments.placement, Some("mixed"));
     if let Some(chosen) = &chosen
-        && let Err(failure) = placement::make(chosen)
+        && let Err(failure) = placement::create(chosen)
     {
         reader.fault("placement", chosen, &failure.text);
     }
@@ -87,7 +87,7 @@
             "at least three heartbeats",
         );
     }
-    let common = daemon::common(&mut reader, arguments.log_level, arguments.token_file);
+    let common = daemon::read_common(&mut reader, arguments.log_level, arguments.token_file);
     reader.build(|| {
         let common = common?;
         let client = Client::new(None);
@@ -99,7 +99,7 @@
             store: Arc::new(store::Http::new(&store?, client.clone())),
             boxes: Arc::new(boxes::Http::new(&boxes?, client)),
             workers: Arc::new(worker::Http::new(service::worker_client())),
-            term: Term {
+            timing: LeaseTiming {
                 length: Duration::from_secs(lease?),
                 drift: drift? as u32,
             },
