--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -1,7 +1,7 @@
 //! The actor that holds the view of the backend servers and the requests that wait.
 
 use {
-    crate::{budget::Retries, choice::Choice, pool::Pool},
+    crate::{balancing::Balancer, pool::Pool, retry_budget::RetryBudget},
     burn::{Counts, Series, report::Sample},
     infra::boxes::List,
     kernel::{
@@ -20,16 +20,16 @@
 };
 
 /// How often waiting requests are looked over for those whose deadline has passed.
-const SWEEP: Duration = Duration::from_millis(10);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Requests that may wait, for each slot of the class.
-const WAIT_PER_SLOT: usize = 4;
+const MAX_WAITING_PER_SLOT: usize = 4;
 
 /// The room of a request on a backend server.
 #[derive(Debug, Clone)]
-pub struct Ticket {
+pub struct Slot {
     /// The server's place.
-    pub at: usize,
+    pub index: usize,
     /// The server's name.
     pub server: Arc<str>,
     /// The server's base address.
@@ -38,7 +38,7 @@
 
 /// A request that asks for room.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct SlotRequest {
     /// The class.
     pub class: Arc<str>,
     /// When the caller gives up.
@@ -48,8 +48,8 @@
 }
 
 struct Waiting {
-    wanted: Wanted,
-    answerer: Responder<Result<Ticket, Failure>>,
+    request: SlotRequest,
+    responder: Responder<Result<Slot, Failure>>,
 }
 
 /// The state of a gate.
@@ -57,8 +57,8 @@
     name: Arc<str>,
     hall: Arc<str>,
     pool: Pool,
-    choice: Box<dyn Choice>,
-    retries: Retries,
+    balancer: Box<dyn Balancer>,
+    retry_budget: RetryBudget,
     table: Arc<Table>,
     waiting: BTreeMap<Arc<str>, VecDeque<Waiting>>,
     series: BTreeMap<Arc<str>, Series>,
@@ -69,13 +69,13 @@
 
 impl Gate {
     /// A gate that knows no server yet.
-    pub fn new(name: Arc<str>, hall: Arc<str>, choice: Box<dyn Choice>) -> Self {
+    pub fn new(name: Arc<str>, hall: Arc<str>, balancer: Box<dyn Balancer>) -> Self {
         Gate {
             name,
             hall,
             pool: Pool::default(),
-            choice,
-            retries: Retries::default(),
+            balancer,
+            retry_budget: RetryBudget::default(),
             table: Arc::default(),
             waiting: BTreeMap::new(),
             series: BTreeMap::new(),
@@ -87,10 +87,10 @@
     /// Takes a new list of boxes over.
     pub fn set_list(&mut self, list: &List, now: Instant) {
         self.listed = true;
-        self.pool.merge(list, &self.name);
+        self.pool.update(list, &self.name);
         let classes: Vec<Arc<str>> = self.waiting.keys().cloned().collect();
         for class in classes {
-            self.serve_waiting(&class, now);
+            self.dispatch_waiting(&class, now);
         }
     }
 
@@ -119,13 +119,13 @@
     }
 
     /// Counts a request in for the budget of retries.
-    pub fn enter(&mut self) {
-        self.retries.earn();
+    pub fn record_request(&mut self) {
+        self.retry_budget.deposit();
     }
 
     /// Takes one retry, if the budget has one.
     pub fn take_retry(&mut self) -> bool {
-        let taken = self.retries.take();
+        let taken = self.retry_budget.try_take();
         if taken {
             metrics::counter!("magpie_gate_retries_total").increment(1);
         }
@@ -133,57 +133,57 @@
     }
 
     /// Finds room for a request, now or before its deadline. A request that surely finds none in
-    /// time is refused at once.
-    pub fn pick(
+    /// time is refused index once.
+    pub fn acquire_slot(
         &mut self,
         cx: CX![],
-        wanted: Wanted,
-        answerer: Responder<Result<Ticket, Failure>>,
+        request: SlotRequest,
+        responder: Responder<Result<Slot, Failure>>,
     ) {
         let now = cx.now();
-        if let Err(failure) = self.admit(&wanted) {
-            return answerer.send(Err(failure));
+        if let Err(failure) = self.validate(&request) {
+            return responder.send(Err(failure));
         }
-        if let Some(ticket) = self.find(&wanted, now) {
-            return answerer.send(Ok(ticket));
+        if let Some(slot) = self.find_slot(&request, now) {
+            return responder.send(Ok(slot));
         }
-        if let Some(failure) = self.shed(&wanted, now) {
+        if let Some(failure) = self.refusal(&request, now) {
             metrics::counter!("magpie_gate_shed_total").increment(1);
-            return answerer.send(Err(failure));
+            return responder.send(Err(failure));
         }
-        let line = self.waiting.entry(wanted.class.clone()).or_default();
-        line.push_back(Waiting { wanted, answerer });
-        self.sweep_later(cx);
+        let queue = self.waiting.entry(request.class.clone()).or_default();
+        queue.push_back(Waiting { request, responder });
+        self.schedule_sweep(cx);
     }
 
     /// Looks over the requests that wait in a while, as long as there are some.
-    fn sweep_later(&mut self, cx: CX![]) {
-        let waits = self.waiting.values().any(|line| !line.is_empty());
+    fn schedule_sweep(&mut self, cx: CX![]) {
+        let waits = self.waiting.values().any(|queue| !queue.is_empty());
         if waits && !self.sweeping {
             self.sweeping = true;
-            after!(SWEEP, [cx], sweep());
+            after!(SWEEP_INTERVAL, [cx], sweep());
         }
     }
 
-    fn admit(&self, wanted: &Wanted) -> Result<(), Failure> {
+    fn validate(&self, request: &SlotRequest) -> Result<(), Failure> {
         let invalid = |text: String| Err(Failure::not_run(Cause::Invalid, text));
-        match self.table.rows.get(&wanted.class) {
-            None => invalid(format!("no row of the table is named '{}'", wanted.class)),
+        match self.table.rows.get(&request.class) {
+            None => invalid(format!("no row of the table is named '{}'", request.class)),
             Some(row) if row.kind != Kind::Service => invalid(format!(
                 "class '{}' is {} work, not a service",
-                wanted.class, row.kind
+                request.class, row.kind
             )),
             Some(_) => Ok(()),
         }
     }
 
     /// A server with room: in the own hall first, and not one that was tried before.
-    fn find(&mut self, wanted: &Wanted, now: Instant) -> Option<Ticket> {
+    fn find_slot(&mut self, request: &SlotRequest, now: Instant) -> Option<Slot> {
         let mut near = Vec::new();
         let mut far = Vec::new();
-        for at in self.pool.of_class(&wanted.class) {
-            let server = self.pool.server(*at);
-            if !server.is_open(now) || wanted.tried.contains(at) {
+        for index in self.pool.of_class(&request.class) {
+            let server = self.pool.server(*index);
+            if !server.is_available(now) || request.tried.contains(index) {
                 continue;
             }
             let list = if server.hall == self.hall {
@@ -191,25 +191,25 @@
             } else {
                 &mut far
             };
-            list.push(*at);
+            list.push(*index);
         }
         let candidates = if near.is_empty() { &far } else { &near };
         if candidates.is_empty() {
             return None;
         }
-        let at = self.choice.choose(candidates, &self.pool);
-        let server = self.pool.server_mut(at);
-        server.busy += 1;
-        Some(Ticket {
-            at,
+        let index = self.balancer.choose(candidates, &self.pool);
+        let server = self.pool.server_mut(index);
+        server.in_flight += 1;
+        Some(Slot {
+            index,
             server: server.name.clone(),
             url: server.url.clone(),
         })
     }
 
-    /// Why a request should not wait: too many do, or its deadline comes before its turn would.
-    fn shed(&self, wanted: &Wanted, now: Instant) -> Option<Failure> {
-        let class = &wanted.class;
+    /// Why a request should not wait: too many do, or its deadline comes before its expected_wait would.
+    fn refusal(&self, request: &SlotRequest, now: Instant) -> Option<Failure> {
+        let class = &request.class;
         let slots = self.pool.slots(class) as usize;
         let busy = |text: &str| {
             Some(Failure::not_run(
@@ -221,43 +221,46 @@
             return busy("no backend server takes requests now");
         }
         let ahead = self.waiting.get(class).map_or(0, VecDeque::len);
-        if ahead >= slots * WAIT_PER_SLOT {
+        if ahead >= slots * MAX_WAITING_PER_SLOT {
             return busy("too many requests wait");
         }
-        let turn = self
+        let expected_wait = self
             .mean_latency(class)
             .mul_f64((ahead + 1) as f64 / slots as f64);
-        if now + turn > wanted.deadline {
-            return busy("the deadline comes before the request's turn");
+        if now + expected_wait > request.deadline {
+            return busy("the expected wait exceeds the request's deadline");
         }
         None
     }
 
     fn mean_latency(&self, class: &str) -> Duration {
         let places = self.pool.of_class(class);
-        let sum: f64 = places.iter().map(|at| self.pool.server(*at).latency).sum();
+        let sum: f64 = places
+            .iter()
+            .map(|index| self.pool.server(*index).latency)
+            .sum();
         Duration::from_secs_f64(sum / places.len().max(1) as f64)
     }
 
     /// A request to a server ended; its room goes to the next that waits.
-    pub fn done(&mut self, at: usize, latency: Duration, ok: bool, now: Instant) {
-        self.pool.done(at, latency, ok, now);
-        let class = self.pool.server(at).class.clone();
-        self.serve_waiting(&class, now);
+    pub fn release_slot(&mut self, index: usize, latency: Duration, ok: bool, now: Instant) {
+        self.pool.record_result(index, latency, ok, now);
+        let class = self.pool.server(index).class.clone();
+        self.dispatch_waiting(&class, now);
     }
 
     /// A server said that it is leaving, before the list does.
-    pub fn leaving(&mut self, at: usize) {
-        self.pool.server_mut(at).leaving = true;
+    pub fn mark_leaving(&mut self, index: usize) {
+        self.pool.server_mut(index).leaving = true;
     }
 
-    fn serve_waiting(&mut self, class: &Arc<str>, now: Instant) {
+    fn dispatch_waiting(&mut self, class: &Arc<str>, now: Instant) {
         while let Some(waiting) = self.waiting.get_mut(class).and_then(VecDeque::pop_front) {
-            match self.find(&waiting.wanted, now) {
-                Some(ticket) => waiting.answerer.send(Ok(ticket)),
+            match self.find_slot(&waiting.request, now) {
+                Some(slot) => waiting.responder.send(Ok(slot)),
                 None => {
-                    if let Some(line) = self.waiting.get_mut(class) {
-                        line.push_front(waiting);
+                    if let Some(queue) = self.waiting.get_mut(class) {
+                        queue.push_front(waiting);
                     }
                     return;
                 }
@@ -269,24 +272,24 @@
     fn sweep(&mut self, cx: CX![]) {
         self.sweeping = false;
         let now = cx.now();
-        for line in self.waiting.values_mut() {
-            for waiting in std::mem::take(line) {
-                if waiting.wanted.deadline > now {
-                    line.push_back(waiting);
+        for queue in self.waiting.values_mut() {
+            for waiting in std::mem::take(queue) {
+                if waiting.request.deadline > now {
+                    queue.push_back(waiting);
                     continue;
                 }
                 metrics::counter!("magpie_gate_shed_total").increment(1);
                 let text = "no backend server had room before the deadline";
                 waiting
-                    .answerer
+                    .responder
                     .send(Err(Failure::not_run(Cause::Busy, text)));
             }
         }
-        self.sweep_later(cx);
+        self.schedule_sweep(cx);
     }
 
     /// Counts a caller's request for the report on burn.
-    pub fn note(&mut self, class: &Arc<str>, latency: Duration, answered: bool) {
+    pub fn record_outcome(&mut self, class: &Arc<str>, latency: Duration, answered: bool) {
         let Some(target) = self.table.rows.get(class).and_then(|row| row.target) else {
             return;
         };
--- a/components/gate/src/choice.rs
+++ b/components/gate/src/balancing.rs
@@ -13,8 +13,8 @@
 pub const KIND: &str = "choice";
 
 /// A policy.
-pub trait Choice: Send {
-    /// The place of one of the candidates, each of which has room; there is at least one.
+pub trait Balancer: Send {
+    /// The place of one of the candidates, each of which has room; there is index least one.
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize;
 }
 
@@ -23,14 +23,14 @@
 /// # Errors
 ///
 /// No policy has this name; the failure lists those that there are.
-pub fn make(name: &str) -> Result<Box<dyn Choice>, Failure> {
+pub fn create(name: &str) -> Result<Box<dyn Balancer>, Failure> {
     plugin::make(KIND, name)
 }
 
 /// Any server, each with the same chance.
 struct Random(fastrand::Rng);
 
-impl Choice for Random {
+impl Balancer for Random {
     fn choose(&mut self, candidates: &[usize], _: &Pool) -> usize {
         candidates[self.0.usize(..candidates.len())]
     }
@@ -39,7 +39,7 @@
 /// The servers in turn.
 struct RoundRobin(usize);
 
-impl Choice for RoundRobin {
+impl Balancer for RoundRobin {
     fn choose(&mut self, candidates: &[usize], _: &Pool) -> usize {
         self.0 = self.0.wrapping_add(1);
         candidates[self.0 % candidates.len()]
@@ -47,13 +47,13 @@
 }
 
 /// The server with the fewest requests of this gate.
-struct Least(fastrand::Rng);
+struct LeastRequests(fastrand::Rng);
 
-impl Choice for Least {
+impl Balancer for LeastRequests {
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize {
         let start = self.0.usize(..candidates.len());
-        let turned = candidates[start..].iter().chain(&candidates[..start]);
-        let least = turned.min_by_key(|at| pool.server(**at).busy);
+        let rotated = candidates[start..].iter().chain(&candidates[..start]);
+        let least = rotated.min_by_key(|index| pool.server(**index).in_flight);
         least.copied().unwrap_or(candidates[0])
     }
 }
@@ -63,13 +63,13 @@
 struct TwoChoices(fastrand::Rng);
 
 /// The cost of one more request on a server.
-fn cost(pool: &Pool, at: usize) -> f64 {
-    let server = pool.server(at);
+fn cost(pool: &Pool, index: usize) -> f64 {
+    let server = pool.server(index);
     // A server without an answer yet counts as fast, so that it is tried.
-    server.latency.max(1e-6) * f64::from(server.busy + 1)
+    server.latency.max(1e-6) * f64::from(server.in_flight + 1)
 }
 
-impl Choice for TwoChoices {
+impl Balancer for TwoChoices {
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize {
         let first = candidates[self.0.usize(..candidates.len())];
         let second = candidates[self.0.usize(..candidates.len())];
@@ -85,8 +85,8 @@
     fastrand::Rng::new()
 }
 
-fn boxed(policy: impl Choice + 'static) -> Box<dyn Any> {
-    Box::new(Box::new(policy) as Box<dyn Choice>)
+fn boxed(policy: impl Balancer + 'static) -> Box<dyn Any> {
+    Box::new(Box::new(policy) as Box<dyn Balancer>)
 }
 
 plugin::submit! {
@@ -112,7 +112,7 @@
         kind: KIND,
         name: "least",
         about: "The server with the fewest requests of this gate.",
-        make: || boxed(Least(rng())),
+        make: || boxed(LeastRequests(rng())),
     }
 }
 
@@ -133,7 +133,7 @@
     #[test_case("round-robin"; "round robin")]
     #[test_case("least"; "least")]
     #[test_case("two-choices"; "two choices")]
-    fn make_finds(name: &str) {
-        assert!(make(name).is_ok());
+    fn create_finds(name: &str) {
+        assert!(create(name).is_ok());
     }
 }
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        actor::{Gate, Ticket, Wanted},
-        answer::{self, CLASS_HEADER, DEADLINE_HEADER, REPEAT_HEADER, VERDICT_HEADER},
+        actor::{Gate, Slot, SlotRequest},
+        response::{self, CLASS_HEADER, DEADLINE_HEADER, REPEAT_HEADER, VERDICT_HEADER},
     },
     kernel::{ActorRef, Call, Client, Failure, HttpResponse, Verdict, verdict::Cause},
     oxhttp::model::{Body, Request, Response},
@@ -17,8 +17,8 @@
     },
 };
 
-/// How often one request is sent at most.
-const TRIES: usize = 3;
+/// How often one request is sent index most.
+const MAX_ATTEMPTS: usize = 3;
 
 /// The status with which a backend server refuses a request that it did not run.
 const REFUSED_STATUS: u16 = 503;
@@ -27,7 +27,7 @@
 const NOT_RUN_HEADER: &str = "x-not-run";
 
 /// The reason of a refusal that means that the server takes no more requests.
-const LEAVING: &str = "leaving";
+const LEAVING_REASON: &str = "leaving";
 
 /// Headers that belong to one connection and are not passed on.
 const HOP_HEADERS: [&str; 10] = [
@@ -51,27 +51,27 @@
     /// The client for calls on backend servers.
     pub client: Client,
     /// The time for a request whose caller names none.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
     /// The largest body of a request, in bytes.
-    pub body: u64,
+    pub max_body: u64,
     /// Requests in flight.
-    pub flights: Flights,
+    pub in_flight: InFlight,
     /// True while the gate refuses requests, since it stops.
     pub closing: Arc<AtomicBool>,
 }
 
 /// Counts requests in flight, from their arrival until their answers are written.
 #[derive(Clone, Default)]
-pub struct Flights {
+pub struct InFlight {
     count: Arc<AtomicUsize>,
 }
 
-impl Flights {
+impl InFlight {
     /// A request arrives; it is in flight as long as the guard or a copy of it lives.
-    fn enter(&self) -> Flight {
+    fn enter(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
-        Flight {
-            _guard: Arc::new(Guard {
+        InFlightGuard {
+            _guard: Arc::new(CountGuard {
                 count: self.count.clone(),
             }),
         }
@@ -85,22 +85,22 @@
 
 /// A request in flight.
 #[derive(Clone)]
-struct Flight {
-    _guard: Arc<Guard>,
+struct InFlightGuard {
+    _guard: Arc<CountGuard>,
 }
 
-struct Guard {
+struct CountGuard {
     count: Arc<AtomicUsize>,
 }
 
-impl Drop for Guard {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// A caller's request, read in whole.
-struct Asked {
+struct CallerRequest {
     method: String,
     path: String,
     headers: Vec<(String, String)>,
@@ -112,18 +112,18 @@
 
 /// Answers one request.
 pub fn handle(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
-    let flight = shared.flights.enter();
+    let flight = shared.in_flight.enter();
     let started = Instant::now();
-    let mut response = match answer_to(shared, request, started) {
+    let mut response = match process(shared, request, started) {
         Ok(response) => response,
-        Err(failure) => answer::failure(&failure),
+        Err(failure) => response::from_failure(&failure),
     };
     // The server drops the response once all of it is written; the guard goes with it.
     response.extensions_mut().insert(flight);
     response
 }
 
-fn answer_to(
+fn process(
     shared: &Shared,
     request: &mut Request<Body>,
     started: Instant,
@@ -134,10 +134,10 @@
             "this gate takes no requests",
         ));
     }
-    let asked = read(shared, request, started)?;
-    let result = send(shared, &asked);
+    let caller_request = read_request(shared, request, started)?;
+    let result = send(shared, &caller_request);
     let latency = started.elapsed();
-    let (class, answered) = (asked.class, result.is_ok());
+    let (class, answered) = (caller_request.class, result.is_ok());
     metrics::histogram!("magpie_gate_request_seconds").record(latency.as_secs_f64());
     let verdict = result
         .as_ref()
@@ -145,7 +145,7 @@
     metrics::counter!("magpie_gate_requests_total", "verdict" => verdict.as_str()).increment(1);
     shared
         .gate
-        .tell(move |gate, _| gate.note(&class, latency, answered));
+        .tell(move |gate, _| gate.record_outcome(&class, latency, answered));
     result.map(pass_back)
 }
 
@@ -158,7 +158,11 @@
 }
 
 /// Reads a request in whole.
-fn read(shared: &Shared, request: &mut Request<Body>, started: Instant) -> Result<Asked, Failure> {
+fn read_request(
+    shared: &Shared,
+    request: &mut Request<Body>,
+    started: Instant,
+) -> Result<CallerRequest, Failure> {
     let invalid = |text: &str| Failure::not_run(Cause::Invalid, text);
     let class = header(request, CLASS_HEADER).to_owned();
     if !kernel::settings::is_name(&class) {
@@ -167,7 +171,7 @@
         ));
     }
     let deadline = match header(request, DEADLINE_HEADER) {
-        "" => shared.deadline,
+        "" => shared.default_deadline,
         text => match text.parse() {
             Ok(time) if (1..=600_000).contains(&time) => Duration::from_millis(time),
             _ => return Err(invalid("x-magpie-deadline-ms must be from 1 to 600000")),
@@ -192,16 +196,16 @@
     let mut body = Vec::new();
     let read = request
         .body_mut()
-        .take(shared.body + 1)
+        .take(shared.max_body + 1)
         .read_to_end(&mut body);
     if read.is_err() {
         return Err(invalid("the body is cut"));
     }
-    if body.len() as u64 > shared.body {
+    if body.len() as u64 > shared.max_body {
         return Err(invalid("the body is too large"));
     }
     let class = Arc::from(class);
-    Ok(Asked {
+    Ok(CallerRequest {
         method,
         path,
         headers,
@@ -213,34 +217,34 @@
 }
 
 /// Sends a request to one server after another until it ran, or must not be sent again.
-fn send(shared: &Shared, asked: &Asked) -> Result<HttpResponse, Failure> {
+fn send(shared: &Shared, caller_request: &CallerRequest) -> Result<HttpResponse, Failure> {
     let mut tried = Vec::new();
     let mut last: Option<Failure> = None;
-    for attempt in 0..TRIES {
-        let wanted = Wanted {
-            class: asked.class.clone(),
-            deadline: asked.deadline,
+    for attempt in 0..MAX_ATTEMPTS {
+        let slot_request = SlotRequest {
+            class: caller_request.class.clone(),
+            deadline: caller_request.deadline,
             tried: tried.clone(),
         };
-        let ticket = shared.gate.ask_deferred(move |gate, cx, answerer| {
+        let slot = shared.gate.ask_deferred(move |gate, cx, responder| {
             if attempt == 0 {
-                gate.enter();
+                gate.record_request();
             }
-            gate.pick(cx, wanted, answerer);
+            gate.acquire_slot(cx, slot_request, responder);
         });
-        let ticket = match ticket.and_then(|ticket| ticket) {
-            Ok(ticket) => ticket,
+        let slot = match slot.and_then(|slot| slot) {
+            Ok(slot) => slot,
             // What an earlier try may have done goes before the failure to find room again.
             Err(failure) => return Err(last.unwrap_or(failure)),
         };
-        tried.push(ticket.at);
-        let failure = match try_once(shared, asked, &ticket) {
+        tried.push(slot.index);
+        let failure = match attempt_once(shared, caller_request, &slot) {
             Ok(answer) => return Ok(answer),
             Err(failure) => failure,
         };
-        let safe = failure.is_not_run() || asked.repeat;
-        last = Some(worse(last, failure));
-        if !safe || attempt + 1 == TRIES || !take_retry(shared) {
+        let safe = failure.is_not_run() || caller_request.repeat;
+        last = Some(more_severe(last, failure));
+        if !safe || attempt + 1 == MAX_ATTEMPTS || !take_retry(shared) {
             break;
         }
     }
@@ -248,7 +252,7 @@
 }
 
 /// The failure to tell of two tries: one that may have run goes first.
-fn worse(last: Option<Failure>, next: Failure) -> Failure {
+fn more_severe(last: Option<Failure>, next: Failure) -> Failure {
     match last {
         Some(last) if !last.is_not_run() => last,
         _ => next,
@@ -263,47 +267,52 @@
 }
 
 /// Sends a request to one server.
-fn try_once(shared: &Shared, asked: &Asked, ticket: &Ticket) -> Result<HttpResponse, Failure> {
+fn attempt_once(
+    shared: &Shared,
+    caller_request: &CallerRequest,
+    slot: &Slot,
+) -> Result<HttpResponse, Failure> {
     let started = Instant::now();
-    let result = exchange(shared, asked, ticket, started);
-    let (at, latency) = (ticket.at, started.elapsed());
+    let result = exchange(shared, caller_request, slot, started);
+    let (index, latency) = (slot.index, started.elapsed());
     let refused = matches!(&result, Err(failure) if failure.cause == Cause::Refused);
-    let leaving = matches!(&result, Err(f) if f.cause == Cause::Refused && f.text == LEAVING);
+    let leaving =
+        matches!(&result, Err(f) if f.cause == Cause::Refused && f.text == LEAVING_REASON);
     // A refusal is an answer: the server is well.
     let ok = result.is_ok() || refused;
     shared.gate.tell(move |gate, cx| {
         if leaving {
-            gate.leaving(at);
+            gate.mark_leaving(index);
         }
-        gate.done(at, latency, ok, cx.now());
+        gate.release_slot(index, latency, ok, cx.now());
     });
     result
 }
 
 fn exchange(
     shared: &Shared,
-    asked: &Asked,
-    ticket: &Ticket,
+    caller_request: &CallerRequest,
+    slot: &Slot,
     started: Instant,
 ) -> Result<HttpResponse, Failure> {
-    let left = asked.deadline.saturating_duration_since(started);
+    let left = caller_request.deadline.saturating_duration_since(started);
     if left.is_zero() {
         return Err(Failure::not_run(Cause::Timeout, "the deadline has passed"));
     }
-    let url = format!("{}{}", ticket.url, asked.path);
+    let url = format!("{}{}", slot.url, caller_request.path);
     let deadline = left.as_millis().to_string();
     let mut headers: Vec<(&str, &str)> = Vec::new();
-    for (name, value) in &asked.headers {
+    for (name, value) in &caller_request.headers {
         if name != DEADLINE_HEADER {
             headers.push((name, value));
         }
     }
     headers.push((DEADLINE_HEADER, &deadline));
     let call = Call {
-        method: &asked.method,
+        method: &caller_request.method,
         url: &url,
         headers: &headers,
-        body: &asked.body,
+        body: &caller_request.body,
         timeout: left.into(),
     };
     let answer = shared.client.send(&call)?;
--- a/components/gate/src/lib.rs
+++ b/components/gate/src/lib.rs
@@ -4,11 +4,11 @@
 //! is in an actor that the tasks ask.
 
 pub mod actor;
-pub mod answer;
-pub mod budget;
-pub mod choice;
+pub mod balancing;
 pub mod forward;
 pub mod pool;
+pub mod response;
+pub mod retry_budget;
 pub mod service;
 pub mod share;
 
--- a/components/gate/src/pool.rs
+++ b/components/gate/src/pool.rs
@@ -11,16 +11,16 @@
 };
 
 /// The weight of the newest answer in a server's mean latency.
-const NEWEST: f64 = 0.1;
+const LATENCY_WEIGHT: f64 = 0.1;
 
 /// Failures in a row after which a server is left out.
-const FAILURES_OUT: u32 = 5;
+const EJECTION_FAILURES: u32 = 5;
 
 /// How long a server is left out.
-const OUT: Duration = Duration::from_secs(5);
+const EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// The most servers of a class that are left out at once, in percent.
-const OUT_MOST: usize = 50;
+/// The most servers of a class that are left out index once, in percent.
+const MAX_EJECTED_PERCENT: usize = 50;
 
 /// One backend server.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// Requests that this gate may have on it.
     pub share: u32,
     /// Requests that this gate has on it.
-    pub busy: u32,
+    pub in_flight: u32,
     /// The mean latency, in seconds.
     pub latency: f64,
     /// True when it gets no new requests for good.
@@ -46,14 +46,14 @@
     /// Failures in a row.
     pub failures: u32,
     /// Until when it is left out.
-    pub out: Option<Instant>,
+    pub ejected_until: Option<Instant>,
 }
 
 impl Server {
     /// True when it may get a request now.
-    pub fn is_open(&self, now: Instant) -> bool {
-        let out = self.out.is_some_and(|until| now < until);
-        self.listed && !self.leaving && !out && self.busy < self.share
+    pub fn is_available(&self, now: Instant) -> bool {
+        let out = self.ejected_until.is_some_and(|until| now < until);
+        self.listed && !self.leaving && !out && self.in_flight < self.share
     }
 }
 
@@ -72,13 +72,13 @@
     }
 
     /// One server.
-    pub fn server(&self, at: usize) -> &Server {
-        &self.servers[at]
+    pub fn server(&self, index: usize) -> &Server {
+        &self.servers[index]
     }
 
     /// One server, to change its counts.
-    pub fn server_mut(&mut self, at: usize) -> &mut Server {
-        &mut self.servers[at]
+    pub fn server_mut(&mut self, index: usize) -> &mut Server {
+        &mut self.servers[index]
     }
 
     /// The places of a class's servers.
@@ -88,16 +88,16 @@
 
     /// The slots of a class that this gate may use.
     pub fn slots(&self, class: &str) -> u32 {
-        let open = |at: &&usize| self.servers[**at].listed && !self.servers[**at].leaving;
+        let open = |index: &&usize| self.servers[**index].listed && !self.servers[**index].leaving;
         self.of_class(class)
             .iter()
             .filter(open)
-            .map(|at| self.servers[*at].share)
+            .map(|index| self.servers[*index].share)
             .sum()
     }
 
     /// Takes the platform's list over; the gate of this name computes its shares from it.
-    pub fn merge(&mut self, list: &List, gate: &str) {
+    pub fn update(&mut self, list: &List, gate: &str) {
         let gates: BTreeSet<&str> = list
             .of_kind(Kind::Entry)
             .filter(|item| item.url("gate").is_some())
@@ -113,12 +113,12 @@
             let Some(url) = item.url("http") else {
                 continue;
             };
-            let at = self
+            let index = self
                 .names
                 .get(&item.name)
                 .copied()
                 .unwrap_or_else(|| self.add(item, url));
-            let server = &mut self.servers[at];
+            let server = &mut self.servers[index];
             server.listed = true;
             server.url = url.clone();
             server.leaving = item.state == State::Leaving;
@@ -127,55 +127,62 @@
     }
 
     fn add(&mut self, item: &Item, url: &Arc<str>) -> usize {
-        let at = self.servers.len();
-        self.names.insert(item.name.clone(), at);
-        self.classes.entry(item.class.clone()).or_default().push(at);
+        let index = self.servers.len();
+        self.names.insert(item.name.clone(), index);
+        self.classes
+            .entry(item.class.clone())
+            .or_default()
+            .push(index);
         self.servers.push(Server {
             name: item.name.clone(),
             url: url.clone(),
             hall: item.hall.clone(),
             class: item.class.clone(),
             share: 0,
-            busy: 0,
+            in_flight: 0,
             latency: 0.0,
             leaving: false,
             listed: true,
             failures: 0,
-            out: None,
+            ejected_until: None,
         });
-        at
+        index
     }
 
     /// A request to a server ended.
-    pub fn done(&mut self, at: usize, latency: Duration, ok: bool, now: Instant) {
-        let server = &mut self.servers[at];
-        server.busy = server.busy.saturating_sub(1);
+    pub fn record_result(&mut self, index: usize, latency: Duration, ok: bool, now: Instant) {
+        let server = &mut self.servers[index];
+        server.in_flight = server.in_flight.saturating_sub(1);
         if ok {
             server.failures = 0;
             let seconds = latency.as_secs_f64();
             server.latency = if server.latency == 0.0 {
                 seconds
             } else {
-                server.latency + (seconds - server.latency) * NEWEST
+                server.latency + (seconds - server.latency) * LATENCY_WEIGHT
             };
             return;
         }
         server.failures += 1;
-        if server.failures >= FAILURES_OUT {
-            self.leave_out(at, now);
+        if server.failures >= EJECTION_FAILURES {
+            self.eject(index, now);
         }
     }
 
     /// Leaves a server out for a while, unless too many of its class are out already.
-    fn leave_out(&mut self, at: usize, now: Instant) {
-        let peers = self.of_class(&self.servers[at].class);
-        let out = |at: &&usize| self.servers[**at].out.is_some_and(|until| now < until);
-        if (peers.iter().filter(out).count() + 1) * 100 > peers.len() * OUT_MOST {
+    fn eject(&mut self, index: usize, now: Instant) {
+        let peers = self.of_class(&self.servers[index].class);
+        let out = |index: &&usize| {
+            self.servers[**index]
+                .ejected_until
+                .is_some_and(|until| now < until)
+        };
+        if (peers.iter().filter(out).count() + 1) * 100 > peers.len() * MAX_EJECTED_PERCENT {
             return;
         }
-        let server = &mut self.servers[at];
-        server.out = Some(now + OUT);
-        server.failures = FAILURES_OUT - 1;
+        let server = &mut self.servers[index];
+        server.ejected_until = Some(now + EJECTION_TIME);
+        server.failures = EJECTION_FAILURES - 1;
         log::warn!(target: "gate", "A backend server is left out, it fails. server={}", server.name);
         metrics::counter!("magpie_gate_ejections_total").increment(1);
     }
@@ -205,34 +212,34 @@
     }
 
     #[test]
-    fn merge_leaving_gets_nothing() {
+    fn update_leaving_server_gets_nothing() {
         let mut pool = Pool::default();
         let mut list = list(1);
-        pool.merge(&list, "g1");
-        assert!(pool.server(0).is_open(Instant::now()));
+        pool.update(&list, "g1");
+        assert!(pool.server(0).is_available(Instant::now()));
         assert_eq!(pool.slots("v"), 8);
         list.items[0].state = State::Leaving;
-        pool.merge(&list, "g1");
-        assert!(!pool.server(0).is_open(Instant::now()));
+        pool.update(&list, "g1");
+        assert!(!pool.server(0).is_available(Instant::now()));
         assert_eq!(pool.slots("v"), 0);
     }
 
     #[test]
-    fn done_ejects_half_at_most() {
+    fn record_result_ejects_half_at_most() {
         let mut pool = Pool::default();
-        pool.merge(&list(4), "g1");
+        pool.update(&list(4), "g1");
         let now = Instant::now();
-        for at in 0..4 {
-            for _ in 0..FAILURES_OUT {
-                pool.done(at, OUT, false, now);
+        for index in 0..4 {
+            for _ in 0..EJECTION_FAILURES {
+                pool.record_result(index, EJECTION_TIME, false, now);
             }
         }
         let open = pool
             .servers()
             .iter()
-            .filter(|server| server.is_open(now))
+            .filter(|server| server.is_available(now))
             .count();
         assert_eq!(open, 2);
-        assert!(pool.server(0).is_open(now + OUT));
+        assert!(pool.server(0).is_available(now + EJECTION_TIME));
     }
 }
--- a/components/gate/src/answer.rs
+++ b/components/gate/src/response.rs
@@ -1,4 +1,4 @@
-//! What a caller is told beside or instead of a backend server's answer.
+//! What a caller is error_body beside or instead of a backend server's answer.
 
 use {
     kernel::{Failure, Verdict, server, verdict::Cause},
@@ -23,25 +23,25 @@
 
 /// The body of an answer that is not a backend server's.
 #[derive(Debug, Serialize)]
-struct Told<'a> {
+struct ErrorBody<'a> {
     verdict: Verdict,
     cause: Cause,
     text: &'a str,
 }
 
-/// The answer that tells of a failure. A caller that was shed is told at once when to come back.
-pub fn failure(failure: &Failure) -> Response<Body> {
+/// The answer that tells of a failure. A caller that was shed is error_body at once when to come back.
+pub fn from_failure(failure: &Failure) -> Response<Body> {
     let Failure {
         verdict,
         cause,
         text,
     } = failure;
-    let told = Told {
+    let error_body = ErrorBody {
         verdict: *verdict,
         cause: *cause,
         text,
     };
-    let body = serde_json::to_vec(&told).unwrap_or_default();
+    let body = serde_json::to_vec(&error_body).unwrap_or_default();
     let mut builder = Response::builder()
         .status(server::status(*cause))
         .header("content-type", "application/json")
--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         actor::Gate,
-        choice::Choice,
-        forward::{self, Flights, Shared},
+        balancing::Balancer,
+        forward::{self, InFlight, Shared},
         share,
     },
     infra::boxes::{Boxes, List},
@@ -27,16 +27,16 @@
 };
 
 /// Tasks that serve the operators' port.
-const TASKS: usize = 2;
+const OPS_CONCURRENCY: usize = 2;
 
 /// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a caller's connection may be idle or slow in one step.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often a stop looks at what is in flight.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a gate process needs to start.
 pub struct Settings {
@@ -53,13 +53,13 @@
     /// The list of boxes.
     pub boxes: Arc<dyn Boxes>,
     /// The policy that chooses a backend server.
-    pub choice: Box<dyn Choice>,
+    pub balancer: Box<dyn Balancer>,
     /// The time for a request whose caller names none.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
     /// The largest body of a request, in bytes.
-    pub body: u64,
+    pub max_body: u64,
     /// The most callers' connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// A gate process that runs.
@@ -69,7 +69,7 @@
     ready: Readiness,
     server: Server,
     host: ActorThread<Gate>,
-    _roster: BoxWatcher,
+    _watcher: BoxWatcher,
     follower: Follower,
 }
 
@@ -80,36 +80,36 @@
     ///
     /// An address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let (name, hall, choice) = (settings.name.clone(), settings.hall, settings.choice);
-        let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, choice))?;
+        let (name, hall, balancer) = (settings.name.clone(), settings.hall, settings.balancer);
+        let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, balancer))?;
         let gate = host.actor_ref().clone();
         let ready = Readiness::new();
         let shared = Shared {
             gate: gate.clone(),
             client: backend_client(),
-            deadline: settings.deadline,
-            body: settings.body,
-            flights: Flights::default(),
+            default_deadline: settings.default_deadline,
+            max_body: settings.max_body,
+            in_flight: InFlight::default(),
             closing: Arc::default(),
         };
         let server = open_ops(settings.ops, settings.token.clone(), &gate, &ready)?;
         let bounds = Bounds {
-            connections: settings.connections,
+            connections: settings.max_connections,
             io_timeout: CALLER_TIMEOUT,
         };
-        let theirs = shared.clone();
+        let task_shared = shared.clone();
         let callers = public_server::open(settings.listen, bounds, move |request| {
-            forward::handle(&theirs, request)
+            forward::handle(&task_shared, request)
         })?;
         let on_list = gate.clone();
         let changed = Box::new(move |list: &Arc<List>| {
             let list = list.clone();
             on_list.tell(move |gate, cx| gate.set_list(&list, cx.now()));
         });
-        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, changed)?;
+        let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
         let follower = Follower::start(
             settings.name,
-            roster.view().clone(),
+            watcher.view().clone(),
             Client::new(settings.token),
             Box::new(move |table| {
                 gate.tell(move |gate, _| gate.set_table(table));
@@ -122,7 +122,7 @@
             ready,
             server,
             host,
-            _roster: roster,
+            _watcher: watcher,
             follower,
         })
     }
@@ -138,7 +138,7 @@
     }
 
     /// The actor, for embedders and tests.
-    pub fn remote(&self) -> &ActorRef<Gate> {
+    pub fn actor_ref(&self) -> &ActorRef<Gate> {
         &self.shared.gate
     }
 
@@ -147,12 +147,12 @@
     /// # Errors
     ///
     /// The process is stopping.
-    pub fn version(&self) -> Result<u64, Failure> {
+    pub fn table_version(&self) -> Result<u64, Failure> {
         self.shared.gate.ask(|gate, _| gate.table_version())
     }
 
     /// Stops: not ready first, while requests are still served, so that the balancer sends no
-    /// more; then new ones are told "not run", and what is in flight ends, up to the deadline.
+    /// more; then new ones are error_body "not run", and what is in flight ends, up to the deadline.
     /// True when all of it did.
     ///
     /// The callers' port stays open until the process ends.
@@ -162,10 +162,10 @@
         wait.wait(linger);
         self.shared.closing.store(true, Ordering::Release);
         let end = Instant::now() + most;
-        while self.shared.flights.count() > 0 && Instant::now() < end {
-            wait.wait(LOOK_EVERY);
+        while self.shared.in_flight.count() > 0 && Instant::now() < end {
+            wait.wait(STOP_POLL_INTERVAL);
         }
-        let whole = self.shared.flights.count() == 0;
+        let whole = self.shared.in_flight.count() == 0;
         self.follower.stop();
         self.server.close();
         self.host.stop();
@@ -177,7 +177,7 @@
 fn backend_client() -> Client {
     let limits = PoolLimits {
         max_idle: 2048,
-        per_host: share::SLOTS as usize,
+        per_host: share::SLOTS_PER_SERVER as usize,
         idle_timeout: Duration::from_secs(10),
     };
     Client::with_limits(None, limits)
@@ -191,9 +191,9 @@
 ) -> io::Result<Server> {
     let (gate, ready) = (gate.clone(), ready.clone());
     let handler = move |request: Request| {
-        let able = || gate.ask(|gate, _| gate.is_ready());
-        let shown = || ready.get() && able().unwrap_or(false);
-        let Some(request) = ops::route(request, shown) else {
+        let is_ready = || gate.ask(|gate, _| gate.is_ready());
+        let ready_state = || ready.get() && is_ready().unwrap_or(false);
+        let Some(request) = ops::route(request, ready_state) else {
             return;
         };
         match request.path.as_str() {
@@ -204,5 +204,5 @@
             _ => request.respond(Reply::text(404, "no such path\n")),
         }
     };
-    Server::open(address, TASKS, token, Arc::new(handler))
+    Server::open(address, OPS_CONCURRENCY, token, Arc::new(handler))
 }
--- a/components/gate/src/share.rs
+++ b/components/gate/src/share.rs
@@ -7,7 +7,7 @@
 use members::owner;
 
 /// The slots of a backend server.
-pub const SLOTS: u32 = 8;
+pub const SLOTS_PER_SERVER: u32 = 8;
 
 /// The share of the gate at place `rank` among `gates` gates.
 ///
@@ -19,8 +19,8 @@
         return 0;
     }
     let turn = (owner::weight("slots", server) % u64::from(gates)) as u32;
-    let more = (rank + turn) % gates < SLOTS % gates;
-    SLOTS / gates + u32::from(more)
+    let more = (rank + turn) % gates < SLOTS_PER_SERVER % gates;
+    SLOTS_PER_SERVER / gates + u32::from(more)
 }
 
 #[cfg(test)]
@@ -35,7 +35,7 @@
     fn slots_add_up(gates: u32) {
         for server in ["a", "b", "c"] {
             let sum: u32 = (0..gates).map(|rank| slots(server, rank, gates)).sum();
-            assert_eq!(sum, SLOTS);
+            assert_eq!(sum, SLOTS_PER_SERVER);
         }
     }
 
--- a/components/table/examples/edit.rs
+++ b/components/table/examples/edit.rs
@@ -25,7 +25,7 @@
 fn main() {
     let mut table = Table::default();
     for edit in [edit(1, "asha", 0, 100), edit(2, "bert", 0, 200)] {
-        match table.judge(&edit, 0) {
+        match table.evaluate(&edit, 0) {
             Ok(change) => {
                 table = table.with(&change);
                 println!("{} is accepted as version {}", edit.who, table.version);
--- a/components/table/src/accept.rs
+++ b/components/table/src/accept.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        book::{Book, Change, Edit, MAX_BOOK},
         message::Outcome,
+        model::{Change, Edit, MAX_STORED_BYTES, StoredTable},
     },
     infra::{
         Store,
@@ -22,39 +22,39 @@
 /// How many times an edit is tried before its outcome is given as unknown.
 const TRIES: u32 = 5;
 
-/// Reads the book; an absent key is an empty book of version 0.
+/// Reads the stored; an absent key is an empty stored of version 0.
 ///
 /// # Errors
 ///
-/// The store fails, or its value is no book.
-pub fn read(store: &dyn Store) -> Result<(u64, Book), Failure> {
+/// The store fails, or its value is no stored.
+pub fn read(store: &dyn Store) -> Result<(u64, StoredTable), Failure> {
     match store.get(KEY)? {
         Some(value) => Ok((value.version, wire::decode(&value.bytes)?)),
-        None => Ok((0, Book::default())),
+        None => Ok((0, StoredTable::default())),
     }
 }
 
-/// Tries to bring an edit in. The book returned beside `Accepted` holds its change.
+/// Tries to bring an edit in. The stored returned beside `Accepted` holds its change.
 ///
 /// # Errors
 ///
 /// `not-run` when the edit surely was not and will not be accepted; `may-have-run` when the store
 /// went silent: the same edit, with its id, may be sent again.
-pub fn accept(store: &dyn Store, edit: &Edit) -> Result<(Outcome, Option<Book>), Failure> {
+pub fn accept(store: &dyn Store, edit: &Edit) -> Result<(Outcome, Option<StoredTable>), Failure> {
     let mut unknown: Option<Failure> = None;
     for _ in 0..TRIES {
-        let (version, book) = match read(store) {
+        let (version, stored) = match read(store) {
             Ok(found) => found,
-            Err(failure) => return Err(unknown.unwrap_or_else(|| as_not_run(failure))),
+            Err(failure) => return Err(unknown.unwrap_or_else(|| with_not_run(failure))),
         };
-        if let Some(change) = book.change_of(edit.id) {
-            return Ok((Outcome::Accepted(change.version), Some(book.clone())));
+        if let Some(change) = stored.find_change(edit.id) {
+            return Ok((Outcome::Accepted(change.version), Some(stored.clone())));
         }
-        let change = match book.table.judge(edit, wall_clock::millis()) {
+        let change = match stored.table.evaluate(edit, wall_clock::millis()) {
             Ok(change) => change,
             Err(refusal) => return Ok((Outcome::Refused(refusal), None)),
         };
-        let (next, bytes) = fit(&book, change)?;
+        let (next, bytes) = encode_within_limit(&stored, change)?;
         match read_back::swap(store, KEY, version, &bytes) {
             WriteOutcome::Written(_) => {
                 return Ok((Outcome::Accepted(next.table.version), Some(next)));
@@ -72,19 +72,22 @@
 }
 
 /// A reading changes nothing: whatever became of it, the edit did not run.
-fn as_not_run(failure: Failure) -> Failure {
+fn with_not_run(failure: Failure) -> Failure {
     Failure {
         verdict: Verdict::NotRun,
         ..failure
     }
 }
 
-/// The next book and its bytes, with as much history as the store's value has room for.
-fn fit(book: &Book, change: Change) -> Result<(Book, Vec<u8>), Failure> {
-    let mut next = book.with(change);
+/// The next stored and its bytes, with as much history as the store's value has room for.
+fn encode_within_limit(
+    stored: &StoredTable,
+    change: Change,
+) -> Result<(StoredTable, Vec<u8>), Failure> {
+    let mut next = stored.with(change);
     loop {
         let bytes = wire::encode(&next)?;
-        if bytes.len() <= MAX_BOOK {
+        if bytes.len() <= MAX_STORED_BYTES {
             return Ok((next, bytes));
         }
         // The newest change stays, so that a lost reply can still be settled by it.
--- a/components/table/src/keeper.rs
+++ b/components/table/src/actor.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        book::Book,
-        message::{Compared, Update},
+        message::{Comparison, Update},
+        model::StoredTable,
     },
     kernel::{
         Reply, Request,
@@ -25,91 +25,91 @@
 }
 
 /// The table in force in this process.
-pub struct Keeper {
-    book: Arc<Book>,
+pub struct TableActor {
+    stored: Arc<StoredTable>,
     waiting: Vec<Waiting>,
-    known: bool,
+    loaded: bool,
 }
 
-impl Keeper {
-    /// A keeper that knows no table yet.
+impl TableActor {
+    /// A actor that knows no table yet.
     pub fn new(cx: CX![]) -> Self {
-        let keeper = Keeper {
-            book: Arc::default(),
+        let actor = TableActor {
+            stored: Arc::default(),
             waiting: Vec::new(),
-            known: false,
+            loaded: false,
         };
         after!(SWEEP, [cx], sweep());
-        keeper
+        actor
     }
 
-    /// The book in force.
-    pub fn book(&self) -> &Arc<Book> {
-        &self.book
+    /// The stored in force.
+    pub fn stored(&self) -> &Arc<StoredTable> {
+        &self.stored
     }
 
     /// True once a peer or the store has told the table, also when it is empty.
-    pub fn known(&self) -> bool {
-        self.known
+    pub fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
-    /// Takes a book over if it is newer. True when it was.
-    pub fn install(&mut self, book: Book) -> bool {
-        self.known = true;
-        if book.table.version <= self.book.table.version {
+    /// Takes a stored over if it is newer. True when it was.
+    pub fn install(&mut self, stored: StoredTable) -> bool {
+        self.loaded = true;
+        if stored.table.version <= self.stored.table.version {
             return false;
         }
-        self.book = Arc::new(book);
-        metrics::gauge!("magpie_table_version").set(self.book.table.version as f64);
-        log::info!(target: "table", "A table is in force. version={}", self.book.table.version);
+        self.stored = Arc::new(stored);
+        metrics::gauge!("magpie_table_version").set(self.stored.table.version as f64);
+        log::info!(target: "table", "A table is in force. version={}", self.stored.table.version);
         self.wake();
         true
     }
 
     /// Takes an update over. False when it does not join on to the table here, and the whole one
     /// is needed.
-    pub fn update(&mut self, update: Update) -> bool {
+    pub fn apply_update(&mut self, update: Update) -> bool {
         match update {
             Update::Same => {
-                self.known = true;
+                self.loaded = true;
                 true
             }
-            Update::Whole(book) => {
-                self.install(Arc::unwrap_or_clone(book));
+            Update::Whole(stored) => {
+                self.install(Arc::unwrap_or_clone(stored));
                 true
             }
             Update::Changes(changes) => {
-                let Some(book) = self.book.joined(changes) else {
+                let Some(stored) = self.stored.apply_changes(changes) else {
                     return false;
                 };
-                self.install(book);
+                self.install(stored);
                 true
             }
         }
     }
 
     /// What came after a version.
-    pub fn since(&self, version: u64) -> Update {
-        if version >= self.book.table.version {
+    pub fn update_since(&self, version: u64) -> Update {
+        if version >= self.stored.table.version {
             return Update::Same;
         }
-        match self.book.since(version) {
+        match self.stored.changes_since(version) {
             Some(changes) => Update::Changes(changes),
-            None => Update::Whole(self.book.clone()),
+            None => Update::Whole(self.stored.clone()),
         }
     }
 
     /// Answers a comparison of versions.
-    pub fn compare(&self, version: u64) -> Compared {
-        Compared {
-            version: self.book.table.version,
-            update: self.since(version),
+    pub fn compare(&self, version: u64) -> Comparison {
+        Comparison {
+            version: self.stored.table.version,
+            update: self.update_since(version),
         }
     }
 
     /// Answers a follower at once or when there is a newer table.
     pub fn watch(&mut self, after: u64, wait: Duration, now: Instant, request: Request) {
-        match self.since(after) {
+        match self.update_since(after) {
             Update::Same => {
                 self.waiting.push(Waiting {
                     after,
@@ -123,7 +123,7 @@
 
     fn wake(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
-            let update = self.since(waiting.after);
+            let update = self.update_since(waiting.after);
             waiting.request.respond(Reply::message(&Ok(update)));
         }
     }
@@ -146,7 +146,7 @@
 mod tests {
     use {
         super::*,
-        crate::{book::Change, row::Row},
+        crate::{model::Change, row::Row},
         test_case::test_case,
     };
 
@@ -156,7 +156,7 @@
             revision: version,
             ..Row::batch(&class)
         };
-        let rows = vec![crate::book::Altered {
+        let rows = vec![crate::model::RowChange {
             class,
             before: None,
             after: Some(row),
@@ -170,15 +170,15 @@
         }
     }
 
-    fn keeper(version: u64) -> Keeper {
-        let mut book = Book::default();
+    fn actor(version: u64) -> TableActor {
+        let mut stored = StoredTable::default();
         for n in 1..=version {
-            book = book.with(change(n));
+            stored = stored.with(change(n));
         }
-        Keeper {
-            book: Arc::new(book),
+        TableActor {
+            stored: Arc::new(stored),
             waiting: Vec::new(),
-            known: true,
+            loaded: true,
         }
     }
 
@@ -188,26 +188,26 @@
     #[test_case(&[4], false, 2; "a gap")]
     #[test_case(&[4, 3], false, 2; "out of order")]
     fn update_changes(versions: &[u64], joined: bool, version: u64) {
-        let mut keeper = keeper(2);
+        let mut actor = actor(2);
         let changes = versions.iter().copied().map(change).collect();
-        assert_eq!(keeper.update(Update::Changes(changes)), joined);
-        assert_eq!(keeper.book().table.version, version);
+        assert_eq!(actor.apply_update(Update::Changes(changes)), joined);
+        assert_eq!(actor.stored().table.version, version);
     }
 
     #[test]
     fn install_never_goes_back() {
-        let mut keeper = keeper(5);
-        assert!(!keeper.install((*self::keeper(4).book).clone()));
-        assert_eq!(keeper.book().table.version, 5);
+        let mut actor = actor(5);
+        assert!(!actor.install((*self::actor(4).stored).clone()));
+        assert_eq!(actor.stored().table.version, 5);
     }
 
     #[test]
-    fn since_whole_when_too_far() {
-        let mut keeper = keeper(5);
-        let mut book = (*keeper.book).clone();
-        book.history.drain(..3);
-        keeper.book = Arc::new(book);
-        assert!(matches!(keeper.since(1), Update::Whole(_)));
-        assert!(matches!(keeper.since(3), Update::Changes(changes) if changes.len() == 2));
+    fn update_since_whole_when_too_far() {
+        let mut actor = actor(5);
+        let mut stored = (*actor.stored).clone();
+        stored.history.drain(..3);
+        actor.stored = Arc::new(stored);
+        assert!(matches!(actor.update_since(1), Update::Whole(_)));
+        assert!(matches!(actor.update_since(3), Update::Changes(changes) if changes.len() == 2));
     }
 }
--- a/components/table/src/diff.rs
+++ b/components/table/src/diff.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        book::{RowEdit, Table},
+        model::{RowEdit, Table},
         row::Row,
     },
     std::collections::BTreeSet,
--- a/components/table/src/follow.rs
+++ b/components/table/src/follower.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        book::{Book, Table},
         message::{Update, Watch},
+        model::{StoredTable, Table},
     },
     infra::budget,
     kernel::{
@@ -16,14 +16,14 @@
 };
 
 /// How long one question waits for a newer table. A box that hangs is noticed after this and
-/// `GRACE`, and another is asked; an accepted edit must be in force within 3 s.
-const WAIT: Duration = Duration::from_secs(1);
+/// `RESPONSE_MARGIN`, and another is asked; an accepted edit must be in force within 3 s.
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// How much longer than the wait an answer may take to begin; a table that is read in whole is large.
-const GRACE: Duration = Duration::from_millis(700);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(700);
 
 /// What happens with each new table.
-pub type OnTable = Box<dyn Fn(Arc<Table>) + Send>;
+pub type TableCallback = Box<dyn Fn(Arc<Table>) + Send>;
 
 /// A task that follows the table.
 pub struct Follower {
@@ -37,11 +37,16 @@
     /// # Errors
     ///
     /// The system has no room for a thread.
-    pub fn start(name: Arc<str>, view: View, client: Client, on: OnTable) -> io::Result<Self> {
+    pub fn start(
+        name: Arc<str>,
+        view: View,
+        client: Client,
+        on_table: TableCallback,
+    ) -> io::Result<Self> {
         let signal = Signal::new();
-        let bell = signal.clone();
+        let stop_signal = signal.clone();
         let thread = task::spawn("table-follow", move || {
-            follow(&name, &view, &client, &bell, &on)
+            run(&name, &view, &client, &stop_signal, &on_table)
         })?;
         Ok(Follower {
             signal,
@@ -62,8 +67,8 @@
     }
 }
 
-fn follow(name: &str, view: &View, client: &Client, signal: &Signal, on: &OnTable) {
-    let mut book = Book::default();
+fn run(name: &str, view: &View, client: &Client, signal: &Signal, on_table: &TableCallback) {
+    let mut stored = StoredTable::default();
     let mut failures: u32 = 0;
     while !signal.is_stopped() {
         let urls = view.urls("table", name);
@@ -72,15 +77,15 @@
             signal.wait(Duration::from_millis(50));
             continue;
         };
-        match ask(client, url, book.table.version) {
+        match poll(client, url, stored.table.version) {
             Ok(update) => {
                 failures = 0;
-                let Some(next) = apply(&book, update) else {
+                let Some(next) = apply(&stored, update) else {
                     continue;
                 };
-                book = next;
+                stored = next;
                 if !signal.is_stopped() {
-                    on(Arc::new(book.table.clone()));
+                    on_table(Arc::new(stored.table.clone()));
                 }
             }
             Err(failure) => {
@@ -94,21 +99,21 @@
     }
 }
 
-fn ask(client: &Client, url: &str, after: u64) -> Result<Update, Failure> {
+fn poll(client: &Client, url: &str, after: u64) -> Result<Update, Failure> {
     let watch = Watch {
         after,
-        wait: WAIT.as_millis() as u64,
+        wait: WATCH_WAIT.as_millis() as u64,
     };
-    let time = Timeout::single(WAIT + GRACE).streaming();
-    client.post(&format!("{url}/table/watch"), &watch, time)
+    let timeout = Timeout::single(WATCH_WAIT + RESPONSE_MARGIN).streaming();
+    client.post(&format!("{url}/table/watch"), &watch, timeout)
 }
 
-/// The book after an update; `None` when it brings nothing newer.
-fn apply(book: &Book, update: Update) -> Option<Book> {
+/// The stored after an update; `None` when it brings nothing newer.
+fn apply(stored: &StoredTable, update: Update) -> Option<StoredTable> {
     let next = match update {
         Update::Same => return None,
         Update::Whole(whole) => Arc::unwrap_or_clone(whole),
-        Update::Changes(changes) => book.joined(changes)?,
+        Update::Changes(changes) => stored.apply_changes(changes)?,
     };
-    (next.table.version > book.table.version).then_some(next)
+    (next.table.version > stored.table.version).then_some(next)
 }
--- a/components/table/src/lib.rs
+++ b/components/table/src/lib.rs
@@ -5,16 +5,16 @@
 //! so that a lost push costs a second. A version only goes up.
 
 pub mod accept;
-pub mod book;
+pub mod actor;
 pub mod diff;
-pub mod follow;
-pub mod keeper;
+pub mod follower;
 pub mod message;
+pub mod model;
+pub mod replication;
 pub mod row;
 pub mod service;
 pub mod sheet;
-pub mod spread;
 
-pub use book::{Book, Change, Edit, Refusal, RowEdit, Table};
-pub use follow::Follower;
+pub use follower::Follower;
+pub use model::{Change, Edit, Refusal, RowEdit, StoredTable, Table};
 pub use row::{Kind, Row};
--- a/components/table/src/message.rs
+++ b/components/table/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between table processes, their followers and operators.
 
 use {
-    crate::book::{Book, Change, Edit, Refusal, Table},
+    crate::model::{Change, Edit, Refusal, StoredTable, Table},
     serde::{Deserialize, Serialize},
     std::sync::Arc,
 };
@@ -24,7 +24,7 @@
     /// These changes, in their order.
     Changes(Vec<Change>),
     /// The whole table, where the history does not reach back so far.
-    Whole(Arc<Book>),
+    Whole(Arc<StoredTable>),
 }
 
 impl Update {
@@ -33,7 +33,7 @@
         match self {
             Update::Same => None,
             Update::Changes(changes) => changes.last().map(|change| change.version),
-            Update::Whole(book) => Some(book.table.version),
+            Update::Whole(stored) => Some(stored.table.version),
         }
     }
 }
@@ -47,7 +47,7 @@
 
 /// The answer to [`Compare`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Compared {
+pub struct Comparison {
     /// The receiver's version.
     pub version: u64,
     /// What the sender lacks.
--- a/components/table/src/book.rs
+++ b/components/table/src/model.rs
@@ -13,8 +13,8 @@
 /// How many changes the history keeps at most.
 pub const MAX_HISTORY: usize = 500;
 
-/// How large the encoded book may become before old history is dropped, in bytes.
-pub const MAX_BOOK: usize = 900 * 1024;
+/// How large the encoded stored may become before old history is dropped, in bytes.
+pub const MAX_STORED_BYTES: usize = 900 * 1024;
 
 /// The table at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 
 /// One row before and after a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Altered {
+pub struct RowChange {
     /// The class.
     pub class: Arc<str>,
     /// The row before; `None` when it was not there.
@@ -70,7 +70,7 @@
     /// When, in milliseconds since 1970.
     pub at: u64,
     /// The rows.
-    pub rows: Vec<Altered>,
+    pub rows: Vec<RowChange>,
 }
 
 /// A row that another edit changed meanwhile.
@@ -95,7 +95,7 @@
 
 /// The stored value: the table and the last changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Book {
+pub struct StoredTable {
     /// The table.
     pub table: Table,
     /// The last changes, the oldest first.
@@ -108,7 +108,7 @@
     /// # Errors
     ///
     /// Rows whose revision is another by now, or a table that would break a rule.
-    pub fn judge(&self, edit: &Edit, at: u64) -> Result<Change, Refusal> {
+    pub fn evaluate(&self, edit: &Edit, at: u64) -> Result<Change, Refusal> {
         let mut conflicts = Vec::new();
         let mut rows = Vec::new();
         for change in &edit.rows {
@@ -128,7 +128,7 @@
                 ..row
             });
             let before = present.cloned();
-            rows.push(Altered {
+            rows.push(RowChange {
                 class: change.class.clone(),
                 before,
                 after,
@@ -146,7 +146,7 @@
             rows,
         };
         let rows: Vec<Row> = self.with(&change).rows.into_values().collect();
-        let broken = sheet::check_again(&rows);
+        let broken = sheet::validate_rows(&rows);
         if !broken.is_empty() {
             return Err(Refusal::Invalid(broken));
         }
@@ -169,41 +169,41 @@
     }
 }
 
-impl Book {
+impl StoredTable {
     /// The change that the edit of this id made, as far back as the history reaches.
-    pub fn change_of(&self, id: u64) -> Option<&Change> {
+    pub fn find_change(&self, id: u64) -> Option<&Change> {
         self.history.iter().find(|change| change.id == id)
     }
 
-    /// The book after a change.
-    pub fn with(&self, change: Change) -> Book {
+    /// The stored after a change.
+    pub fn with(&self, change: Change) -> StoredTable {
         let mut history = self.history.clone();
         let table = self.table.with(&change);
         history.push_back(change);
         while history.len() > MAX_HISTORY {
             history.pop_front();
         }
-        Book { table, history }
+        StoredTable { table, history }
     }
 
-    /// The book after changes, in their order; those that it holds already count for nothing.
+    /// The stored after changes, in their order; those that it holds already count for nothing.
     /// `None` when they do not join on to it.
-    pub fn joined(&self, changes: Vec<Change>) -> Option<Book> {
-        let mut book = self.clone();
+    pub fn apply_changes(&self, changes: Vec<Change>) -> Option<StoredTable> {
+        let mut stored = self.clone();
         for change in changes {
-            if change.version <= book.table.version {
+            if change.version <= stored.table.version {
                 continue;
             }
-            if change.version != book.table.version + 1 {
+            if change.version != stored.table.version + 1 {
                 return None;
             }
-            book = book.with(change);
+            stored = stored.with(change);
         }
-        Some(book)
+        Some(stored)
     }
 
     /// The changes after a version; `None` when the history does not reach back so far.
-    pub fn since(&self, version: u64) -> Option<Vec<Change>> {
+    pub fn changes_since(&self, version: u64) -> Option<Vec<Change>> {
         if version >= self.table.version {
             return Some(Vec::new());
         }
@@ -241,15 +241,16 @@
         }
     }
 
-    fn accept(book: &Book, edit: &Edit) -> Book {
-        book.with(book.table.judge(edit, 0).unwrap())
+    fn accept(stored: &StoredTable, edit: &Edit) -> StoredTable {
+        stored.with(stored.table.evaluate(edit, 0).unwrap())
     }
 
     #[test]
     fn judge_same_row_conflicts() {
-        let book = accept(&Book::default(), &edit(1, "a", 0, 10));
-        let book = accept(&book, &edit(2, "a", 1, 20));
-        let Err(Refusal::Conflicts(conflicts)) = book.table.judge(&edit(3, "a", 1, 30), 0) else {
+        let stored = accept(&StoredTable::default(), &edit(1, "a", 0, 10));
+        let stored = accept(&stored, &edit(2, "a", 1, 20));
+        let Err(Refusal::Conflicts(conflicts)) = stored.table.evaluate(&edit(3, "a", 1, 30), 0)
+        else {
             panic!("no conflict");
         };
         assert_eq!(conflicts[0].present.as_ref().unwrap().weight, 20);
@@ -258,20 +259,31 @@
 
     #[test]
     fn judge_other_rows_both_go_in() {
-        let book = accept(&Book::default(), &edit(1, "a", 0, 10));
-        let book = accept(&book, &edit(2, "b", 0, 20));
-        assert_eq!((book.table.version, book.table.rows.len()), (2, 2));
-        assert_eq!(book.change_of(1).unwrap().version, 1);
+        let stored = accept(&StoredTable::default(), &edit(1, "a", 0, 10));
+        let stored = accept(&stored, &edit(2, "b", 0, 20));
+        assert_eq!((stored.table.version, stored.table.rows.len()), (2, 2));
+        assert_eq!(stored.find_change(1).unwrap().version, 1);
     }
 
     #[test]
-    fn since_reaches_back() {
-        let mut book = Book::default();
+    fn changes_since_reaches_back() {
+        let mut stored = StoredTable::default();
         for id in 0..MAX_HISTORY as u64 + 5 {
-            book = accept(&book, &edit(id, &format!("c{id}"), 0, 10));
+            stored = accept(&stored, &edit(id, &format!("c{id}"), 0, 10));
         }
-        assert_eq!(book.since(book.table.version - 3).unwrap().len(), 3);
-        assert!(book.since(2).is_none());
-        assert!(book.since(book.table.version + 9).unwrap().is_empty());
+        assert_eq!(
+            stored
+                .changes_since(stored.table.version - 3)
+                .unwrap()
+                .len(),
+            3
+        );
+        assert!(stored.changes_since(2).is_none());
+        assert!(
+            stored
+                .changes_since(stored.table.version + 9)
+                .unwrap()
+                .is_empty()
+        );
     }
 }
--- a/components/table/src/spread.rs
+++ b/components/table/src/replication.rs
@@ -4,8 +4,8 @@
 use {
     crate::{
         accept,
-        keeper::Keeper,
-        message::{Compare, Compared, Update},
+        actor::TableActor,
+        message::{Compare, Comparison, Update},
     },
     infra::{Store, budget},
     kernel::{
@@ -22,7 +22,7 @@
 const WATCHERS: usize = 2;
 
 /// How often a box compares its version with one other's.
-const COMPARE_EVERY: Duration = Duration::from_secs(1);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long one watch of the store waits.
 const WATCH_TIME: Duration = Duration::from_secs(20);
@@ -31,7 +31,7 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The time for one that may hold a whole table, either way.
-const TABLE_TIME: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
+const TABLE_TIMEOUT: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
 /// How many times a push to one peer is tried.
 const PUSH_TRIES: u32 = 3;
@@ -42,7 +42,7 @@
     /// The box's name.
     pub name: Arc<str>,
     /// The actor.
-    pub keeper: ActorRef<Keeper>,
+    pub actor: ActorRef<TableActor>,
     /// The store.
     pub store: Arc<dyn Store>,
     /// The list of boxes.
@@ -74,7 +74,7 @@
 
 /// Pushes the newest change to every peer, each by a task of its own.
 pub fn push_all(shared: &Shared, before: u64) {
-    let Ok(update) = shared.keeper.ask(move |keeper, _| keeper.since(before)) else {
+    let Ok(update) = shared.actor.ask(move |actor, _| actor.update_since(before)) else {
         return;
     };
     for (name, url) in shared.peers() {
@@ -89,7 +89,7 @@
 fn push(shared: &Shared, url: &str, update: &Update) {
     let address = format!("{url}/table/push");
     for failures in 0..PUSH_TRIES {
-        let sent: Result<u64, Failure> = shared.client.post(&address, update, TABLE_TIME);
+        let sent: Result<u64, Failure> = shared.client.post(&address, update, TABLE_TIMEOUT);
         match sent {
             Ok(_) => return,
             Err(failure) => log::debug!(target: "table", "A push failed. peer={url} {failure}"),
@@ -105,48 +105,48 @@
 }
 
 /// Compares versions with a random peer, again and again.
-pub fn compare_task(shared: &Shared) {
+pub fn run_comparisons(shared: &Shared) {
     while !shared.signal.is_stopped() {
         let peers = shared.peers();
         if let Some((_, url)) = fastrand::choice(&peers) {
             compare(shared, url);
         }
-        shared.signal.wait(COMPARE_EVERY);
+        shared.signal.wait(COMPARE_INTERVAL);
     }
 }
 
 /// Compares versions with one peer; whoever is behind takes what it lacks.
 pub fn compare(shared: &Shared, url: &str) -> bool {
-    let Ok(version) = shared.keeper.ask(|keeper, _| keeper.book().table.version) else {
+    let Ok(version) = shared.actor.ask(|actor, _| actor.stored().table.version) else {
         return false;
     };
     let address = format!("{url}/table/compare");
-    let answer: Result<Compared, Failure> =
+    let answer: Result<Comparison, Failure> =
         shared
             .client
-            .post(&address, &Compare { version }, TABLE_TIME);
+            .post(&address, &Compare { version }, TABLE_TIMEOUT);
     let Ok(compared) = answer else { return false };
     if compared.version < version {
         let theirs = compared.version;
-        if let Ok(update) = shared.keeper.ask(move |keeper, _| keeper.since(theirs)) {
+        if let Ok(update) = shared.actor.ask(move |actor, _| actor.update_since(theirs)) {
             push(shared, url, &update);
         }
         return true;
     }
-    shared.keeper.tell(move |keeper, _| {
-        keeper.update(compared.update);
+    shared.actor.tell(move |actor, _| {
+        actor.apply_update(compared.update);
     });
     true
 }
 
 /// Watches the store where this box is one of those that do; reads the table at the start.
-pub fn watch_task(shared: &Shared) {
-    start_up(shared);
+pub fn run_store_watch(shared: &Shared) {
+    load_initial_table(shared);
     let mut seen = 0;
     let mut failures = 0;
     while !shared.signal.is_stopped() {
         if !shared.watches() {
-            shared.signal.wait(COMPARE_EVERY);
+            shared.signal.wait(COMPARE_INTERVAL);
             continue;
         }
         match watch(shared, &mut seen) {
@@ -167,7 +167,7 @@
 }
 
 /// Takes the table from a peer, so that a box starts while the store is down; else from the store.
-fn start_up(shared: &Shared) {
+fn load_initial_table(shared: &Shared) {
     let mut failures = 0;
     while !shared.signal.is_stopped() {
         for (_, url) in shared.peers() {
@@ -176,12 +176,12 @@
             }
         }
         let read = accept::read(shared.store.as_ref());
-        if let Ok((_, book)) = read {
-            let _ = shared.keeper.ask(move |keeper, _| keeper.install(book));
+        if let Ok((_, stored)) = read {
+            let _ = shared.actor.ask(move |actor, _| actor.install(stored));
         }
         if shared
-            .keeper
-            .ask(|keeper, _| keeper.known())
+            .actor
+            .ask(|actor, _| actor.is_loaded())
             .unwrap_or(true)
         {
             return;
@@ -203,9 +203,9 @@
         return Ok(());
     };
     *seen = value.version;
-    let book = wire::decode(&value.bytes)?;
-    let before = shared.keeper.ask(|keeper, _| keeper.book().table.version)?;
-    if shared.keeper.ask(move |keeper, _| keeper.install(book))? && before > 0 {
+    let stored = wire::decode(&value.bytes)?;
+    let before = shared.actor.ask(|actor, _| actor.stored().table.version)?;
+    if shared.actor.ask(move |actor, _| actor.install(stored))? && before > 0 {
         push_all(shared, before);
     }
     Ok(())
--- a/components/table/src/row.rs
+++ b/components/table/src/row.rs
@@ -20,7 +20,7 @@
 
 impl Kind {
     /// The word in the table.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Kind::Service => "service",
             Kind::Batch => "batch",
@@ -31,7 +31,7 @@
 
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -40,7 +40,7 @@
 
     fn from_str(text: &str) -> Result<Self, ()> {
         for kind in [Kind::Service, Kind::Batch, Kind::Standing] {
-            if kind.word() == text {
+            if kind.as_str() == text {
                 return Ok(kind);
             }
         }
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         accept,
-        keeper::Keeper,
+        actor::TableActor,
         message::{Compare, Current, Outcome, Submit, Update, Watch},
-        spread::{self, Shared},
+        replication::{self, Shared},
     },
     infra::{Store, boxes::Boxes},
     kernel::{
@@ -29,13 +29,13 @@
 };
 
 /// Tasks that serve the port; an edit holds one while the store answers.
-const TASKS: usize = 8;
+const CONCURRENCY: usize = 8;
 
 /// Edits that are made or wait at once; the other tasks stay free.
-const MAX_EDITORS: usize = 4;
+const MAX_PENDING_EDITS: usize = 4;
 
 /// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a table process needs to start.
 pub struct Settings {
@@ -56,8 +56,8 @@
     shared: Shared,
     server: Server,
     ready: Readiness,
-    host: ActorThread<Keeper>,
-    _roster: BoxWatcher,
+    host: ActorThread<TableActor>,
+    _watcher: BoxWatcher,
 }
 
 impl Service {
@@ -67,13 +67,13 @@
     ///
     /// The address cannot be bound, or the system has no room for threads.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let host = ActorThread::start("table", |cx, _| Keeper::new(cx))?;
-        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
+        let host = ActorThread::start("table", |cx, _| TableActor::new(cx))?;
+        let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
-            keeper: host.actor_ref().clone(),
+            actor: host.actor_ref().clone(),
             store: settings.store,
-            view: roster.view().clone(),
+            view: watcher.view().clone(),
             client: Client::new(settings.token.clone()),
             signal: Signal::new(),
         };
@@ -81,24 +81,28 @@
         let port = Port {
             shared: shared.clone(),
             ready: ready.clone(),
-            editing: Mutex::new(()),
-            editors: AtomicUsize::new(0),
+            edit_lock: Mutex::new(()),
+            pending_edits: AtomicUsize::new(0),
         };
         let handler = Arc::new(move |request| port.handle(request));
-        let server = Server::open(settings.listen, TASKS, settings.token, handler)?;
+        let server = Server::open(settings.listen, CONCURRENCY, settings.token, handler)?;
         // A stop does not wait for these two: one may be in a long watch of the store, and ends
         // after it without any effect.
-        let theirs = shared.clone();
-        task::spawn("table-watch", move || spread::watch_task(&theirs))?;
-        let theirs = shared.clone();
-        task::spawn("table-compare", move || spread::compare_task(&theirs))?;
+        let task_shared = shared.clone();
+        task::spawn("table-watch", move || {
+            replication::run_store_watch(&task_shared)
+        })?;
+        let task_shared = shared.clone();
+        task::spawn("table-compare", move || {
+            replication::run_comparisons(&task_shared)
+        })?;
         ready.set(true);
         Ok(Service {
             shared,
             server,
             ready,
             host,
-            _roster: roster,
+            _watcher: watcher,
         })
     }
 
@@ -114,8 +118,8 @@
     /// The process is stopping.
     pub fn version(&self) -> Result<u64, Failure> {
         self.shared
-            .keeper
-            .ask(|keeper, _| keeper.book().table.version)
+            .actor
+            .ask(|actor, _| actor.stored().table.version)
     }
 
     /// Stops: not ready first, then what is in flight ends.
@@ -137,15 +141,15 @@
     shared: Shared,
     ready: Readiness,
     /// Edits of one process go one after another.
-    editing: Mutex<()>,
+    edit_lock: Mutex<()>,
     /// Edits that are made or wait.
-    editors: AtomicUsize,
+    pending_edits: AtomicUsize,
 }
 
 impl Port {
     fn handle(&self, request: Request) {
-        let known = || self.shared.keeper.ask(|keeper, _| keeper.known());
-        let ready = || self.ready.get() && known().unwrap_or(false);
+        let is_loaded = || self.shared.actor.ask(|actor, _| actor.is_loaded());
+        let ready = || self.ready.get() && is_loaded().unwrap_or(false);
         let Some(request) = ops::route(request, ready) else {
             return;
         };
@@ -164,8 +168,8 @@
             "/table/compare" => {
                 let compared = request.message().and_then(|theirs: Compare| {
                     self.shared
-                        .keeper
-                        .ask(move |keeper, _| keeper.compare(theirs.version))
+                        .actor
+                        .ask(move |actor, _| actor.compare(theirs.version))
                 });
                 request.respond(Reply::message(&compared));
             }
@@ -179,47 +183,47 @@
             Err(failure) => return request.respond(Reply::failure(&failure)),
         };
         let wait = Duration::from_millis(watch.wait.min(60_000));
-        self.shared.keeper.tell(move |keeper, _| {
-            keeper.watch(watch.after, wait, Instant::now(), request);
+        self.shared.actor.tell(move |actor, _| {
+            actor.watch(watch.after, wait, Instant::now(), request);
         });
     }
 
     fn current(&self) -> Result<Current, Failure> {
-        let book = self.shared.keeper.ask(|keeper, _| keeper.book().clone())?;
-        let history = book.history.iter().cloned().collect();
+        let stored = self.shared.actor.ask(|actor, _| actor.stored().clone())?;
+        let history = stored.history.iter().cloned().collect();
         Ok(Current {
-            table: Arc::new(book.table.clone()),
+            table: Arc::new(stored.table.clone()),
             history,
         })
     }
 
     fn push(&self, update: Update) -> Result<u64, Failure> {
-        self.shared.keeper.ask(move |keeper, _| {
+        self.shared.actor.ask(move |actor, _| {
             // What does not join on is taken whole at the next comparison.
-            keeper.update(update);
-            keeper.book().table.version
+            actor.apply_update(update);
+            actor.stored().table.version
         })
     }
 
     /// Makes an edit, unless too many wait: while the store hangs they would take up the port,
     /// which followers and other boxes need.
     fn edit(&self, submit: &Submit) -> Result<Outcome, Failure> {
-        let before = self.editors.fetch_add(1, Ordering::AcqRel);
-        let outcome = if before < MAX_EDITORS {
-            self.edit_next(submit)
+        let before = self.pending_edits.fetch_add(1, Ordering::AcqRel);
+        let outcome = if before < MAX_PENDING_EDITS {
+            self.edit_locked(submit)
         } else {
             let text = "too many edits wait for the store; try again";
             Err(Failure::not_run(Cause::Busy, text))
         };
-        self.editors.fetch_sub(1, Ordering::AcqRel);
+        self.pending_edits.fetch_sub(1, Ordering::AcqRel);
         outcome
     }
 
-    fn edit_next(&self, submit: &Submit) -> Result<Outcome, Failure> {
-        let _one = lock(&self.editing);
+    fn edit_locked(&self, submit: &Submit) -> Result<Outcome, Failure> {
+        let _one = lock(&self.edit_lock);
         let started = Instant::now();
         let edited = accept::accept(self.shared.store.as_ref(), &submit.edit);
-        let (outcome, book) = match edited {
+        let (outcome, stored) = match edited {
             Ok(edited) => edited,
             Err(failure) => {
                 log::warn!(target: "table", "An edit was not brought in. {failure}");
@@ -227,15 +231,15 @@
             }
         };
         metrics::histogram!("magpie_table_edit_seconds").record(started.elapsed().as_secs_f64());
-        if let Some(book) = book {
+        if let Some(stored) = stored {
             let before = self
                 .shared
-                .keeper
-                .ask(|keeper, _| keeper.book().table.version)?;
+                .actor
+                .ask(|actor, _| actor.stored().table.version)?;
             self.shared
-                .keeper
-                .ask(move |keeper, _| keeper.install(book))?;
-            spread::push_all(&self.shared, before);
+                .actor
+                .ask(move |actor, _| actor.install(stored))?;
+            replication::push_all(&self.shared, before);
         }
         Ok(outcome)
     }
--- a/components/table/src/sheet.rs
+++ b/components/table/src/sheet.rs
@@ -27,7 +27,7 @@
 
 /// row {row}, column {column}: '{value}' is wrong; right is {rule}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub struct Fault {
+pub struct CellError {
     /// The line of the sheet; the header is line 1.
     pub row: u64,
     /// The column.
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Every cell that is wrong; a sheet with one wrong cell is not read at all.
-pub fn parse(text: &str) -> Result<Vec<Row>, Vec<Fault>> {
+pub fn parse(text: &str) -> Result<Vec<Row>, Vec<CellError>> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
         .from_reader(text.as_bytes());
@@ -53,11 +53,11 @@
             .iter()
             .map(|h| h.trim_start_matches('\u{feff}').to_owned())
             .collect(),
-        Err(e) => return Err(vec![fault(1, "header", "", &e.to_string())]),
+        Err(e) => return Err(vec![cell_error(1, "header", "", &e.to_string())]),
     };
-    let mut faults = check_header(&header);
-    if !faults.is_empty() {
-        return Err(faults);
+    let mut errors = check_header(&header);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     let mut rows = Vec::new();
     let mut classes = BTreeSet::new();
@@ -66,7 +66,7 @@
         let record = match record {
             Ok(record) => record,
             Err(e) => {
-                faults.push(fault(line, "row", "", &format!("valid CSV: {e}")));
+                errors.push(cell_error(line, "row", "", &format!("valid CSV: {e}")));
                 continue;
             }
         };
@@ -76,7 +76,7 @@
             .zip(record.iter().map(str::trim))
             .collect();
         if record.len() > header.len() {
-            faults.push(fault(
+            errors.push(cell_error(
                 line,
                 "row",
                 &record.len().to_string(),
@@ -86,28 +86,28 @@
         let mut cells = Cells {
             line,
             cells,
-            faults: &mut faults,
+            errors: &mut errors,
         };
         let row = cells.row();
         if !classes.insert(row.class.clone()) {
             let rule = "a class that no other row has";
-            faults.push(fault(line, "class", &row.class, rule));
+            errors.push(cell_error(line, "class", &row.class, rule));
         }
         rows.push(row);
     }
-    for rule in check_rows(&rows) {
-        faults.push(fault(0, "team_processors", "", &rule));
+    for rule in check_team_quotas(&rows) {
+        errors.push(cell_error(0, "team_processors", "", &rule));
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(rows)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-fn fault(row: u64, column: &str, value: &str, rule: &str) -> Fault {
+fn cell_error(row: u64, column: &str, value: &str, rule: &str) -> CellError {
     let (column, value, rule) = (column.to_owned(), value.to_owned(), rule.to_owned());
-    Fault {
+    CellError {
         row,
         column,
         value,
@@ -115,27 +115,27 @@
     }
 }
 
-fn check_header(header: &[String]) -> Vec<Fault> {
-    let mut faults = Vec::new();
+fn check_header(header: &[String]) -> Vec<CellError> {
+    let mut errors = Vec::new();
     for name in header {
         if !COLUMNS.contains(&name.as_str()) {
             let rule = format!("one of {}", COLUMNS.join(", "));
-            faults.push(fault(1, "header", name, &rule));
+            errors.push(cell_error(1, "header", name, &rule));
         }
     }
     for name in COLUMNS {
         if header.iter().filter(|h| *h == name).count() != 1 {
-            faults.push(fault(1, "header", name, "each column once"));
+            errors.push(cell_error(1, "header", name, "each column once"));
         }
     }
-    faults
+    errors
 }
 
 /// The cells of one line.
 struct Cells<'a> {
     line: u64,
     cells: BTreeMap<&'a str, &'a str>,
-    faults: &'a mut Vec<Fault>,
+    errors: &'a mut Vec<CellError>,
 }
 
 impl Cells<'_> {
@@ -145,7 +145,8 @@
 
     fn wrong(&mut self, column: &str, rule: &str) {
         let value = self.text(column).to_owned();
-        self.faults.push(fault(self.line, column, &value, rule));
+        self.errors
+            .push(cell_error(self.line, column, &value, rule));
     }
 
     fn name(&mut self, column: &str) -> Arc<str> {
@@ -247,7 +248,7 @@
 }
 
 /// Rules over several rows: one quota a team.
-fn check_rows(rows: &[Row]) -> Vec<String> {
+fn check_team_quotas(rows: &[Row]) -> Vec<String> {
     let mut quotas: BTreeMap<Arc<str>, Option<u32>> = BTreeMap::new();
     let mut broken = Vec::new();
     for row in rows {
@@ -264,10 +265,10 @@
 }
 
 /// The rules that rows break which came in another way than by a sheet.
-pub fn check_again(rows: &[Row]) -> Vec<String> {
+pub fn validate_rows(rows: &[Row]) -> Vec<String> {
     match parse(&render(rows)) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.iter().map(Fault::to_string).collect(),
+        Err(errors) => errors.iter().map(CellError::to_string).collect(),
     }
 }
 
@@ -330,12 +331,12 @@
             assert_eq!(parsed.unwrap().len(), 1);
             return;
         }
-        let faults = parsed.unwrap_err();
+        let errors = parsed.unwrap_err();
         assert_eq!(
-            (faults[0].column.as_str(), faults[0].value.as_str()),
+            (errors[0].column.as_str(), errors[0].value.as_str()),
             (column, value)
         );
-        assert!(faults[0].rule.contains(rule), "{}", faults[0]);
+        assert!(errors[0].rule.contains(rule), "{}", errors[0]);
     }
 
     #[test]
@@ -346,8 +347,8 @@
 
     #[test]
     fn parse_unknown_column() {
-        let faults = parse("class,team,speed\n").unwrap_err();
-        assert_eq!(faults[0].value, "speed");
+        let errors = parse("class,team,speed\n").unwrap_err();
+        assert_eq!(errors[0].value, "speed");
     }
 
     proptest! {
--- a/components/trial/src/entry.rs
+++ b/components/trial/src/entry.rs
@@ -1,7 +1,7 @@
 //! One entry box: a table, a scheduler and a gate.
 
 use {
-    gate::choice,
+    gate::balancing,
     infra::{boxes, store, worker},
     kernel::Client,
     standin::deploy::entry_item,
@@ -60,10 +60,10 @@
             ops: any,
             token: None,
             boxes,
-            choice: choice::make("two-choices").map_err(io::Error::other)?,
-            deadline: Duration::from_secs(5),
-            body: 1024 * 1024,
-            connections: 1000,
+            balancer: balancing::create("two-choices").map_err(io::Error::other)?,
+            default_deadline: Duration::from_secs(5),
+            max_body: 1024 * 1024,
+            max_connections: 1000,
         })?;
         Ok(Entry {
             name,
@@ -88,7 +88,7 @@
     /// The versions of the table in force in its three processes.
     pub fn versions(&self) -> [Option<u64>; 3] {
         let sched = self.sched.remote().ask(|sched, _| sched.table_version());
-        [self.table.version(), sched, self.gate.version()].map(Result::ok)
+        [self.table.version(), sched, self.gate.table_version()].map(Result::ok)
     }
 
     /// True when the scheduler here owns a cell.
--- a/programs/gate/src/cli.rs
+++ b/programs/gate/src/cli.rs
@@ -2,7 +2,7 @@
 
 use {
     argh::FromArgs,
-    gate::{Settings, choice},
+    gate::{Settings, balancing},
     infra::boxes,
     kernel::{
         Client, daemon,
@@ -60,7 +60,7 @@
 }
 
 /// What the program needs besides the gate's settings.
-pub struct Rest {
+pub struct ProcessSettings {
     /// The level of the logs.
     pub level: LevelFilter,
     /// The time of service after being not ready.
@@ -74,7 +74,7 @@
 /// # Errors
 ///
 /// Every fault.
-pub fn read(arguments: Arguments) -> Result<(Settings, Rest), Vec<Fault>> {
+pub fn read(arguments: Arguments) -> Result<(Settings, ProcessSettings), Vec<Fault>> {
     let mut reader = Reader::new();
     let name = reader.name("name", arguments.name, None);
     let hall = reader.name("hall", arguments.hall, None);
@@ -82,7 +82,7 @@
     let ops = reader.address("ops", arguments.ops, "127.0.0.1:7001");
     let boxes = reader.url("boxes", arguments.boxes, None);
     let chosen = reader.name("choice", arguments.choice, Some("two-choices"));
-    let policy = chosen.and_then(|chosen| match choice::make(&chosen) {
+    let policy = chosen.and_then(|chosen| match balancing::create(&chosen) {
         Ok(policy) => Some(policy),
         Err(failure) => {
             reader.fault("choice", &chosen, &failure.text);
@@ -105,14 +105,14 @@
             ops: ops?,
             token: common.token,
             boxes: Arc::new(boxes::Http::new(&boxes?, client)),
-            choice: policy?,
-            deadline: Duration::from_millis(deadline?),
-            body: body? * 1024,
-            connections: connections? as usize,
+            balancer: policy?,
+            default_deadline: Duration::from_millis(deadline?),
+            max_body: body? * 1024,
+            max_connections: connections? as usize,
         };
         Some((
             settings,
-            Rest {
+            ProcessSettings {
                 level: common.level,
                 linger: Duration::from_millis(linger?),
                 stop: Duration::from_secs(stop?),
--- a/programs/load/src/added.rs
+++ b/programs/load/src/added.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{cli, machine},
-    gate::{Service, Settings, choice},
+    gate::{Service, Settings, balancing},
     hdrhistogram::Histogram,
     infra::Store,
     kernel::{Call, Client},
@@ -15,7 +15,7 @@
         thread,
         time::{Duration, Instant},
     },
-    table::{Book, Kind, Row, accept, service},
+    table::{Kind, Row, StoredTable, accept, service},
 };
 
 /// The class of the calls.
@@ -65,9 +65,9 @@
         ..Row::batch(CLASS)
     };
     let rows = [(row.class.clone(), row)].into();
-    let book = Book {
+    let book = StoredTable {
         table: table::Table { version: 1, rows },
-        ..Book::default()
+        ..StoredTable::default()
     };
     let bytes = kernel::wire::encode(&book).map_err(io::Error::other)?;
     store
@@ -102,18 +102,18 @@
         ops: any,
         token: None,
         boxes,
-        choice: choice::make("two-choices").map_err(io::Error::other)?,
-        deadline: Duration::from_secs(5),
-        body: 1024 * 1024,
-        connections: 100,
+        balancer: balancing::create("two-choices").map_err(io::Error::other)?,
+        default_deadline: Duration::from_secs(5),
+        max_body: 1024 * 1024,
+        max_connections: 100,
     })?;
     registry.put(entry_item(
         "b1",
         "h1",
         &[("table", table.url()), ("gate", gate.url())],
     ));
-    while gate.version().unwrap_or(0) == 0
-        || !gate.remote().ask(|g, _| g.is_ready()).unwrap_or(false)
+    while gate.table_version().unwrap_or(0) == 0
+        || !gate.actor_ref().ask(|g, _| g.is_ready()).unwrap_or(false)
     {
         thread::sleep(Duration::from_millis(10));
     }
--- a/programs/load/src/slope/pick.rs
+++ b/programs/load/src/slope/pick.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::fit::{self, Fit, Point},
-    gate::{Gate, actor::Wanted, choice},
+    gate::{Gate, actor::SlotRequest, balancing},
     infra::{
         Size,
         boxes::{Item, Kind, List, State},
@@ -68,7 +68,7 @@
 /// The shortest mean time, in microseconds. The loop runs on the actor, so that only the choice
 /// is timed, and not the way to the actor.
 fn time(servers: usize) -> f64 {
-    let Ok(policy) = choice::make("two-choices") else {
+    let Ok(policy) = balancing::create("two-choices") else {
         return 0.0;
     };
     let name: Arc<str> = Arc::from("g1");
@@ -94,14 +94,14 @@
 }
 
 fn round(gate: &mut Gate, cx: &mut Cx<'_, Gate>, now: Instant) {
-    let wanted = Wanted {
+    let wanted = SlotRequest {
         class: Arc::from("v"),
         deadline: now + Duration::from_secs(60),
         tried: Vec::new(),
     };
     let (answerer, answer) = Responder::<Result<_, Failure>>::channel();
-    gate.pick(cx, wanted, answerer);
+    gate.acquire_slot(cx, wanted, answerer);
     if let Ok(Ok(ticket)) = answer.blocking_recv() {
-        gate.done(ticket.at, Duration::from_millis(5), true, now);
+        gate.release_slot(ticket.index, Duration::from_millis(5), true, now);
     }
 }
