--- a/components/gate/examples/shares.rs
+++ b/components/gate/examples/shares.rs
@@ -1,4 +1,4 @@
-//! How gates share a backend server's slots: `cargo run -p magpie-gate-core --example shares`.
+//! Prints how gates divide a backend server's slots: `cargo run -p magpie-gate-core --example shares`.
 
 use magpie_gate_core::share;
 
--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the view of the backend servers and the requests that wait.
+//! Actor that owns the backend server pool and the queues of requests waiting for a slot.
 
 use {
     crate::{balancing::Balancer, pool::Pool, retry_budget::RetryBudget},
@@ -19,31 +19,31 @@
     table::{Kind, Table},
 };
 
-/// How often waiting requests are looked over for those whose deadline has passed.
+/// Interval at which waiting requests are checked for expired deadlines.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Requests that may wait, for each slot of the class.
+/// Maximum number of waiting requests per slot of the class.
 const MAX_WAITING_PER_SLOT: usize = 4;
 
-/// The room of a request on a backend server.
+/// A slot on a backend server, assigned to one request.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// The server's place.
+    /// Index of the server in the [`Pool`].
     pub index: usize,
-    /// The server's name.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// The server's base address.
+    /// Base URL of the server.
     pub url: Arc<str>,
 }
 
-/// A request that asks for room.
+/// Parameters of a request for a slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
-    /// The class.
+    /// Class of work, a row of the table.
     pub class: Arc<str>,
-    /// When the caller gives up.
+    /// Time after which the caller no longer waits for a response.
     pub deadline: Instant,
-    /// Servers that it was sent to before.
+    /// Pool indexes of the servers that earlier attempts were sent to.
     pub tried: Vec<usize>,
 }
 
@@ -52,7 +52,7 @@
     responder: Responder<Result<Slot, Failure>>,
 }
 
-/// The state of a gate.
+/// State of the gate actor.
 pub struct Gate {
     name: Arc<str>,
     hall: Arc<str>,
@@ -62,13 +62,13 @@
     table: Arc<Table>,
     waiting: BTreeMap<Arc<str>, VecDeque<Waiting>>,
     series: BTreeMap<Arc<str>, Series>,
-    /// True while the sweep's timer runs.
+    /// True while the sweep timer is armed.
     sweeping: bool,
     listed: bool,
 }
 
 impl Gate {
-    /// A gate that knows no server yet.
+    /// Creates a gate without servers and without a table.
     pub fn new(name: Arc<str>, hall: Arc<str>, balancer: Box<dyn Balancer>) -> Self {
         Gate {
             name,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes a new list of boxes over.
+    /// Updates the pool from a new list of boxes and assigns new slots to waiting requests.
     pub fn set_list(&mut self, list: &List, now: Instant) {
         self.listed = true;
         self.pool.update(list, &self.name);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes a newer table over.
+    /// Installs a table; a table that is not newer than the current one is ignored.
     pub fn set_table(&mut self, table: Arc<Table>) {
         if table.version <= self.table.version {
             return;
@@ -103,27 +103,27 @@
         self.table = table;
     }
 
-    /// The version of the table in force.
+    /// Version of the current table; 0 without one.
     pub fn table_version(&self) -> u64 {
         self.table.version
     }
 
-    /// True once there are a table and a list to work by.
+    /// True once both a table and a list of boxes have been received.
     pub fn is_ready(&self) -> bool {
         self.listed && self.table.version > 0
     }
 
-    /// The view of the backend servers.
+    /// Returns the backend servers.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// Counts a request in for the budget of retries.
+    /// Adds a caller's request to the retry budget.
     pub fn record_request(&mut self) {
         self.retry_budget.deposit();
     }
 
-    /// Takes one retry, if the budget has one.
+    /// Takes one retry from the budget. Returns false if the budget is exhausted.
     pub fn take_retry(&mut self) -> bool {
         let taken = self.retry_budget.try_take();
         if taken {
@@ -132,8 +132,8 @@
         taken
     }
 
-    /// Finds room for a request, now or before its deadline. A request that surely finds none in
-    /// time is refused index once.
+    /// Responds with a slot, either immediately or when one becomes free before the deadline. A
+    /// request that cannot get a slot in time is refused immediately.
     pub fn acquire_slot(
         &mut self,
         cx: CX![],
@@ -147,7 +147,7 @@
         if let Some(slot) = self.find_slot(&request, now) {
             return responder.send(Ok(slot));
         }
-        if let Some(failure) = self.refusal(&request, now) {
+        if let Some(failure) = self.queue_refusal(&request, now) {
             metrics::counter!("magpie_gate_shed_total").increment(1);
             return responder.send(Err(failure));
         }
@@ -156,7 +156,7 @@
         self.schedule_sweep(cx);
     }
 
-    /// Looks over the requests that wait in a while, as long as there are some.
+    /// Arms the sweep timer if requests are waiting.
     fn schedule_sweep(&mut self, cx: CX![]) {
         let waits = self.waiting.values().any(|queue| !queue.is_empty());
         if waits && !self.sweeping {
@@ -177,7 +177,8 @@
         }
     }
 
-    /// A server with room: in the own hall first, and not one that was tried before.
+    /// Assigns a slot on an available server that was not tried before, preferring servers in this
+    /// gate's data hall.
     fn find_slot(&mut self, request: &SlotRequest, now: Instant) -> Option<Slot> {
         let mut near = Vec::new();
         let mut far = Vec::new();
@@ -207,8 +208,9 @@
         })
     }
 
-    /// Why a request should not wait: too many do, or its deadline comes before its expected_wait would.
-    fn refusal(&self, request: &SlotRequest, now: Instant) -> Option<Failure> {
+    /// Returns the failure for a request that must not wait: its class has no slots, the queue is
+    /// full, or the expected wait exceeds the deadline.
+    fn queue_refusal(&self, request: &SlotRequest, now: Instant) -> Option<Failure> {
         let class = &request.class;
         let slots = self.pool.slots(class) as usize;
         let busy = |text: &str| {
@@ -218,11 +220,11 @@
             ))
         };
         if slots == 0 {
-            return busy("no backend server takes requests now");
+            return busy("no backend server accepts requests");
         }
         let ahead = self.waiting.get(class).map_or(0, VecDeque::len);
         if ahead >= slots * MAX_WAITING_PER_SLOT {
-            return busy("too many requests wait");
+            return busy("the queue of waiting requests is full");
         }
         let expected_wait = self
             .mean_latency(class)
@@ -234,22 +236,23 @@
     }
 
     fn mean_latency(&self, class: &str) -> Duration {
-        let places = self.pool.of_class(class);
-        let sum: f64 = places
+        let servers = self.pool.of_class(class);
+        let sum: f64 = servers
             .iter()
             .map(|index| self.pool.server(*index).latency)
             .sum();
-        Duration::from_secs_f64(sum / places.len().max(1) as f64)
+        Duration::from_secs_f64(sum / servers.len().max(1) as f64)
     }
 
-    /// A request to a server ended; its room goes to the next that waits.
+    /// Records the result of a request and passes its slot to the next waiting request.
     pub fn release_slot(&mut self, index: usize, latency: Duration, ok: bool, now: Instant) {
         self.pool.record_result(index, latency, ok, now);
         let class = self.pool.server(index).class.clone();
         self.dispatch_waiting(&class, now);
     }
 
-    /// A server said that it is leaving, before the list does.
+    /// Marks a server as leaving after it refused a request for that reason. The list of boxes
+    /// reports this later.
     pub fn mark_leaving(&mut self, index: usize) {
         self.pool.server_mut(index).leaving = true;
     }
@@ -268,7 +271,7 @@
         }
     }
 
-    /// Answers the requests whose deadline has passed: they did not run.
+    /// Refuses waiting requests whose deadline has passed, with the verdict "not run".
     fn sweep(&mut self, cx: CX![]) {
         self.sweeping = false;
         let now = cx.now();
@@ -279,7 +282,7 @@
                     continue;
                 }
                 metrics::counter!("magpie_gate_shed_total").increment(1);
-                let text = "no backend server had room before the deadline";
+                let text = "no backend server had a free slot before the deadline";
                 waiting
                     .responder
                     .send(Err(Failure::not_run(Cause::Busy, text)));
@@ -288,7 +291,8 @@
         self.schedule_sweep(cx);
     }
 
-    /// Counts a caller's request for the report on burn.
+    /// Counts a caller's request in the burn-rate series of its class. `latency` includes the time
+    /// in the queue.
     pub fn record_outcome(&mut self, class: &Arc<str>, latency: Duration, answered: bool) {
         let Some(target) = self.table.rows.get(class).and_then(|row| row.target) else {
             return;
@@ -305,7 +309,7 @@
             .add(wall_clock::seconds(), counts);
     }
 
-    /// What this gate tells for the report on burn.
+    /// Returns this gate's targets and series for the burn-rate report.
     pub fn sample(&self) -> Sample {
         let target = |(class, row): (&Arc<str>, &table::Row)| Some((class.clone(), row.target?));
         Sample {
--- a/components/gate/src/balancing.rs
+++ b/components/gate/src/balancing.rs
@@ -1,4 +1,5 @@
-//! Policies that choose a backend server. They register themselves and are chosen by name.
+//! Load-balancing policies: which available backend server gets a request. Policies register
+//! themselves as plug-ins and are selected by name.
 
 use {
     crate::pool::Pool,
@@ -9,25 +10,26 @@
     std::any::Any,
 };
 
-/// The kind under which these policies register.
+/// Plug-in kind of the load-balancing policies.
 pub const KIND: &str = "choice";
 
-/// A policy.
+/// A load-balancing policy.
 pub trait Balancer: Send {
-    /// The place of one of the candidates, each of which has room; there is index least one.
+    /// Returns the pool index of one of `candidates`. The slice is not empty, and every candidate
+    /// has a free slot.
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize;
 }
 
-/// Makes the policy of this name.
+/// Creates the policy with this name.
 ///
 /// # Errors
 ///
-/// No policy has this name; the failure lists those that there are.
+/// `Invalid` if no policy has this name; the text lists the available names.
 pub fn create(name: &str) -> Result<Box<dyn Balancer>, Failure> {
     plugin::make(KIND, name)
 }
 
-/// Any server, each with the same chance.
+/// Selects a server uniformly at random.
 struct Random(fastrand::Rng);
 
 impl Balancer for Random {
@@ -36,7 +38,7 @@
     }
 }
 
-/// The servers in turn.
+/// Selects the servers in turn.
 struct RoundRobin(usize);
 
 impl Balancer for RoundRobin {
@@ -46,7 +48,7 @@
     }
 }
 
-/// The server with the fewest requests of this gate.
+/// Selects the server with the fewest in-flight requests from this gate.
 struct LeastRequests(fastrand::Rng);
 
 impl Balancer for LeastRequests {
@@ -58,14 +60,15 @@
     }
 }
 
-/// Of two servers taken by chance, the one with the smaller latency times its requests: its cost
-/// does not grow with the number of servers, and gates that do not talk do not herd.
+/// Draws two servers at random and selects the one with the lower product of latency and in-flight
+/// requests. The cost is independent of the number of servers, and gates that do not share state do
+/// not herd on the same server.
 struct TwoChoices(fastrand::Rng);
 
-/// The cost of one more request on a server.
+/// Estimated cost of one more request on a server: mean latency times in-flight requests.
 fn cost(pool: &Pool, index: usize) -> f64 {
     let server = pool.server(index);
-    // A server without an answer yet counts as fast, so that it is tried.
+    // A server without a latency sample counts as fast, so that it gets requests.
     server.latency.max(1e-6) * f64::from(server.in_flight + 1)
 }
 
@@ -93,7 +96,7 @@
     Entry {
         kind: KIND,
         name: "random",
-        about: "Any server with room.",
+        about: "Any server with a free slot.",
         make: || boxed(Random(rng())),
     }
 }
@@ -102,7 +105,7 @@
     Entry {
         kind: KIND,
         name: "round-robin",
-        about: "The servers with room in turn.",
+        about: "The servers with free slots in turn.",
         make: || boxed(RoundRobin(0)),
     }
 }
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -1,4 +1,5 @@
-//! The task of one caller's request: find room, send, retry where it is safe, answer.
+//! Forwards a caller's request to a backend server, retries where that is safe, and returns the
+//! response with a verdict.
 
 use {
     crate::{
@@ -17,19 +18,20 @@
     },
 };
 
-/// How often one request is sent index most.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// The status with which a backend server refuses a request that it did not run.
+/// Status of a backend server's refusal of a request that it did not run.
 const REFUSED_STATUS: u16 = 503;
 
-/// The header that says so, with the reason; a 503 without it may be anything.
+/// Header that marks a 503 response as such a refusal and contains the reason. A 503 without this
+/// header does not prove that the request was not run.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// The reason of a refusal that means that the server takes no more requests.
+/// Refusal reason of a server that is leaving and accepts no further requests.
 const LEAVING_REASON: &str = "leaving";
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -43,31 +45,31 @@
     "host",
 ];
 
-/// What the callers' tasks share.
+/// State shared by the threads that handle callers' requests.
 #[derive(Clone)]
 pub struct Shared {
-    /// The actor.
+    /// Reference to the gate actor.
     pub gate: ActorRef<Gate>,
-    /// The client for calls on backend servers.
+    /// HTTP client for requests to backend servers.
     pub client: Client,
-    /// The time for a request whose caller names none.
+    /// Deadline of a request without an `x-magpie-deadline-ms` header.
     pub default_deadline: Duration,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// Requests in flight.
+    /// Counter of in-flight requests.
     pub in_flight: InFlight,
-    /// True while the gate refuses requests, since it stops.
+    /// True while the gate is shutting down and refuses requests.
     pub closing: Arc<AtomicBool>,
 }
 
-/// Counts requests in flight, from their arrival until their answers are written.
+/// Counts in-flight requests, from their arrival until their responses have been written.
 #[derive(Clone, Default)]
 pub struct InFlight {
     count: Arc<AtomicUsize>,
 }
 
 impl InFlight {
-    /// A request arrives; it is in flight as long as the guard or a copy of it lives.
+    /// Counts a request as in flight until the last copy of the returned guard is dropped.
     fn enter(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         InFlightGuard {
@@ -77,13 +79,13 @@
         }
     }
 
-    /// Requests in flight.
+    /// Returns the number of in-flight requests.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 }
 
-/// A request in flight.
+/// Guard of one in-flight request.
 #[derive(Clone)]
 struct InFlightGuard {
     _guard: Arc<CountGuard>,
@@ -99,7 +101,7 @@
     }
 }
 
-/// A caller's request, read in whole.
+/// A caller's request, with its body read completely.
 struct CallerRequest {
     method: String,
     path: String,
@@ -110,16 +112,16 @@
     deadline: Instant,
 }
 
-/// Answers one request.
+/// Handles one request. Failures become responses with a JSON body and a verdict.
 pub fn handle(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
-    let flight = shared.in_flight.enter();
+    let guard = shared.in_flight.enter();
     let started = Instant::now();
     let mut response = match process(shared, request, started) {
         Ok(response) => response,
         Err(failure) => response::from_failure(&failure),
     };
-    // The server drops the response once all of it is written; the guard goes with it.
-    response.extensions_mut().insert(flight);
+    // The server drops the response, and with it the guard, after writing it completely.
+    response.extensions_mut().insert(guard);
     response
 }
 
@@ -131,7 +133,7 @@
     if shared.closing.load(Ordering::Acquire) {
         return Err(Failure::not_run(
             Cause::Stopping,
-            "this gate takes no requests",
+            "this gate is shutting down",
         ));
     }
     let caller_request = read_request(shared, request, started)?;
@@ -146,7 +148,7 @@
     shared
         .gate
         .tell(move |gate, _| gate.record_outcome(&class, latency, answered));
-    result.map(pass_back)
+    result.map(build_response)
 }
 
 fn header<'a>(request: &'a Request<Body>, name: &str) -> &'a str {
@@ -157,7 +159,7 @@
         .unwrap_or_default()
 }
 
-/// Reads a request in whole.
+/// Reads the headers and the complete body of a request and checks them.
 fn read_request(
     shared: &Shared,
     request: &mut Request<Body>,
@@ -167,7 +169,7 @@
     let class = header(request, CLASS_HEADER).to_owned();
     if !kernel::settings::is_name(&class) {
         return Err(invalid(
-            "the header x-magpie-class must name a class of the table",
+            "the header x-magpie-class must contain a class of the table",
         ));
     }
     let deadline = match header(request, DEADLINE_HEADER) {
@@ -199,10 +201,10 @@
         .take(shared.max_body + 1)
         .read_to_end(&mut body);
     if read.is_err() {
-        return Err(invalid("the body is cut"));
+        return Err(invalid("the request body is truncated"));
     }
     if body.len() as u64 > shared.max_body {
-        return Err(invalid("the body is too large"));
+        return Err(invalid("the request body is too large"));
     }
     let class = Arc::from(class);
     Ok(CallerRequest {
@@ -216,7 +218,8 @@
     })
 }
 
-/// Sends a request to one server after another until it ran, or must not be sent again.
+/// Sends the request to one server after another until one has run it, the attempts or the retry
+/// budget are exhausted, or a retry is unsafe.
 fn send(shared: &Shared, caller_request: &CallerRequest) -> Result<HttpResponse, Failure> {
     let mut tried = Vec::new();
     let mut last: Option<Failure> = None;
@@ -234,7 +237,8 @@
         });
         let slot = match slot.and_then(|slot| slot) {
             Ok(slot) => slot,
-            // What an earlier try may have done goes before the failure to find room again.
+            // The failure of an earlier attempt, which may have run, takes precedence over the
+            // failure to get another slot.
             Err(failure) => return Err(last.unwrap_or(failure)),
         };
         tried.push(slot.index);
@@ -248,10 +252,11 @@
             break;
         }
     }
-    Err(last.unwrap_or_else(|| Failure::not_run(Cause::Busy, "no try was made")))
+    Err(last.unwrap_or_else(|| Failure::not_run(Cause::Busy, "no attempt was made")))
 }
 
-/// The failure to tell of two tries: one that may have run goes first.
+/// Selects the failure to report: an earlier failure of an attempt that may have run takes
+/// precedence.
 fn more_severe(last: Option<Failure>, next: Failure) -> Failure {
     match last {
         Some(last) if !last.is_not_run() => last,
@@ -266,7 +271,7 @@
         .unwrap_or(false)
 }
 
-/// Sends a request to one server.
+/// Sends the request to one server and reports the result to the actor.
 fn attempt_once(
     shared: &Shared,
     caller_request: &CallerRequest,
@@ -278,7 +283,7 @@
     let refused = matches!(&result, Err(failure) if failure.cause == Cause::Refused);
     let leaving =
         matches!(&result, Err(f) if f.cause == Cause::Refused && f.text == LEAVING_REASON);
-    // A refusal is an answer: the server is well.
+    // A refusal is a response, so it does not count as a failure of the server.
     let ok = result.is_ok() || refused;
     shared.gate.tell(move |gate, cx| {
         if leaving {
@@ -295,12 +300,12 @@
     slot: &Slot,
     started: Instant,
 ) -> Result<HttpResponse, Failure> {
-    let left = caller_request.deadline.saturating_duration_since(started);
-    if left.is_zero() {
+    let remaining = caller_request.deadline.saturating_duration_since(started);
+    if remaining.is_zero() {
         return Err(Failure::not_run(Cause::Timeout, "the deadline has passed"));
     }
     let url = format!("{}{}", slot.url, caller_request.path);
-    let deadline = left.as_millis().to_string();
+    let deadline = remaining.as_millis().to_string();
     let mut headers: Vec<(&str, &str)> = Vec::new();
     for (name, value) in &caller_request.headers {
         if name != DEADLINE_HEADER {
@@ -313,7 +318,7 @@
         url: &url,
         headers: &headers,
         body: &caller_request.body,
-        timeout: left.into(),
+        timeout: remaining.into(),
     };
     let answer = shared.client.send(&call)?;
     let reason = answer.header(NOT_RUN_HEADER);
@@ -323,16 +328,18 @@
     Ok(answer)
 }
 
-/// Passes a backend server's whole answer back.
-fn pass_back(answer: HttpResponse) -> Response<Body> {
+/// Builds the caller's response from the backend server's.
+fn build_response(backend_response: HttpResponse) -> Response<Body> {
     let mut builder = Response::builder()
-        .status(answer.status)
+        .status(backend_response.status)
         .header(VERDICT_HEADER, Verdict::Ran.as_str());
-    for (name, value) in &answer.headers {
-        // The verdict is the gate's own word, whatever a backend server sends.
+    for (name, value) in &backend_response.headers {
+        // The verdict comes from the gate; a verdict header from a backend server is dropped.
         if !HOP_HEADERS.contains(&name.as_str()) && name.as_str() != VERDICT_HEADER {
             builder = builder.header(name.as_str(), value.as_bytes());
         }
     }
-    builder.body(Body::from(answer.body)).unwrap_or_default()
+    builder
+        .body(Body::from(backend_response.body))
+        .unwrap_or_default()
 }
--- a/components/gate/src/lib.rs
+++ b/components/gate/src/lib.rs
@@ -1,7 +1,8 @@
-//! Callers' requests: which backend server takes each, within its slots, and with which verdict.
+//! The gate: an HTTP load balancer that forwards callers' requests to backend servers, limits the
+//! requests per server by slots, and returns a verdict with each response.
 //!
-//! One task for each caller's connection, written straight down; the view of the backend servers
-//! is in an actor that the tasks ask.
+//! Each caller's connection has a thread with sequential code. The state of the backend servers is
+//! in an actor, which these threads query.
 
 pub mod actor;
 pub mod balancing;
--- a/components/gate/src/pool.rs
+++ b/components/gate/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers as one gate sees them.
+//! Pool of backend servers: slots, latency and outlier ejection as seen by one gate.
 
 use {
     crate::share,
@@ -10,54 +10,54 @@
     },
 };
 
-/// The weight of the newest answer in a server's mean latency.
+/// Weight of the newest sample in a server's moving average of latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Failures in a row after which a server is left out.
+/// Consecutive failures after which a server is ejected.
 const EJECTION_FAILURES: u32 = 5;
 
-/// How long a server is left out.
+/// Duration of an ejection.
 const EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// The most servers of a class that are left out index once, in percent.
+/// Maximum share of a class's servers that are ejected at once, in percent.
 const MAX_EJECTED_PERCENT: usize = 50;
 
-/// One backend server.
+/// State of a backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// The name.
+    /// Name of the server's box.
     pub name: Arc<str>,
-    /// The base address.
+    /// Base URL.
     pub url: Arc<str>,
-    /// Its data hall.
+    /// Data hall of the server.
     pub hall: Arc<str>,
-    /// The class that it answers.
+    /// Class of work that the server handles.
     pub class: Arc<str>,
-    /// Requests that this gate may have on it.
+    /// Maximum number of in-flight requests from this gate.
     pub share: u32,
-    /// Requests that this gate has on it.
+    /// In-flight requests from this gate.
     pub in_flight: u32,
-    /// The mean latency, in seconds.
+    /// Moving average of the latency, in seconds; 0 before the first response.
     pub latency: f64,
-    /// True when it gets no new requests for good.
+    /// True if the server is leaving and gets no further requests.
     pub leaving: bool,
-    /// True when the list has it.
+    /// True if the server is in the current list of boxes.
     pub listed: bool,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Until when it is left out.
+    /// End of the current or last ejection.
     pub ejected_until: Option<Instant>,
 }
 
 impl Server {
-    /// True when it may get a request now.
+    /// True if the server may get a request at `now`.
     pub fn is_available(&self, now: Instant) -> bool {
-        let out = self.ejected_until.is_some_and(|until| now < until);
-        self.listed && !self.leaving && !out && self.in_flight < self.share
+        let ejected = self.ejected_until.is_some_and(|until| now < until);
+        self.listed && !self.leaving && !ejected && self.in_flight < self.share
     }
 }
 
-/// All backend servers.
+/// All backend servers ever listed, by index, name and class.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
@@ -66,37 +66,39 @@
 }
 
 impl Pool {
-    /// The servers; a server keeps its place.
+    /// Returns all servers. The index of a server never changes.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// One server.
+    /// Returns the server at `index`.
     pub fn server(&self, index: usize) -> &Server {
         &self.servers[index]
     }
 
-    /// One server, to change its counts.
+    /// Returns the server at `index` for modification.
     pub fn server_mut(&mut self, index: usize) -> &mut Server {
         &mut self.servers[index]
     }
 
-    /// The places of a class's servers.
+    /// Returns the indexes of a class's servers.
     pub fn of_class(&self, class: &str) -> &[usize] {
         self.classes.get(class).map_or(&[], Vec::as_slice)
     }
 
-    /// The slots of a class that this gate may use.
+    /// Number of slots of a class that this gate may use.
     pub fn slots(&self, class: &str) -> u32 {
-        let open = |index: &&usize| self.servers[**index].listed && !self.servers[**index].leaving;
+        let usable =
+            |index: &&usize| self.servers[**index].listed && !self.servers[**index].leaving;
         self.of_class(class)
             .iter()
-            .filter(open)
+            .filter(usable)
             .map(|index| self.servers[*index].share)
             .sum()
     }
 
-    /// Takes the platform's list over; the gate of this name computes its shares from it.
+    /// Updates the servers from the platform's list of boxes and computes the shares of `gate`, the
+    /// name of this gate's box.
     pub fn update(&mut self, list: &List, gate: &str) {
         let gates: BTreeSet<&str> = list
             .of_kind(Kind::Entry)
@@ -104,7 +106,7 @@
             .map(|item| &*item.name)
             .collect();
         let rank = gates.range(..gate).count() as u32;
-        // A gate that the list does not show yet counts itself in.
+        // A gate that is not in the list yet counts itself.
         let count = gates.len() as u32 + u32::from(!gates.contains(gate));
         for server in &mut self.servers {
             server.listed = false;
@@ -149,7 +151,7 @@
         index
     }
 
-    /// A request to a server ended.
+    /// Records the end of a request to a server. `ok` is false if the server failed.
     pub fn record_result(&mut self, index: usize, latency: Duration, ok: bool, now: Instant) {
         let server = &mut self.servers[index];
         server.in_flight = server.in_flight.saturating_sub(1);
@@ -169,21 +171,22 @@
         }
     }
 
-    /// Leaves a server out for a while, unless too many of its class are out already.
+    /// Ejects a server for [`EJECTION_TIME`], unless too many servers of its class are ejected
+    /// already.
     fn eject(&mut self, index: usize, now: Instant) {
         let peers = self.of_class(&self.servers[index].class);
-        let out = |index: &&usize| {
+        let ejected = |index: &&usize| {
             self.servers[**index]
                 .ejected_until
                 .is_some_and(|until| now < until)
         };
-        if (peers.iter().filter(out).count() + 1) * 100 > peers.len() * MAX_EJECTED_PERCENT {
+        if (peers.iter().filter(ejected).count() + 1) * 100 > peers.len() * MAX_EJECTED_PERCENT {
             return;
         }
         let server = &mut self.servers[index];
         server.ejected_until = Some(now + EJECTION_TIME);
         server.failures = EJECTION_FAILURES - 1;
-        log::warn!(target: "gate", "A backend server is left out, it fails. server={}", server.name);
+        log::warn!(target: "gate", "A backend server was ejected after consecutive failures. server={}", server.name);
         metrics::counter!("magpie_gate_ejections_total").increment(1);
     }
 }
--- a/components/gate/src/response.rs
+++ b/components/gate/src/response.rs
@@ -1,4 +1,4 @@
-//! What a caller is error_body beside or instead of a backend server's answer.
+//! Headers of the gate's requests and responses, and responses for failed requests.
 
 use {
     kernel::{Failure, Verdict, server, verdict::Cause},
@@ -6,22 +6,22 @@
     serde::Serialize,
 };
 
-/// The header with the verdict, on every answer.
+/// Response header with the verdict, present on every response.
 pub const VERDICT_HEADER: &str = "x-magpie-verdict";
 
-/// The header with the class of work, on every request.
+/// Request header with the class of work, required on every request.
 pub const CLASS_HEADER: &str = "x-magpie-class";
 
-/// The header that allows a request to be sent again when it may have run.
+/// Request header that permits a retry after an attempt that may have run.
 pub const REPEAT_HEADER: &str = "x-magpie-repeat";
 
-/// The header with the time that a caller waits at most, in milliseconds.
+/// Request header with the maximum time that the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-magpie-deadline-ms";
 
-/// When a caller that was shed may come back, in seconds.
+/// Value of `retry-after` on responses to refused requests, in seconds.
 const RETRY_AFTER: &str = "1";
 
-/// The body of an answer that is not a backend server's.
+/// JSON body of a response that does not come from a backend server.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     verdict: Verdict,
@@ -29,7 +29,7 @@
     text: &'a str,
 }
 
-/// The answer that tells of a failure. A caller that was shed is error_body at once when to come back.
+/// Builds the response for a failure. Refused callers get a `retry-after` header.
 pub fn from_failure(failure: &Failure) -> Response<Body> {
     let Failure {
         verdict,
--- a/components/gate/src/retry_budget.rs
+++ b/components/gate/src/retry_budget.rs
@@ -1,12 +1,12 @@
-//! The budget of budget: a share of the traffic.
+//! Retry budget: limits retries to a fraction of the requests.
 
-/// RetryBudget that each request earns.
+/// Retries that each request adds to the budget.
 const TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// RetryBudget that may be tokens up.
+/// Maximum number of retries in the budget.
 const MAX_TOKENS: f64 = 50.0;
 
-/// How many budget may still be made.
+/// Token bucket that is filled by requests and drained by retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -21,12 +21,12 @@
 }
 
 impl RetryBudget {
-    /// A request came.
+    /// Adds the share of one request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry. Returns false if the budget is exhausted.
     pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -44,10 +44,10 @@
     fn try_take_allows_a_tenth() {
         let mut budget = RetryBudget::default();
         while budget.try_take() {}
-        let taken = (0..1000).filter(|_| {
+        let retries = (0..1000).filter(|_| {
             budget.deposit();
             budget.try_take()
         });
-        assert!((99..=100).contains(&taken.count()));
+        assert!((99..=100).contains(&retries.count()));
     }
 }
--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -1,4 +1,4 @@
-//! A whole gate process: the callers' port, the operators' port, the actor and the tasks.
+//! The gate process: starts and stops its two ports, its actor and its background threads.
 
 use {
     crate::{
@@ -26,43 +26,44 @@
     table::Follower,
 };
 
-/// Tasks that serve the operators' port.
+/// Concurrent requests on the operators' port.
 const OPS_CONCURRENCY: usize = 2;
 
-/// How often the list of boxes is read.
+/// Interval between reads of the list of boxes.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a caller's connection may be idle or slow in one step.
+/// Maximum duration of one read or write on a caller's connection, and of idle time between
+/// requests.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often a stop looks at what is in flight.
+/// Interval at which `stop` checks for in-flight requests.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a gate process needs to start.
+/// Settings of a gate process.
 pub struct Settings {
-    /// The box's name, as in the platform's list.
+    /// Name of this box in the platform's list of boxes.
     pub name: Arc<str>,
-    /// The box's data hall.
+    /// Data hall of this box.
     pub hall: Arc<str>,
-    /// The address of the callers' port.
+    /// Address of the callers' port.
     pub listen: SocketAddr,
-    /// The address of the operators' port.
+    /// Address of the operators' port.
     pub ops: SocketAddr,
-    /// The secret of the internal ports.
+    /// Token for requests on the internal ports.
     pub token: Option<Token>,
-    /// The list of boxes.
+    /// Source of the list of boxes.
     pub boxes: Arc<dyn Boxes>,
-    /// The policy that chooses a backend server.
+    /// Load-balancing policy.
     pub balancer: Box<dyn Balancer>,
-    /// The time for a request whose caller names none.
+    /// Deadline of a request without an `x-magpie-deadline-ms` header.
     pub default_deadline: Duration,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// The most callers' connections at once.
+    /// Maximum number of concurrent callers' connections.
     pub max_connections: usize,
 }
 
-/// A gate process that runs.
+/// A running gate process.
 pub struct Service {
     shared: Shared,
     callers: SocketAddr,
@@ -74,11 +75,11 @@
 }
 
 impl Service {
-    /// Starts the process's parts.
+    /// Starts the actor, the ports and the background threads.
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the system has no room for threads.
+    /// If an address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let (name, hall, balancer) = (settings.name.clone(), settings.hall, settings.balancer);
         let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, balancer))?;
@@ -101,10 +102,10 @@
         let callers = public_server::open(settings.listen, bounds, move |request| {
             forward::handle(&task_shared, request)
         })?;
-        let on_list = gate.clone();
+        let list_gate = gate.clone();
         let changed = Box::new(move |list: &Arc<List>| {
             let list = list.clone();
-            on_list.tell(move |gate, cx| gate.set_list(&list, cx.now()));
+            list_gate.tell(move |gate, cx| gate.set_list(&list, cx.now()));
         });
         let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
         let follower = Follower::start(
@@ -127,53 +128,55 @@
         })
     }
 
-    /// The base address of the callers' port.
+    /// Base URL of the callers' port.
     pub fn url(&self) -> String {
         format!("http://{}", self.callers)
     }
 
-    /// The base address of the operators' port.
+    /// Base URL of the operators' port.
     pub fn ops_url(&self) -> String {
         self.server.url()
     }
 
-    /// The actor, for embedders and tests.
+    /// Reference to the gate actor, for embedders and tests.
     pub fn actor_ref(&self) -> &ActorRef<Gate> {
         &self.shared.gate
     }
 
-    /// The version of the table in force.
+    /// Version of the current table; 0 without one.
     ///
     /// # Errors
     ///
-    /// The process is stopping.
+    /// `Stopping` if the actor has stopped.
     pub fn table_version(&self) -> Result<u64, Failure> {
         self.shared.gate.ask(|gate, _| gate.table_version())
     }
 
-    /// Stops: not ready first, while requests are still served, so that the balancer sends no
-    /// more; then new ones are error_body "not run", and what is in flight ends, up to the deadline.
-    /// True when all of it did.
+    /// Shuts the gate down. It reports not ready for `linger` while it still serves requests, so
+    /// that the upstream balancer stops sending them; then it refuses new requests with the verdict
+    /// "not run" and waits up to `max_wait` for in-flight requests. Returns true if all of them
+    /// completed.
     ///
-    /// The callers' port stays open until the process ends.
-    pub fn stop(&mut self, linger: Duration, most: Duration) -> bool {
+    /// The callers' port stays open until the process exits.
+    pub fn stop(&mut self, linger: Duration, max_wait: Duration) -> bool {
         self.ready.set(false);
         let wait = Signal::new();
         wait.wait(linger);
         self.shared.closing.store(true, Ordering::Release);
-        let end = Instant::now() + most;
+        let end = Instant::now() + max_wait;
         while self.shared.in_flight.count() > 0 && Instant::now() < end {
             wait.wait(STOP_POLL_INTERVAL);
         }
-        let whole = self.shared.in_flight.count() == 0;
+        let completed = self.shared.in_flight.count() == 0;
         self.follower.stop();
         self.server.close();
         self.host.stop();
-        whole
+        completed
     }
 }
 
-/// A client that keeps within the connections of a backend server.
+/// Creates the HTTP client for backend servers, with at most as many connections per server as it
+/// has slots.
 fn backend_client() -> Client {
     let limits = PoolLimits {
         max_idle: 2048,
--- a/components/gate/src/share.rs
+++ b/components/gate/src/share.rs
@@ -1,26 +1,26 @@
-//! The share of a backend server's slots that each gate may use.
+//! Division of each backend server's slots among the gates.
 //!
-//! No gate asks another: from the list of boxes each computes the same shares, which add up to the
-//! server's slots. While lists differ the sum may be off for a moment; the server then refuses,
-//! and its refusal is "not run".
+//! Gates do not coordinate: each computes the same shares from the list of boxes, and the shares of
+//! a server add up to its slots. While gates have different lists, the sum may differ for a short
+//! time; a server with too many requests then refuses some, with the verdict "not run".
 
 use members::owner;
 
-/// The slots of a backend server.
+/// Number of slots of a backend server.
 pub const SLOTS_PER_SERVER: u32 = 8;
 
-/// The share of the gate at place `rank` among `gates` gates.
+/// Returns the number of slots on `server` for the gate with index `rank` among `gates` gates.
 ///
-/// What does not divide evenly goes to other gates at each server, so that no gate is short
-/// everywhere. With more gates than slots, a gate has no share at some servers: its subset moves
-/// little when a gate comes or goes, since it hangs on the ranks alone.
+/// The remainder of the division goes to different gates on each server, so that no gate gets less
+/// everywhere. With more gates than slots, a gate has no slots on some servers. Its subset of
+/// servers changes little when a gate is added or removed, because it depends only on the ranks.
 pub fn slots(server: &str, rank: u32, gates: u32) -> u32 {
     if gates == 0 {
         return 0;
     }
-    let turn = (owner::weight("slots", server) % u64::from(gates)) as u32;
-    let more = (rank + turn) % gates < SLOTS_PER_SERVER % gates;
-    SLOTS_PER_SERVER / gates + u32::from(more)
+    let offset = (owner::weight("slots", server) % u64::from(gates)) as u32;
+    let has_remainder = (rank + offset) % gates < SLOTS_PER_SERVER % gates;
+    SLOTS_PER_SERVER / gates + u32::from(has_remainder)
 }
 
 #[cfg(test)]
--- a/components/table/examples/edit.rs
+++ b/components/table/examples/edit.rs
@@ -1,4 +1,4 @@
-//! Two operators edit the same row: `cargo run -p magpie-table-core --example edit`.
+//! Shows the conflict when two operators edit the same row: `cargo run -p magpie-table-core --example edit`.
 
 use {
     magpie_table_core::{Edit, Row, RowEdit, Table},
--- a/components/table/src/accept.rs
+++ b/components/table/src/accept.rs
@@ -1,4 +1,5 @@
-//! Accepting an edit: judged, written by compare-and-swap, and settled when a reply is lost.
+//! Accepts an edit: checks it against the stored table, writes it by compare-and-swap, and
+//! determines the outcome when the store's response is lost.
 
 use {
     crate::{
@@ -16,17 +17,18 @@
     },
 };
 
-/// The key of the table in the store.
+/// Key of the table in the store.
 pub const KEY: &str = "magpie/table";
 
-/// How many times an edit is tried before its outcome is given as unknown.
-const TRIES: u32 = 5;
+/// Attempts to write an edit before it fails.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// Reads the stored; an absent key is an empty stored of version 0.
+/// Reads the table and the key's version from the store. An absent key is an empty table with
+/// version 0.
 ///
 /// # Errors
 ///
-/// The store fails, or its value is no stored.
+/// If the store fails or its value cannot be decoded.
 pub fn read(store: &dyn Store) -> Result<(u64, StoredTable), Failure> {
     match store.get(KEY)? {
         Some(value) => Ok((value.version, wire::decode(&value.bytes)?)),
@@ -34,15 +36,16 @@
     }
 }
 
-/// Tries to bring an edit in. The stored returned beside `Accepted` holds its change.
+/// Writes an edit to the store. The table returned with `Accepted` contains the edit's change; the
+/// table is `None` for a refused edit.
 ///
 /// # Errors
 ///
-/// `not-run` when the edit surely was not and will not be accepted; `may-have-run` when the store
-/// went silent: the same edit, with its id, may be sent again.
+/// `not-run` if the edit was not accepted and will not be; `may-have-run` if the store did not
+/// respond. The same edit, with the same id, may then be sent again.
 pub fn accept(store: &dyn Store, edit: &Edit) -> Result<(Outcome, Option<StoredTable>), Failure> {
     let mut unknown: Option<Failure> = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let (version, stored) = match read(store) {
             Ok(found) => found,
             Err(failure) => return Err(unknown.unwrap_or_else(|| with_not_run(failure))),
@@ -59,7 +62,7 @@
             WriteOutcome::Written(_) => {
                 return Ok((Outcome::Accepted(next.table.version), Some(next)));
             }
-            // The next reading finds the edit's id in the history if it was among them.
+            // If the edit was written, the next read finds its id in the history.
             WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {}
             WriteOutcome::NotRun(failure) if unknown.is_none() => return Err(failure),
             WriteOutcome::NotRun(failure) | WriteOutcome::Unknown(failure) => {
@@ -67,11 +70,11 @@
             }
         }
     }
-    let contended = || Failure::not_run(Cause::Busy, "too many edits at once; try again");
+    let contended = || Failure::not_run(Cause::Busy, "too many concurrent edits; try again");
     Err(unknown.unwrap_or_else(contended))
 }
 
-/// A reading changes nothing: whatever became of it, the edit did not run.
+/// Sets the verdict "not run": a failed read has no effect on the table, so the edit did not run.
 fn with_not_run(failure: Failure) -> Failure {
     Failure {
         verdict: Verdict::NotRun,
@@ -79,7 +82,8 @@
     }
 }
 
-/// The next stored and its bytes, with as much history as the store's value has room for.
+/// Applies a change and encodes the result, dropping the older half of the history until it fits
+/// into [`MAX_STORED_BYTES`].
 fn encode_within_limit(
     stored: &StoredTable,
     change: Change,
@@ -90,14 +94,15 @@
         if bytes.len() <= MAX_STORED_BYTES {
             return Ok((next, bytes));
         }
-        // The newest change stays, so that a lost reply can still be settled by it.
+        // The newest change is kept, because it shows whether an edit whose response was lost was
+        // written.
         if next.history.len() <= 1 {
             return Err(Failure::not_run(
                 Cause::Invalid,
                 "the table is too large for the store",
             ));
         }
-        let half = next.history.len().div_ceil(2);
-        next.history.drain(..half);
+        let dropped = next.history.len().div_ceil(2);
+        next.history.drain(..dropped);
     }
 }
--- a/components/table/src/actor.rs
+++ b/components/table/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the table in force and wakes those who wait for a newer one.
+//! Actor that holds the process's current table and responds to watches when a newer one arrives.
 
 use {
     crate::{
@@ -15,45 +15,45 @@
     },
 };
 
-/// How often waiting followers are looked over for those whose time has passed.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval at which pending watches are checked for expiry.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-struct Waiting {
+struct PendingWatch {
     after: u64,
     end: Instant,
     request: Request,
 }
 
-/// The table in force in this process.
+/// The current table of this process and the pending watches.
 pub struct TableActor {
     stored: Arc<StoredTable>,
-    waiting: Vec<Waiting>,
+    waiting: Vec<PendingWatch>,
     loaded: bool,
 }
 
 impl TableActor {
-    /// A actor that knows no table yet.
+    /// Creates an actor without a table and starts its sweep timer.
     pub fn new(cx: CX![]) -> Self {
         let actor = TableActor {
             stored: Arc::default(),
             waiting: Vec::new(),
             loaded: false,
         };
-        after!(SWEEP, [cx], sweep());
+        after!(SWEEP_INTERVAL, [cx], sweep());
         actor
     }
 
-    /// The stored in force.
+    /// Returns the current table with its history.
     pub fn stored(&self) -> &Arc<StoredTable> {
         &self.stored
     }
 
-    /// True once a peer or the store has told the table, also when it is empty.
+    /// True once a peer or the store has supplied the table, even an empty one.
     pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// Takes a stored over if it is newer. True when it was.
+    /// Installs a table if it is newer than the current one. Returns true if it was.
     pub fn install(&mut self, stored: StoredTable) -> bool {
         self.loaded = true;
         if stored.table.version <= self.stored.table.version {
@@ -61,13 +61,13 @@
         }
         self.stored = Arc::new(stored);
         metrics::gauge!("magpie_table_version").set(self.stored.table.version as f64);
-        log::info!(target: "table", "A table is in force. version={}", self.stored.table.version);
-        self.wake();
+        log::info!(target: "table", "A table was installed. version={}", self.stored.table.version);
+        self.notify_watches();
         true
     }
 
-    /// Takes an update over. False when it does not join on to the table here, and the whole one
-    /// is needed.
+    /// Applies an update. Returns false if its changes do not follow the current version, in which
+    /// case the whole table is needed.
     pub fn apply_update(&mut self, update: Update) -> bool {
         match update {
             Update::Same => {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What came after a version.
+    /// Returns the update from a version to the current one.
     pub fn update_since(&self, version: u64) -> Update {
         if version >= self.stored.table.version {
             return Update::Same;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Answers a comparison of versions.
+    /// Returns the current version and the update that a peer at `version` lacks.
     pub fn compare(&self, version: u64) -> Comparison {
         Comparison {
             version: self.stored.table.version,
@@ -107,11 +107,12 @@
         }
     }
 
-    /// Answers a follower at once or when there is a newer table.
+    /// Responds to a watch immediately if there is a newer table than `after`, otherwise when there
+    /// is one or when `wait` has passed.
     pub fn watch(&mut self, after: u64, wait: Duration, now: Instant, request: Request) {
         match self.update_since(after) {
             Update::Same => {
-                self.waiting.push(Waiting {
+                self.waiting.push(PendingWatch {
                     after,
                     end: now + wait,
                     request,
@@ -121,14 +122,14 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn notify_watches(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
             let update = self.update_since(waiting.after);
             waiting.request.respond(Reply::message(&Ok(update)));
         }
     }
 
-    /// Answers the followers whose time has passed.
+    /// Responds `Same` to the watches that have expired.
     fn sweep(&mut self, cx: CX![]) {
         let now = cx.now();
         for waiting in std::mem::take(&mut self.waiting) {
@@ -138,7 +139,7 @@
             }
             waiting.request.respond(Reply::message(&Ok(Update::Same)));
         }
-        after!(SWEEP, [cx], sweep());
+        after!(SWEEP_INTERVAL, [cx], sweep());
     }
 }
 
@@ -184,10 +185,10 @@
 
     #[test_case(&[3], true, 3; "the next")]
     #[test_case(&[2, 3, 4], true, 4; "overlapping")]
-    #[test_case(&[1], true, 2; "late")]
+    #[test_case(&[1], true, 2; "outdated")]
     #[test_case(&[4], false, 2; "a gap")]
     #[test_case(&[4, 3], false, 2; "out of order")]
-    fn update_changes(versions: &[u64], joined: bool, version: u64) {
+    fn apply_update_changes(versions: &[u64], joined: bool, version: u64) {
         let mut actor = actor(2);
         let changes = versions.iter().copied().map(change).collect();
         assert_eq!(actor.apply_update(Update::Changes(changes)), joined);
--- a/components/table/src/diff.rs
+++ b/components/table/src/diff.rs
@@ -1,4 +1,4 @@
-//! The edits that lead from a table to a sheet.
+//! Difference between the current table and a sheet, as row edits.
 
 use {
     crate::{
@@ -8,12 +8,13 @@
     std::collections::BTreeSet,
 };
 
-/// The edits that make the table's rows those of the sheet.
+/// Returns the edits that turn the rows of `table` into `wanted`. They contain the revisions of
+/// `table`.
 pub fn diff(table: &Table, wanted: &[Row]) -> Vec<RowEdit> {
     let mut edits = Vec::new();
-    let mut kept = BTreeSet::new();
+    let mut wanted_classes = BTreeSet::new();
     for row in wanted {
-        kept.insert(row.class.clone());
+        wanted_classes.insert(row.class.clone());
         let present = table.rows.get(&row.class);
         let revision = present.map_or(0, |present| present.revision);
         if present.is_some_and(|present| {
@@ -32,7 +33,7 @@
         });
     }
     for row in table.rows.values() {
-        if kept.contains(&row.class) {
+        if wanted_classes.contains(&row.class) {
             continue;
         }
         edits.push(RowEdit {
@@ -49,7 +50,7 @@
     use super::*;
 
     #[test]
-    fn diff_cases() {
+    fn diff_adds_and_removes() {
         let old = Row {
             revision: 4,
             ..Row::batch("old")
--- a/components/table/src/follower.rs
+++ b/components/table/src/follower.rs
@@ -1,4 +1,5 @@
-//! How gates and schedulers follow the table: from their own box's table process first.
+//! Client that keeps gates and schedulers up to date with the table by long polling, preferably
+//! from the table process on the same box.
 
 use {
     crate::{
@@ -15,28 +16,29 @@
     std::{io, sync::Arc, thread::JoinHandle, time::Duration},
 };
 
-/// How long one question waits for a newer table. A box that hangs is noticed after this and
-/// `RESPONSE_MARGIN`, and another is asked; an accepted edit must be in force within 3 s.
+/// Maximum wait of one watch. A table process that hangs is detected after this time plus
+/// `RESPONSE_MARGIN`, and the next one is polled; an accepted edit must take effect within 3 s.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 
-/// How much longer than the wait an answer may take to begin; a table that is read in whole is large.
+/// Additional time until the response must begin. The body is streamed without this limit, because
+/// a whole table is large.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(700);
 
-/// What happens with each new table.
+/// Called with each new table.
 pub type TableCallback = Box<dyn Fn(Arc<Table>) + Send>;
 
-/// A task that follows the table.
+/// Background thread that watches the table.
 pub struct Follower {
     signal: Signal,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Follower {
-    /// Starts the task on the box of this name.
+    /// Starts the thread. `name` is the name of this box, whose table process is polled first.
     ///
     /// # Errors
     ///
-    /// The system has no room for a thread.
+    /// If the thread cannot be started.
     pub fn start(
         name: Arc<str>,
         view: View,
@@ -54,7 +56,7 @@
         })
     }
 
-    /// Ends the task; it may still wait for an answer, which is then not used.
+    /// Stops the thread without joining it. A response to a pending watch is discarded.
     pub fn stop(&mut self) {
         self.signal.stop();
         self.thread.take();
@@ -72,7 +74,7 @@
     let mut failures: u32 = 0;
     while !signal.is_stopped() {
         let urls = view.urls("table", name);
-        // After a failure the next box is asked.
+        // Each consecutive failure selects the next table process.
         let Some(url) = urls.get(failures as usize % urls.len().max(1)) else {
             signal.wait(Duration::from_millis(50));
             continue;
@@ -89,10 +91,10 @@
                 }
             }
             Err(failure) => {
-                log::debug!(target: "table", "The table cannot be followed. url={url} {failure}");
+                log::debug!(target: "table", "A watch of the table failed. url={url} {failure}");
                 let base = Duration::from_millis(50);
-                let most = Duration::from_secs(1);
-                signal.wait(budget::backoff(base, most, failures, fastrand::f64()));
+                let max = Duration::from_secs(1);
+                signal.wait(budget::backoff(base, max, failures, fastrand::f64()));
                 failures += 1;
             }
         }
@@ -108,7 +110,7 @@
     client.post(&format!("{url}/table/watch"), &watch, timeout)
 }
 
-/// The stored after an update; `None` when it brings nothing newer.
+/// Applies an update. Returns `None` if the result is not newer.
 fn apply(stored: &StoredTable, update: Update) -> Option<StoredTable> {
     let next = match update {
         Update::Same => return None,
--- a/components/table/src/lib.rs
+++ b/components/table/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' table: its rows, edits of them, and their spread to every process.
+//! The operators' table of work classes: its rows, edits, and replication to every process.
 //!
 //! The table is one value in the platform's store, changed by compare-and-swap. The process that
-//! accepts an edit pushes the change to the others; they also compare versions with one another,
-//! so that a lost push costs a second. A version only goes up.
+//! accepts an edit pushes the change to its peers. The peers also compare versions with one
+//! another, so that a lost push delays a change by about a second. A process's version never
+//! decreases.
 
 pub mod accept;
 pub mod actor;
--- a/components/table/src/message.rs
+++ b/components/table/src/message.rs
@@ -6,29 +6,29 @@
     std::sync::Arc,
 };
 
-/// Asks for what came after a version; waits up to a time when nothing has.
+/// Request for the changes after a version. Without any, the response is delayed by up to `wait`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Watch {
-    /// The version that the asker has.
+    /// The sender's version.
     pub after: u64,
-    /// How long to wait, in milliseconds.
+    /// Maximum wait, in milliseconds.
     pub wait: u64,
 }
 
-/// What came after a version.
+/// Changes since a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Update {
-    /// Nothing.
+    /// No changes.
     Same,
-    /// These changes, in their order.
+    /// The changes, in order of version.
     Changes(Vec<Change>),
-    /// The whole table, where the history does not reach back so far.
+    /// The whole table, if the history does not reach back to the requested version.
     Whole(Arc<StoredTable>),
 }
 
 impl Update {
-    /// The version after this update; `None` for `Same`.
+    /// Version of the table after this update; `None` for `Same`.
     pub fn version(&self) -> Option<u64> {
         match self {
             Update::Same => None,
@@ -38,44 +38,44 @@
     }
 }
 
-/// Compares the sender's version with the receiver's.
+/// Request to compare the sender's version with the receiver's.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Compare {
     /// The sender's version.
     pub version: u64,
 }
 
-/// The answer to [`Compare`].
+/// Response to [`Compare`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Comparison {
     /// The receiver's version.
     pub version: u64,
-    /// What the sender lacks.
+    /// The changes that the sender lacks.
     pub update: Update,
 }
 
-/// The answer to an edit.
+/// Response to [`Submit`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Accepted, as this version.
+    /// Accepted, with the resulting version.
     Accepted(u64),
-    /// Not accepted, and never will be.
+    /// Refused; sending the same edit again does not help.
     Refused(Refusal),
 }
 
-/// An operator's edit.
+/// Request to make an edit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Submit {
     /// The edit.
     pub edit: Edit,
 }
 
-/// The answer to a question for the table.
+/// Response to a request for the current table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Current {
-    /// The table.
+    /// The current table.
     pub table: Arc<Table>,
-    /// The last changes, the oldest first.
+    /// The most recent changes, oldest first.
     pub history: Vec<Change>,
 }
--- a/components/table/src/model.rs
+++ b/components/table/src/model.rs
@@ -1,4 +1,4 @@
-//! The table with its history, and edits of it.
+//! Data model of the table: rows at a version, edits, conflicts, and the history of changes.
 
 use {
     crate::{row::Row, sheet},
@@ -10,104 +10,106 @@
     },
 };
 
-/// How many changes the history keeps at most.
+/// Maximum number of changes in the history.
 pub const MAX_HISTORY: usize = 500;
 
-/// How large the encoded stored may become before old history is dropped, in bytes.
+/// Maximum size of the encoded [`StoredTable`], in bytes. Old history is dropped above it.
 pub const MAX_STORED_BYTES: usize = 900 * 1024;
 
 /// The table at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Goes up by one with each accepted edit; 0 for a table that never had one.
+    /// Number of accepted edits.
     pub version: u64,
-    /// The rows by class.
+    /// Rows by class.
     pub rows: BTreeMap<Arc<str>, Row>,
 }
 
-/// What an edit makes of one row.
+/// Edit of one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowEdit {
-    /// The class.
+    /// Class of the row.
     pub class: Arc<str>,
-    /// The revision that the operator saw; 0 for a row that was not there.
+    /// Revision of the row that the edit is based on; 0 if the row did not exist.
     pub revision: u64,
-    /// The row as it is to be; `None` takes it away.
+    /// New row; `None` removes it.
     pub row: Option<Row>,
 }
 
-/// An edit: all of its rows are accepted, or none.
+/// An edit, which is accepted or refused as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Unlike that of any other edit; the same edit sent again keeps it.
+    /// Unique id. An edit that is sent again keeps its id, so that it is accepted only once.
     pub id: u64,
-    /// Who makes it.
+    /// Author of the edit.
     pub who: Arc<str>,
-    /// The rows.
+    /// Edits of single rows.
     pub rows: Vec<RowEdit>,
 }
 
-/// One row before and after a change.
+/// A row before and after a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// The class.
+    /// Class of the row.
     pub class: Arc<str>,
-    /// The row before; `None` when it was not there.
+    /// Old row; `None` if it did not exist.
     pub before: Option<Row>,
-    /// The row after; `None` when it was taken away.
+    /// New row; `None` if it was removed.
     pub after: Option<Row>,
 }
 
 /// An accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The edit's id.
+    /// Id of the edit.
     pub id: u64,
-    /// The version that it made.
+    /// Version of the table after the edit.
     pub version: u64,
-    /// Who made it.
+    /// Author of the edit.
     pub who: Arc<str>,
-    /// When, in milliseconds since 1970.
+    /// Time of the edit, in milliseconds since 1970.
     pub at: u64,
-    /// The rows.
+    /// Rows that the edit changed.
     pub rows: Vec<RowChange>,
 }
 
-/// A row that another edit changed meanwhile.
+/// A row whose revision is not the one that the edit is based on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The class.
+    /// Class of the row.
     pub class: Arc<str>,
-    /// The row that the operator wanted.
+    /// Row of the refused edit.
     pub wanted: Option<Row>,
-    /// The row as it is now.
+    /// Current row.
     pub present: Option<Row>,
 }
 
-/// Why an edit was not accepted; nothing of it was applied.
+/// Why an edit was refused. No part of a refused edit is applied.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum Refusal {
-    /// another edit changed the same rows meanwhile: {0:?}
+    /// another edit has changed the same rows: {0:?}
     Conflicts(Vec<Conflict>),
-    /// the edit breaks a rule: {0:?}
+    /// the edit violates a rule: {0:?}
     Invalid(Vec<String>),
 }
 
-/// The stored value: the table and the last changes.
+/// Value in the store: the table and its most recent changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredTable {
     /// The table.
     pub table: Table,
-    /// The last changes, the oldest first.
+    /// The most recent changes, oldest first.
     pub history: VecDeque<Change>,
 }
 
 impl Table {
-    /// Works out what an edit would change, without changing it.
+    /// Checks an edit and computes its change without applying it. `at` is the time in milliseconds
+    /// since 1970.
     ///
     /// # Errors
     ///
-    /// Rows whose revision is another by now, or a table that would break a rule.
+    /// `Conflicts` if rows have another revision than the edit is based on; `Invalid` if the
+    /// resulting table would violate a rule.
     pub fn evaluate(&self, edit: &Edit, at: u64) -> Result<Change, Refusal> {
         let mut conflicts = Vec::new();
         let mut rows = Vec::new();
@@ -146,14 +148,14 @@
             rows,
         };
         let rows: Vec<Row> = self.with(&change).rows.into_values().collect();
-        let broken = sheet::validate_rows(&rows);
-        if !broken.is_empty() {
-            return Err(Refusal::Invalid(broken));
+        let violations = sheet::validate_rows(&rows);
+        if !violations.is_empty() {
+            return Err(Refusal::Invalid(violations));
         }
         Ok(change)
     }
 
-    /// The table after a change.
+    /// Returns the table with a change applied.
     pub fn with(&self, change: &Change) -> Table {
         let mut rows = self.rows.clone();
         for altered in &change.rows {
@@ -170,12 +172,12 @@
 }
 
 impl StoredTable {
-    /// The change that the edit of this id made, as far back as the history reaches.
+    /// Finds the change of the edit with this id in the history.
     pub fn find_change(&self, id: u64) -> Option<&Change> {
         self.history.iter().find(|change| change.id == id)
     }
 
-    /// The stored after a change.
+    /// Returns the table and history with a change applied.
     pub fn with(&self, change: Change) -> StoredTable {
         let mut history = self.history.clone();
         let table = self.table.with(&change);
@@ -186,8 +188,8 @@
         StoredTable { table, history }
     }
 
-    /// The stored after changes, in their order; those that it holds already count for nothing.
-    /// `None` when they do not join on to it.
+    /// Returns the table and history with changes applied in order, skipping those that are already
+    /// applied. Returns `None` if a version is missing between them.
     pub fn apply_changes(&self, changes: Vec<Change>) -> Option<StoredTable> {
         let mut stored = self.clone();
         for change in changes {
@@ -202,7 +204,7 @@
         Some(stored)
     }
 
-    /// The changes after a version; `None` when the history does not reach back so far.
+    /// Returns the changes after a version, or `None` if the history does not reach back to it.
     pub fn changes_since(&self, version: u64) -> Option<Vec<Change>> {
         if version >= self.table.version {
             return Some(Vec::new());
@@ -246,7 +248,7 @@
     }
 
     #[test]
-    fn judge_same_row_conflicts() {
+    fn evaluate_same_row_conflicts() {
         let stored = accept(&StoredTable::default(), &edit(1, "a", 0, 10));
         let stored = accept(&stored, &edit(2, "a", 1, 20));
         let Err(Refusal::Conflicts(conflicts)) = stored.table.evaluate(&edit(3, "a", 1, 30), 0)
@@ -258,7 +260,7 @@
     }
 
     #[test]
-    fn judge_other_rows_both_go_in() {
+    fn evaluate_other_rows_accepted() {
         let stored = accept(&StoredTable::default(), &edit(1, "a", 0, 10));
         let stored = accept(&stored, &edit(2, "b", 0, 20));
         assert_eq!((stored.table.version, stored.table.rows.len()), (2, 2));
--- a/components/table/src/replication.rs
+++ b/components/table/src/replication.rs
@@ -1,5 +1,5 @@
-//! How a change reaches the other boxes: pushed at once, compared every second, and watched in
-//! the store by few.
+//! Replication of the table between boxes: changes are pushed immediately, versions are compared
+//! every second, and a few boxes watch the store.
 
 use {
     crate::{
@@ -18,51 +18,51 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How many boxes of the fleet watch the store; the others take the table from them.
+/// Number of boxes that watch the store. The others get the table from them.
 const WATCHERS: usize = 2;
 
-/// How often a box compares its version with one other's.
+/// Interval between comparisons with a random peer.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long one watch of the store waits.
-const WATCH_TIME: Duration = Duration::from_secs(20);
+/// Maximum wait of one watch of the store.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// The time for one message to a peer.
+/// Time-out of a message to a peer, and the maximum back-off between retries.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time for one that may hold a whole table, either way.
+/// Time-out of a message whose request or response may contain a whole table.
 const TABLE_TIMEOUT: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
-/// How many times a push to one peer is tried.
-const PUSH_TRIES: u32 = 3;
+/// Attempts to push to one peer.
+const PUSH_ATTEMPTS: u32 = 3;
 
-/// What the tasks of one table process share.
+/// State shared by the threads of a table process.
 #[derive(Clone)]
 pub struct Shared {
-    /// The box's name.
+    /// Name of this box.
     pub name: Arc<str>,
-    /// The actor.
+    /// Reference to the table actor.
     pub actor: ActorRef<TableActor>,
-    /// The store.
+    /// Store that holds the table.
     pub store: Arc<dyn Store>,
-    /// The list of boxes.
+    /// Current list of boxes.
     pub view: View,
-    /// The client for calls on peers.
+    /// HTTP client for requests to peers.
     pub client: Client,
-    /// Ends the tasks.
+    /// Stops the background threads.
     pub signal: Signal,
 }
 
 impl Shared {
-    /// The other boxes' table processes.
+    /// Names and base URLs of the table processes on other boxes.
     fn peers(&self) -> Vec<(Arc<str>, Arc<str>)> {
         let mut peers = self.view.live("table");
         peers.retain(|(name, _)| *name != self.name);
         peers
     }
 
-    /// True when this box is one of those that watch the store.
-    fn watches(&self) -> bool {
+    /// True if this box is one of the [`WATCHERS`] boxes that watch the store.
+    fn is_watcher(&self) -> bool {
         let mut names: Vec<Arc<str>> = self.peers().into_iter().map(|(name, _)| name).collect();
         names.push(self.name.clone());
         owner::ranked("table", &names)
@@ -72,7 +72,7 @@
     }
 }
 
-/// Pushes the newest change to every peer, each by a task of its own.
+/// Pushes the changes since version `before` to every peer, with a thread for each.
 pub fn push_all(shared: &Shared, before: u64) {
     let Ok(update) = shared.actor.ask(move |actor, _| actor.update_since(before)) else {
         return;
@@ -81,14 +81,14 @@
         let (shared, update) = (shared.clone(), update.clone());
         let run = move || push(&shared, &url, &update);
         if task::spawn(&format!("push-{name}"), run).is_err() {
-            log::warn!(target: "table", "No room for a task to push with. peer={name}");
+            log::warn!(target: "table", "A thread for a push could not be started. peer={name}");
         }
     }
 }
 
 fn push(shared: &Shared, url: &str, update: &Update) {
     let address = format!("{url}/table/push");
-    for failures in 0..PUSH_TRIES {
+    for failures in 0..PUSH_ATTEMPTS {
         let sent: Result<u64, Failure> = shared.client.post(&address, update, TABLE_TIMEOUT);
         match sent {
             Ok(_) => return,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Compares versions with a random peer, again and again.
+/// Compares versions with a random peer at an interval until the process stops.
 pub fn run_comparisons(shared: &Shared) {
     while !shared.signal.is_stopped() {
         let peers = shared.peers();
@@ -115,7 +115,8 @@
     }
 }
 
-/// Compares versions with one peer; whoever is behind takes what it lacks.
+/// Compares versions with one peer and sends the missing changes to whichever side is behind.
+/// Returns false if the peer did not respond.
 pub fn compare(shared: &Shared, url: &str) -> bool {
     let Ok(version) = shared.actor.ask(|actor, _| actor.stored().table.version) else {
         return false;
@@ -139,13 +140,14 @@
     true
 }
 
-/// Watches the store where this box is one of those that do; reads the table at the start.
+/// Loads the initial table, then watches the store while this box is one of the watchers, until the
+/// process stops.
 pub fn run_store_watch(shared: &Shared) {
     load_initial_table(shared);
     let mut seen = 0;
     let mut failures = 0;
     while !shared.signal.is_stopped() {
-        if !shared.watches() {
+        if !shared.is_watcher() {
             shared.signal.wait(COMPARE_INTERVAL);
             continue;
         }
@@ -153,20 +155,21 @@
             Ok(()) => failures = 0,
             Err(failure) => {
                 if failures == 0 {
-                    log::warn!(target: "table", "The store cannot be watched. {failure}");
+                    log::warn!(target: "table", "The watch of the store failed. {failure}");
                 }
                 let base = Duration::from_millis(200);
-                let most = Duration::from_secs(5);
+                let max = Duration::from_secs(5);
                 shared
                     .signal
-                    .wait(budget::backoff(base, most, failures, fastrand::f64()));
+                    .wait(budget::backoff(base, max, failures, fastrand::f64()));
                 failures += 1;
             }
         }
     }
 }
 
-/// Takes the table from a peer, so that a box starts while the store is down; else from the store.
+/// Loads the table from a peer, so that a box can start while the store is down, and from the
+/// store. Retries until either has supplied it.
 fn load_initial_table(shared: &Shared) {
     let mut failures = 0;
     while !shared.signal.is_stopped() {
@@ -197,9 +200,9 @@
     }
 }
 
-/// Waits for a newer table in the store and, if no peer had told of it, pushes it to all.
+/// Waits for a newer table in the store and pushes it to all peers if no peer had already sent it.
 fn watch(shared: &Shared, seen: &mut u64) -> Result<(), Failure> {
-    let Some(value) = shared.store.watch(accept::KEY, *seen, WATCH_TIME)? else {
+    let Some(value) = shared.store.watch(accept::KEY, *seen, WATCH_WAIT)? else {
         return Ok(());
     };
     *seen = value.version;
--- a/components/table/src/row.rs
+++ b/components/table/src/row.rs
@@ -1,4 +1,4 @@
-//! One row: a class of work, its weights and its limits.
+//! Row of the table: a class of work with its kind, priority, weight and resource limits.
 
 use {
     infra::Size,
@@ -6,20 +6,20 @@
     std::{fmt, str::FromStr, sync::Arc},
 };
 
-/// What kind of work a class is.
+/// Kind of work of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Latency-critical: it has a target and answers callers.
+    /// Latency-critical service with a latency target, which handles callers' requests.
     Service,
-    /// Ends by itself and may be evicted.
+    /// Batch work, which terminates and may be evicted.
     Batch,
-    /// Runs for weeks and may be moved.
+    /// Long-running work, which runs for weeks and may be moved.
     Standing,
 }
 
 impl Kind {
-    /// The word in the table.
+    /// Returns the name used in the table.
     pub const fn as_str(self) -> &'static str {
         match self {
             Kind::Service => "service",
@@ -48,40 +48,40 @@
     }
 }
 
-/// One row of the table.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The class of work; no other row has it.
+    /// Class of work; unique in the table.
     pub class: Arc<str>,
-    /// The team that the class belongs to.
+    /// Team that owns the class.
     pub team: Arc<str>,
-    /// What kind of work it is.
+    /// Kind of work.
     pub kind: Kind,
-    /// The higher goes first, 0 to 9; 9 is urgent.
+    /// Priority, 0 to 9; higher values go first, and 9 is urgent.
     pub priority: u8,
-    /// The share inside a priority, 1 to 1000.
+    /// Weight of the class's share within its priority, 1 to 1000.
     pub weight: u32,
-    /// The most processors in use at once, in thousandths; `None` for no ceiling.
+    /// Maximum number of processors in use, in thousandths; `None` for no limit.
     pub cpu: Option<u32>,
-    /// The most memory in use at once, in megabytes.
+    /// Maximum memory in use, in megabytes; `None` for no limit.
     pub memory: Option<u32>,
-    /// The most accelerators in use at once.
+    /// Maximum number of accelerators in use; `None` for no limit.
     pub accel: Option<u32>,
-    /// The most tasks that run at once.
+    /// Maximum number of running tasks; `None` for no limit.
     pub running: Option<u32>,
-    /// The hardware generations it may use; empty for all.
+    /// Hardware generations that the class may use; empty for all.
     pub generations: Vec<Arc<str>>,
-    /// The latency target of a service, in milliseconds.
+    /// Latency target of a service, in milliseconds; `None` for other kinds.
     pub target: Option<u32>,
-    /// The most processors that the whole team may use at once, in thousandths.
+    /// Maximum number of processors in use by the whole team, in thousandths; `None` for no limit.
     pub quota: Option<u32>,
-    /// Goes up with each change of the row; set by the table.
+    /// Version of the table that last changed the row; set by the table.
     #[serde(default)]
     pub revision: u64,
 }
 
 impl Row {
-    /// A batch row without any limits.
+    /// Creates a batch row without limits.
     pub fn batch(class: &str) -> Self {
         Row {
             class: Arc::from(class),
@@ -100,14 +100,14 @@
         }
     }
 
-    /// True when the class may use this hardware generation.
+    /// True if the class may use this hardware generation.
     pub fn admits(&self, generation: &str) -> bool {
         self.generations.is_empty() || self.generations.iter().any(|g| &**g == generation)
     }
 
-    /// The ceiling as an amount; kinds without one are the largest amount.
+    /// Returns the resource limits as a size. Resources without a limit have the maximum value.
     pub fn ceiling(&self) -> Size {
-        let most = |limit: Option<u32>| limit.unwrap_or(u32::MAX);
-        Size::new(most(self.cpu), most(self.memory), most(self.accel))
+        let or_max = |limit: Option<u32>| limit.unwrap_or(u32::MAX);
+        Size::new(or_max(self.cpu), or_max(self.memory), or_max(self.accel))
     }
 }
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -1,4 +1,5 @@
-//! A whole table process: the port, the actor and the tasks.
+//! The table process: starts and stops its port, its actor and its background threads, and
+//! handles requests.
 
 use {
     crate::{
@@ -28,30 +29,30 @@
     },
 };
 
-/// Tasks that serve the port; an edit holds one while the store answers.
+/// Concurrent requests on the port. An edit occupies one until the store responds.
 const CONCURRENCY: usize = 8;
 
-/// Edits that are made or wait at once; the other tasks stay free.
+/// Maximum number of running and waiting edits, so that the port can handle other requests.
 const MAX_PENDING_EDITS: usize = 4;
 
-/// How often the list of boxes is read.
+/// Interval between reads of the list of boxes.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a table process needs to start.
+/// Settings of a table process.
 pub struct Settings {
-    /// The box's name, as in the platform's list.
+    /// Name of this box in the platform's list of boxes.
     pub name: Arc<str>,
-    /// The address of the port.
+    /// Address of the port.
     pub listen: SocketAddr,
-    /// The secret of the internal ports.
+    /// Token for requests on the internal ports.
     pub token: Option<Token>,
-    /// The store.
+    /// Store that holds the table.
     pub store: Arc<dyn Store>,
-    /// The list of boxes.
+    /// Source of the list of boxes.
     pub boxes: Arc<dyn Boxes>,
 }
 
-/// A table process that runs.
+/// A running table process.
 pub struct Service {
     shared: Shared,
     server: Server,
@@ -61,11 +62,11 @@
 }
 
 impl Service {
-    /// Starts the process's parts.
+    /// Starts the actor, the port and the background threads.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or the system has no room for threads.
+    /// If the address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let host = ActorThread::start("table", |cx, _| TableActor::new(cx))?;
         let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, Box::new(|_| {}))?;
@@ -86,8 +87,8 @@
         };
         let handler = Arc::new(move |request| port.handle(request));
         let server = Server::open(settings.listen, CONCURRENCY, settings.token, handler)?;
-        // A stop does not wait for these two: one may be in a long watch of the store, and ends
-        // after it without any effect.
+        // `stop` does not join these threads: one may be in a long watch of the store, and it ends
+        // after the watch without any effect.
         let task_shared = shared.clone();
         task::spawn("table-watch", move || {
             replication::run_store_watch(&task_shared)
@@ -106,23 +107,23 @@
         })
     }
 
-    /// The base address of the port.
+    /// Base URL of the port.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// The version of the table in force.
+    /// Version of the current table; 0 for an empty one.
     ///
     /// # Errors
     ///
-    /// The process is stopping.
+    /// `Stopping` if the actor has stopped.
     pub fn version(&self) -> Result<u64, Failure> {
         self.shared
             .actor
             .ask(|actor, _| actor.stored().table.version)
     }
 
-    /// Stops: not ready first, then what is in flight ends.
+    /// Shuts the process down. It reports not ready first, then completes in-flight requests.
     pub fn stop(&mut self) {
         self.ready.set(false);
         self.shared.signal.stop();
@@ -140,9 +141,9 @@
 struct Port {
     shared: Shared,
     ready: Readiness,
-    /// Edits of one process go one after another.
+    /// Serializes the edits of this process.
     edit_lock: Mutex<()>,
-    /// Edits that are made or wait.
+    /// Number of running and waiting edits.
     pending_edits: AtomicUsize,
 }
 
@@ -199,14 +200,15 @@
 
     fn push(&self, update: Update) -> Result<u64, Failure> {
         self.shared.actor.ask(move |actor, _| {
-            // What does not join on is taken whole at the next comparison.
+            // If the changes do not follow the current version, the next comparison fetches the
+            // missing ones.
             actor.apply_update(update);
             actor.stored().table.version
         })
     }
 
-    /// Makes an edit, unless too many wait: while the store hangs they would take up the port,
-    /// which followers and other boxes need.
+    /// Makes an edit unless too many are pending. While the store does not respond, pending edits
+    /// would otherwise occupy the port, which followers and other boxes need.
     fn edit(&self, submit: &Submit) -> Result<Outcome, Failure> {
         let before = self.pending_edits.fetch_add(1, Ordering::AcqRel);
         let outcome = if before < MAX_PENDING_EDITS {
@@ -220,13 +222,13 @@
     }
 
     fn edit_locked(&self, submit: &Submit) -> Result<Outcome, Failure> {
-        let _one = lock(&self.edit_lock);
+        let _guard = lock(&self.edit_lock);
         let started = Instant::now();
         let edited = accept::accept(self.shared.store.as_ref(), &submit.edit);
         let (outcome, stored) = match edited {
             Ok(edited) => edited,
             Err(failure) => {
-                log::warn!(target: "table", "An edit was not brought in. {failure}");
+                log::warn!(target: "table", "An edit failed. {failure}");
                 return Err(failure);
             }
         };
--- a/components/table/src/sheet.rs
+++ b/components/table/src/sheet.rs
@@ -1,4 +1,4 @@
-//! The table as a spreadsheet saves it: CSV, checked cell by cell.
+//! Reads and writes the table as a CSV sheet, and checks each cell.
 
 use {
     crate::row::{Kind, Row},
@@ -9,7 +9,7 @@
     },
 };
 
-/// The columns, in their order.
+/// Names of the columns, in order.
 pub const COLUMNS: [&str; 12] = [
     "class",
     "team",
@@ -25,30 +25,30 @@
     "team_processors",
 ];
 
-/// row {row}, column {column}: '{value}' is wrong; right is {rule}
+/// row {row}, column {column}: '{value}' is invalid; expected {rule}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct CellError {
-    /// The line of the sheet; the header is line 1.
+    /// Line of the sheet; the header is line 1. 0 for errors that concern several rows.
     pub row: u64,
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// The cell as it is.
+    /// Value of the cell.
     pub value: String,
-    /// What would be right.
+    /// Values that are valid.
     pub rule: String,
 }
 
-/// Reads a sheet.
+/// Parses a sheet.
 ///
 /// # Errors
 ///
-/// Every cell that is wrong; a sheet with one wrong cell is not read at all.
+/// All errors in the sheet. A sheet with any error is refused as a whole.
 pub fn parse(text: &str) -> Result<Vec<Row>, Vec<CellError>> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
         .from_reader(text.as_bytes());
     let header: Vec<String> = match reader.headers() {
-        // A byte order mark, as some spreadsheets write it, is no part of the first name.
+        // Some spreadsheet programs write a byte order mark, which is not part of the first name.
         Ok(header) => header
             .iter()
             .map(|h| h.trim_start_matches('\u{feff}').to_owned())
@@ -131,7 +131,7 @@
     errors
 }
 
-/// The cells of one line.
+/// Cells of one line, by column.
 struct Cells<'a> {
     line: u64,
     cells: BTreeMap<&'a str, &'a str>,
@@ -143,7 +143,7 @@
         self.cells.get(column).copied().unwrap_or_default()
     }
 
-    fn wrong(&mut self, column: &str, rule: &str) {
+    fn reject(&mut self, column: &str, rule: &str) {
         let value = self.text(column).to_owned();
         self.errors
             .push(cell_error(self.line, column, &value, rule));
@@ -152,7 +152,7 @@
     fn name(&mut self, column: &str) -> Arc<str> {
         let name = Arc::from(self.text(column));
         if !kernel::settings::is_name(&name) {
-            self.wrong(
+            self.reject(
                 column,
                 "a name of 1 to 64 letters, digits, dots, dashes, underscores",
             );
@@ -164,13 +164,13 @@
         match self.text(column).parse() {
             Ok(number) if (low..=high).contains(&number) => number,
             _ => {
-                self.wrong(column, &format!("a whole number from {low} to {high}"));
+                self.reject(column, &format!("a whole number from {low} to {high}"));
                 low
             }
         }
     }
 
-    /// A cell that may be empty, which means no limit.
+    /// Parses a limit and multiplies it by `factor`. An empty cell means no limit.
     fn limit(&mut self, column: &str, factor: f64) -> Option<u32> {
         let text = self.text(column);
         if text.is_empty() {
@@ -181,13 +181,13 @@
                 Some((number * factor).round() as u32)
             }
             _ => {
-                self.wrong(column, "a number from 0 up, or nothing for no limit");
+                self.reject(column, "a number from 0 up, or nothing for no limit");
                 None
             }
         }
     }
 
-    fn whole(&mut self, column: &str) -> Option<u32> {
+    fn optional_integer(&mut self, column: &str) -> Option<u32> {
         if self.text(column).is_empty() {
             return None;
         }
@@ -196,7 +196,7 @@
 
     fn kind(&mut self) -> Kind {
         self.text("kind").parse().unwrap_or_else(|()| {
-            self.wrong("kind", "service, batch or standing");
+            self.reject("kind", "service, batch or standing");
             Kind::Batch
         })
     }
@@ -206,7 +206,7 @@
         let mut names = Vec::new();
         for name in text.split_whitespace() {
             if !kernel::settings::is_name(name) {
-                self.wrong(
+                self.reject(
                     "generations",
                     "names with spaces between them, or nothing for all",
                 );
@@ -227,44 +227,44 @@
             weight: self.number("weight", 1, 1000),
             cpu: self.limit("max_processors", 1000.0),
             memory: self.limit("max_memory_gb", 1000.0),
-            accel: self.whole("max_accelerators"),
-            running: self.whole("max_running"),
+            accel: self.optional_integer("max_accelerators"),
+            running: self.optional_integer("max_running"),
             generations: self.generations(),
-            target: self.whole("target_ms"),
+            target: self.optional_integer("target_ms"),
             quota: self.limit("team_processors", 1000.0),
             revision: 0,
         };
         if (kind == Kind::Service) != row.target.is_some() {
-            self.wrong(
+            self.reject(
                 "target_ms",
                 "a target for a service, and nothing for any other kind",
             );
         }
         if row.target == Some(0) {
-            self.wrong("target_ms", "a whole number from 1 up");
+            self.reject("target_ms", "a whole number from 1 up");
         }
         row
     }
 }
 
-/// Rules over several rows: one quota a team.
+/// Checks that all rows of a team have the same quota. Returns the violated rules.
 fn check_team_quotas(rows: &[Row]) -> Vec<String> {
     let mut quotas: BTreeMap<Arc<str>, Option<u32>> = BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for row in rows {
         let quota = quotas.entry(row.team.clone()).or_insert(row.quota);
         if *quota != row.quota {
-            broken.push(format!(
+            violations.push(format!(
                 "the same team_processors in every row of team {}",
                 row.team
             ));
         }
     }
-    broken.dedup();
-    broken
+    violations.dedup();
+    violations
 }
 
-/// The rules that rows break which came in another way than by a sheet.
+/// Checks rows that were not read from a sheet, by the same rules. Returns the violations.
 pub fn validate_rows(rows: &[Row]) -> Vec<String> {
     match parse(&render(rows)) {
         Ok(_) => Vec::new(),
@@ -272,21 +272,21 @@
     }
 }
 
-/// Writes rows as a sheet.
+/// Formats rows as a sheet.
 pub fn render(rows: &[Row]) -> String {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let mut write = |record: &[String]| writer.write_record(record).is_ok();
     write(&COLUMNS.map(str::to_owned));
     for row in rows {
-        write(&record(row));
+        write(&cells(row));
     }
     let bytes = writer.into_inner().unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// The cells of a row, in the order of the columns.
-pub fn record(row: &Row) -> [String; 12] {
-    let whole = |n: Option<u32>| n.map(|n| n.to_string()).unwrap_or_default();
+/// Returns the cells of a row in the order of [`COLUMNS`].
+pub fn cells(row: &Row) -> [String; 12] {
+    let integer = |n: Option<u32>| n.map(|n| n.to_string()).unwrap_or_default();
     let thousandths = |n: Option<u32>| {
         n.map(|n| (f64::from(n) / 1000.0).to_string())
             .unwrap_or_default()
@@ -299,10 +299,10 @@
         row.weight.to_string(),
         thousandths(row.cpu),
         thousandths(row.memory),
-        whole(row.accel),
-        whole(row.running),
+        integer(row.accel),
+        integer(row.running),
         row.generations.join(" "),
-        whole(row.target),
+        integer(row.target),
         thousandths(row.quota),
     ]
 }
--- a/programs/ctl/src/table.rs
+++ b/programs/ctl/src/table.rs
@@ -60,7 +60,7 @@
 
 fn cells(row: &Option<Row>) -> String {
     row.as_ref()
-        .map_or_else(|| "no row".to_owned(), |row| sheet::record(row).join(","))
+        .map_or_else(|| "no row".to_owned(), |row| sheet::cells(row).join(","))
 }
 
 fn diff(context: &Context, file: &str, json: bool) -> Result<(), Error> {
