--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -1,11 +1,11 @@
-//! The port of a scheduler: jobs, workers, cells.
+//! The HTTP interface of a scheduler: jobs, workers and cells.
 
 use {
     crate::{
         actor::Scheduler,
         directory::Summary,
         job::{self, Status},
-        message::{Ask, Cancel, Drain, Exchange, Named, Submit, Takeover, Worker},
+        message::{Cancel, Drain, Exchange, JobQuery, ListQuery, Submit, Takeover, Worker},
     },
     kernel::{
         ActorRef, Client, Failure, Reply, Request,
@@ -20,31 +20,31 @@
     },
 };
 
-/// The time for a call on another scheduler.
+/// Time-out of a call to another scheduler.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The time for one that lists all jobs or workers of a cell.
-const LIST_TIME: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
+/// Time-out of a call that lists all jobs or workers of a cell.
+const LIST_TIMEOUT: Timeout = Timeout::single(PEER_TIMEOUT).streaming();
 
-/// How long a task of the port waits for a book's write. While the store is down the port must go
-/// on answering other schedulers.
-const WRITE_MOST: Duration = Duration::from_secs(3);
+/// Maximum wait of a request for a write to the store. The server must keep answering other
+/// schedulers while the store is down.
+const MAX_WRITE_WAIT: Duration = Duration::from_secs(3);
 
-/// The time for an owner's answer before a message is passed on to it.
+/// Time-out of the probe of an owner before a request is forwarded to it.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the port needs.
+/// The request handler.
 pub struct Port {
     /// The actor.
     pub remote: ActorRef<Scheduler>,
-    /// The client for calls on other schedulers.
+    /// The client for calls to other schedulers.
     pub client: Client,
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     pub ready: Readiness,
 }
 
-/// Answers a request by what a closure makes of its message.
-fn answer<M: DeserializeOwned, R: Serialize>(
+/// Responds with the result of a closure on the request's message.
+fn respond_with<M: DeserializeOwned, R: Serialize>(
     request: Request,
     run: impl FnOnce(M) -> Result<R, Failure>,
 ) {
@@ -53,7 +53,7 @@
 }
 
 impl Port {
-    /// Answers one request.
+    /// Handles one request.
     pub fn handle(&self, request: Request) {
         let able = || self.remote.ask(|sched, _| sched.is_ready());
         let ready = || self.ready.get() && able().unwrap_or(false);
@@ -62,25 +62,28 @@
         };
         let path = request.path.clone();
         match path.as_str() {
-            "/jobs/plan" => answer(request, |submit: Submit| {
+            "/jobs/plan" => respond_with(request, |submit: Submit| {
                 self.route(&submit).map(|(id, _)| id)
             }),
             "/jobs/submit" => self.submit(request),
-            "/jobs/show" => answer(request, |named: Named| self.show(&named)),
-            "/jobs/list" => answer(request, |ask: Ask| self.list(&ask)),
+            "/jobs/show" => respond_with(request, |query: JobQuery| self.show(&query)),
+            "/jobs/list" => respond_with(request, |query: ListQuery| self.list(&query)),
             "/jobs/cancel" => self.cancel(request),
-            "/workers/list" => answer(request, |ask: Ask| self.workers(&ask)),
-            "/workers/drain" => answer(request, |drain: Drain| self.drain(&drain)),
-            "/cells/list" => answer(request, |_: Ask| self.cells()),
-            "/cells/exchange" => answer(request, |exchange: Exchange| self.exchange(exchange)),
-            "/cells/takeover" => answer(request, |takeover: Takeover| {
-                self.remote.ask(move |sched, _| sched.hand(takeover.cell))
+            "/workers/list" => respond_with(request, |query: ListQuery| self.workers(&query)),
+            "/workers/drain" => respond_with(request, |drain: Drain| self.drain(&drain)),
+            "/cells/list" => respond_with(request, |_: ListQuery| self.cells()),
+            "/cells/exchange" => {
+                respond_with(request, |exchange: Exchange| self.exchange(exchange))
+            }
+            "/cells/takeover" => respond_with(request, |takeover: Takeover| {
+                self.remote
+                    .ask(move |sched, _| sched.accept_handover(takeover.cell))
             }),
             _ => request.respond(Reply::text(404, "no such path\n")),
         }
     }
 
-    /// Takes a job in, or passes it on to its cell's owner.
+    /// Accepts a job, or forwards it to the owner of its cell.
     fn submit(&self, request: Request) {
         let submit: Submit = match request.message() {
             Ok(submit) => submit,
@@ -98,14 +101,14 @@
                 ..submit
             };
             let status: Result<Status, Failure> =
-                self.pass_on(&id, submit.passed, "/jobs/submit", &passed);
+                self.forward(&id, submit.passed, "/jobs/submit", &passed);
             return request.respond(Reply::message(&status));
         }
         let remote = self.remote.clone();
         self.remote.tell(move |sched, _| {
             let asked = id.clone();
             let done = move |result: Result<(), Failure>| {
-                // The status is read after the write, on the actor, without waiting for it.
+                // Reads the status on the actor after the write, without blocking this thread.
                 remote.tell(move |sched, _| {
                     let status = result.and_then(|()| sched.status(&asked));
                     request.respond(Reply::message(&status));
@@ -115,18 +118,18 @@
         });
     }
 
-    /// The id of a submission, and whether its cell is owned here.
+    /// Returns the id of a submission, and whether this process owns its cell.
     fn route(&self, submit: &Submit) -> Result<(Arc<str>, bool), Failure> {
         let submit = submit.clone();
         self.remote.ask(move |sched, _| {
             let id = match submit.id {
                 Some(id) => id,
-                None => job::id(&sched.plan(&submit.spec)?, submit.key),
+                None => job::id(&sched.select_cell(&submit.spec)?, submit.key),
             };
             let Some(cell) = job::cell_of(&id) else {
                 return Err(Failure::not_run(
                     Cause::Invalid,
-                    format!("'{id}' is no id of a job"),
+                    format!("'{id}' is not a valid job id"),
                 ));
             };
             let owned = sched.owns(cell);
@@ -134,8 +137,8 @@
         })?
     }
 
-    /// Passes a message on to the owner of a job's cell, once.
-    fn pass_on<T: Serialize, R: DeserializeOwned>(
+    /// Forwards a request to the owner of a job's cell, unless it was forwarded before.
+    fn forward<T: Serialize, R: DeserializeOwned>(
         &self,
         id: &str,
         passed: bool,
@@ -148,16 +151,17 @@
         if passed {
             return Err(unknown);
         }
-        let url = self.answering_owner(cell)?.ok_or(unknown)?;
+        let url = self.reachable_owner(cell)?.ok_or(unknown)?;
         self.client
             .post(&format!("{url}{path}"), message, PEER_TIMEOUT)
     }
 
-    /// The base address of a cell's owner, which has just answered; `None` when none is known.
+    /// Returns the base URL of a cell's owner after a successful probe; `None` when no owner is
+    /// known.
     ///
-    /// An owner that hangs would hold the message for long and make its outcome doubtful, so it is
-    /// asked for its summary first.
-    fn answering_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
+    /// A hanging owner would delay the request and leave its outcome unknown, so the owner's
+    /// summary is requested first.
+    fn reachable_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
         let asked = cell.to_owned();
         let url = self.remote.ask(move |sched, _| sched.owner_url(&asked))?;
         let Some(url) = url else { return Ok(None) };
@@ -181,43 +185,43 @@
         }
     }
 
-    fn show(&self, named: &Named) -> Result<Status, Failure> {
-        let id = named.id.clone();
+    fn show(&self, query: &JobQuery) -> Result<Status, Failure> {
+        let id = query.id.clone();
         let here = self.remote.ask(move |sched, _| sched.status(&id))?;
         match here {
             Err(failure) if failure.cause == Cause::Refused => {
-                let passed = Named {
+                let passed = JobQuery {
                     passed: true,
-                    ..named.clone()
+                    ..query.clone()
                 };
-                self.pass_on(&named.id, named.passed, "/jobs/show", &passed)
+                self.forward(&query.id, query.passed, "/jobs/show", &passed)
             }
             here => here,
         }
     }
 
-    /// Cancels jobs here and passes the others on, those of a cell together.
+    /// Cancels the jobs of owned cells and forwards the others, grouped by cell.
     fn cancel(&self, request: Request) {
         let cancel: Cancel = match request.message() {
             Ok(cancel) => cancel,
             Err(failure) => return request.respond(Reply::failure(&failure)),
         };
-        let theirs = cancel.clone();
+        let local = cancel.clone();
         let cancelled = self
             .remote
-            .ask_within(WRITE_MOST, move |sched, _, answerer| {
-                sched.cancel(&theirs.ids, answerer);
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
+                sched.cancel(&local.ids, answerer);
             });
         let missing = match cancelled {
             Ok(Ok(missing)) => missing,
             Ok(Err(failure)) | Err(failure) => return request.respond(Reply::failure(&failure)),
         };
-        let result = self.cancel_elsewhere(&cancel, missing);
+        let result = self.forward_cancel(&cancel, missing);
         request.respond(Reply::message(&result));
     }
 
-    /// Cancels what is not owned here. Returns the number cancelled in all.
-    fn cancel_elsewhere(&self, cancel: &Cancel, missing: Vec<Arc<str>>) -> Result<u64, Failure> {
+    /// Forwards the cancellation of the `missing` jobs. Returns the total number of cancelled jobs.
+    fn forward_cancel(&self, cancel: &Cancel, missing: Vec<Arc<str>>) -> Result<u64, Failure> {
         let here = cancel.ids.len() as u64 - missing.len() as u64;
         let mut cells: std::collections::BTreeMap<Arc<str>, Vec<Arc<str>>> = Default::default();
         for id in missing {
@@ -232,19 +236,19 @@
             }
             let first = ids[0].clone();
             let passed = Cancel { ids, passed: true };
-            total += self.pass_on::<_, u64>(&first, false, "/jobs/cancel", &passed)?;
+            total += self.forward::<_, u64>(&first, false, "/jobs/cancel", &passed)?;
         }
         Ok(total)
     }
 
-    /// Asks the other owners of cells too, when all are wanted.
+    /// Appends the lists of the other owners, if all cells are requested.
     fn gather<R: DeserializeOwned>(
         &self,
-        ask: &Ask,
+        query: &ListQuery,
         path: &str,
         mut all: Vec<R>,
     ) -> Result<Vec<R>, Failure> {
-        if !ask.all {
+        if !query.all {
             return Ok(all);
         }
         let summaries = self.cells()?;
@@ -255,30 +259,32 @@
             urls.extend(url.filter(|url| !urls.contains(url)));
         }
         for url in urls {
-            let more: Vec<R> =
-                self.client
-                    .post(&format!("{url}{path}"), &Ask { all: false }, LIST_TIME)?;
+            let more: Vec<R> = self.client.post(
+                &format!("{url}{path}"),
+                &ListQuery { all: false },
+                LIST_TIMEOUT,
+            )?;
             all.extend(more);
         }
         Ok(all)
     }
 
-    fn list(&self, ask: &Ask) -> Result<Vec<Status>, Failure> {
+    fn list(&self, query: &ListQuery) -> Result<Vec<Status>, Failure> {
         let here = self.remote.ask(|sched, _| sched.statuses())?;
-        self.gather(ask, "/jobs/list", here)
+        self.gather(query, "/jobs/list", here)
     }
 
-    fn workers(&self, ask: &Ask) -> Result<Vec<Worker>, Failure> {
+    fn workers(&self, query: &ListQuery) -> Result<Vec<Worker>, Failure> {
         let here = self.remote.ask(|sched, cx| sched.workers(cx.now()))?;
-        self.gather(ask, "/workers/list", here)
+        self.gather(query, "/workers/list", here)
     }
 
     fn drain(&self, drain: &Drain) -> Result<bool, Failure> {
-        let theirs = drain.clone();
+        let local = drain.clone();
         let drained = self
             .remote
-            .ask_within(WRITE_MOST, move |sched, _, answerer| {
-                sched.drain(&theirs, answerer);
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
+                sched.drain(&local, answerer);
             })??;
         if drained {
             return Ok(true);
