--- a/programs/burn/src/cli.rs
+++ b/programs/burn/src/cli.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables of the report.
+//! Flags and environment variables of magpie-burn, the burn-rate report.
 
 use {
     argh::FromArgs,
@@ -10,8 +10,8 @@
     },
 };
 
-/// Reports how fast the services burn their error budgets. Each flag has a variable; the flag goes
-/// first.
+/// Reports how fast the services burn their error budgets. Each flag has an environment variable;
+/// the flag takes precedence.
 #[derive(FromArgs)]
 pub struct Arguments {
     /// base address of the list of boxes (MAGPIE_BOXES)
@@ -31,23 +31,23 @@
     pub check: bool,
 }
 
-/// The settings of the report.
+/// Settings of the report.
 pub struct Settings {
-    /// The list of boxes.
+    /// Source of the list of boxes.
     pub boxes: boxes::Http,
-    /// The share of requests that must be within the target.
+    /// Fraction of requests that must be within the target.
     pub objective: f64,
-    /// The secret of the internal ports.
+    /// Token for requests on the internal ports.
     pub token: Option<Token>,
-    /// True for JSON.
+    /// True to print JSON.
     pub json: bool,
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
 ///
-/// Every fault.
+/// All invalid settings.
 pub fn read(arguments: Arguments) -> Result<Settings, Vec<Fault>> {
     let mut reader = Reader::new();
     let boxes = reader.url("boxes", arguments.boxes, None);
--- a/programs/burn/src/main.rs
+++ b/programs/burn/src/main.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn: asks every gate and adds up.
+//! Reports how fast the services burn their error budgets, from the samples of all gates.
 
 mod cli;
 
@@ -9,10 +9,11 @@
     std::{process, sync::Arc, time::Duration},
 };
 
-/// The time for one gate's answer, which grows with the table.
-const TIME: Timeout = Timeout::single(Duration::from_secs(2)).streaming();
+/// Time-out of a request to one gate. The body is streamed without this limit, because its size
+/// grows with the table.
+const GATE_TIMEOUT: Timeout = Timeout::single(Duration::from_secs(2)).streaming();
 
-/// Exit code when the list of boxes cannot be read.
+/// Exit code if the list of boxes cannot be read.
 const EXIT_NO_LIST: i32 = 1;
 
 fn main() {
@@ -28,18 +29,24 @@
     };
     let client = Client::new(settings.token);
     let mut samples = Vec::new();
-    let mut silent: Vec<Arc<str>> = Vec::new();
+    let mut unreachable: Vec<Arc<str>> = Vec::new();
     for item in list.of_kind(Kind::Entry) {
         let Some(url) = item.url("gate-ops") else {
             continue;
         };
-        let sample: Result<Sample, Failure> = client.post(&format!("{url}/burn"), &(), TIME);
+        let sample: Result<Sample, Failure> =
+            client.post(&format!("{url}/burn"), &(), GATE_TIMEOUT);
         match sample {
             Ok(sample) => samples.push(sample),
-            Err(_) => silent.push(item.name.clone()),
+            Err(_) => unreachable.push(item.name.clone()),
         }
     }
-    let report = report::build(&samples, silent, settings.objective, wall_clock::seconds());
+    let report = report::build(
+        &samples,
+        unreachable,
+        settings.objective,
+        wall_clock::seconds(),
+    );
     if settings.json {
         println!("{}", serde_json::to_string(&report).unwrap_or_default());
     } else {
--- a/programs/ctl/src/cell.rs
+++ b/programs/ctl/src/cell.rs
@@ -1,11 +1,11 @@
-//! Cells of workers and their owners.
+//! The `cell` commands: lists cells of workers and their owners.
 
 use {
     crate::{cli::CellCommand, context::Context, exit::Error, show},
     sched::{directory::Summary, message::ListQuery},
 };
 
-/// Runs a command on cells.
+/// Runs a `cell` command.
 pub fn run(context: &Context, command: CellCommand) -> Result<(), Error> {
     let CellCommand::List(command) = command;
     let cells: Vec<Summary> = context.sched("/cells/list", &ListQuery { all: true })?;
--- a/programs/ctl/src/cli.rs
+++ b/programs/ctl/src/cli.rs
@@ -1,12 +1,12 @@
-//! The arguments.
+//! Command-line arguments of magpiectl.
 
 use argh::FromArgs;
 
 /// The operators' command line of magpiesaddle.
 #[derive(FromArgs)]
 #[argh(
-    note = "Exit codes: 0 done, 1 not done, 2 wrong arguments or input, 3 refused, 4 may have been \
-            done, 5 waited for in vain."
+    note = "Exit codes: 0 success, 1 not executed, 2 invalid arguments or input, 3 refused, 4 may have \
+            been executed, 5 the awaited state was not reached."
 )]
 pub struct Arguments {
     /// base address of a scheduler (MAGPIE_SCHED, default http://127.0.0.1:7002)
@@ -15,7 +15,8 @@
     /// base address of a table (MAGPIE_TABLE, default http://127.0.0.1:7003)
     #[argh(option)]
     pub table: Option<String>,
-    /// base address of a box on the users' platform, its port for other boxes (MAGPIE_BOX, default http://127.0.0.1:7004)
+    /// base address of the peer port of a box on the users' platform (MAGPIE_BOX, default
+    /// http://127.0.0.1:7004)
     #[argh(option, long = "box")]
     pub entry_box: Option<String>,
     /// file with the token, else MAGPIE_TOKEN (MAGPIE_TOKEN_FILE)
@@ -25,7 +26,7 @@
     pub command: Command,
 }
 
-/// What to work on.
+/// Resource to manage.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -44,7 +45,7 @@
     pub command: TableCommand,
 }
 
-/// What to do with the table.
+/// Commands for the table.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum TableCommand {
@@ -64,7 +65,7 @@
     pub json: bool,
 }
 
-/// Check a sheet and say what is wrong with which cell.
+/// Check a sheet and report each invalid cell.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct TableCheck {
@@ -85,17 +86,17 @@
     pub json: bool,
 }
 
-/// Make the table what a sheet says: all of it, or nothing.
+/// Replace the table with a sheet, either completely or not at all.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct TableApply {
     /// the sheet
     #[argh(positional)]
     pub file: String,
-    /// who makes the edit (default $USER)
+    /// author of the edit (default $USER)
     #[argh(option)]
     pub who: Option<String>,
-    /// the version of the table that the sheet was made from; a newer one is a conflict
+    /// the version of the table that the sheet is based on; a row that others have changed since is a conflict if the sheet changes it too
     #[argh(option)]
     pub from: Option<u64>,
     /// print JSON
@@ -103,7 +104,7 @@
     pub json: bool,
 }
 
-/// Show the last changes.
+/// Show the most recent changes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct TableHistory {
@@ -120,7 +121,7 @@
     pub command: JobCommand,
 }
 
-/// What to do with jobs.
+/// Commands for jobs.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum JobCommand {
@@ -150,7 +151,7 @@
     /// accelerators of each task (default 0)
     #[argh(option, default = "0")]
     pub accelerators: u32,
-    /// seconds of work of each task, as declared; leave out for a task without an end
+    /// declared run time of each task in seconds; omit it for a task that does not terminate
     #[argh(option, default = "0.0")]
     pub seconds: f64,
     /// never start a task twice
@@ -159,7 +160,7 @@
     /// the data hall to run in (default any)
     #[argh(option)]
     pub hall: Option<String>,
-    /// the id of a submission whose outcome was not known; sent again it is the same job
+    /// the id of an earlier submission with an unknown outcome; no second job is created
     #[argh(option)]
     pub id: Option<String>,
     /// print JSON
@@ -167,7 +168,7 @@
     pub json: bool,
 }
 
-/// Show where a job stands.
+/// Show the state of a job.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct JobShow {
@@ -200,14 +201,14 @@
     pub json: bool,
 }
 
-/// Wait until a job has ended, and show its progress.
+/// Wait until a job has ended and show its progress.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 pub struct JobWait {
     /// the job's id
     #[argh(positional)]
     pub id: String,
-    /// seconds to wait at most (default 3600)
+    /// maximum wait in seconds (default 3600)
     #[argh(option, default = "3600")]
     pub seconds: u64,
     /// print JSON
@@ -223,7 +224,7 @@
     pub command: WorkerCommand,
 }
 
-/// What to do with workers.
+/// Commands for workers.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum WorkerCommand {
@@ -240,14 +241,14 @@
     pub json: bool,
 }
 
-/// Give a worker no new work; what runs there goes on.
+/// Drain a worker: it gets no new work, and its running tasks continue.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct WorkerDrain {
     /// the worker
     #[argh(positional)]
     pub worker: String,
-    /// take the drain back
+    /// undo the drain
     #[argh(switch)]
     pub undo: bool,
     /// print JSON
@@ -263,7 +264,7 @@
     pub command: CellCommand,
 }
 
-/// What to do with cells.
+/// Commands for cells.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum CellCommand {
@@ -287,14 +288,14 @@
     pub command: HallCommand,
 }
 
-/// What to do with data halls.
+/// Commands for data halls.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum HallCommand {
     List(HallList),
 }
 
-/// List the data halls that are shut, since when and by whom.
+/// List the closed data halls, with the time and the author of each closure.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub struct HallList {
--- a/programs/ctl/src/context.rs
+++ b/programs/ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! Where the commands go to.
+//! Connection settings and the HTTP calls of the commands.
 
 use {
     crate::exit::Error,
@@ -12,10 +12,11 @@
     std::time::Duration,
 };
 
-/// The time for one call; a list of all jobs is large.
-const TIME: Timeout = Timeout::single(Duration::from_secs(10)).streaming();
+/// Time-out of one call. The body is streamed without this limit, because a list of all jobs is
+/// large.
+const CALL_TIMEOUT: Timeout = Timeout::single(Duration::from_secs(10)).streaming();
 
-/// The processes that the commands speak to.
+/// Base URLs of the processes that the commands call, and the HTTP client.
 pub struct Context {
     sched: String,
     table: String,
@@ -23,7 +24,7 @@
     client: Client,
 }
 
-/// Reads and checks the settings; ends the process when they are wrong.
+/// Reads the settings and exits the process if they are invalid.
 pub fn read(
     sched: Option<String>,
     table: Option<String>,
@@ -47,39 +48,41 @@
 }
 
 impl Context {
-    /// Asks the scheduler.
+    /// Calls the scheduler.
     pub fn sched<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         message: &T,
     ) -> Result<R, Error> {
-        self.ask(&self.sched, path, message)
+        self.call(&self.sched, path, message)
     }
 
-    /// Asks the table.
+    /// Calls the table process.
     pub fn table<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         message: &T,
     ) -> Result<R, Error> {
-        self.ask(&self.table, path, message)
+        self.call(&self.table, path, message)
     }
 
-    /// Asks a box of the users' platform.
+    /// Calls a box of the users' platform.
     pub fn entry_box<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         message: &T,
     ) -> Result<R, Error> {
-        self.ask(&self.entry_box, path, message)
+        self.call(&self.entry_box, path, message)
     }
 
-    fn ask<T: Serialize, R: DeserializeOwned>(
+    fn call<T: Serialize, R: DeserializeOwned>(
         &self,
         base: &str,
         path: &str,
         message: &T,
     ) -> Result<R, Error> {
-        Ok(self.client.post(&format!("{base}{path}"), message, TIME)?)
+        Ok(self
+            .client
+            .post(&format!("{base}{path}"), message, CALL_TIMEOUT)?)
     }
 }
--- a/programs/ctl/src/exit.rs
+++ b/programs/ctl/src/exit.rs
@@ -1,16 +1,16 @@
-//! What a command ends with.
+//! Errors of commands and their exit codes.
 
 use {
     displaydoc::Display,
     kernel::{Failure, verdict::Cause},
 };
 
-/// Why a command did not do what was asked.
+/// Failure of a command. The doc comments are the printed messages.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// not done: {0}
+    /// not executed: {0}
     NotRun(Failure),
-    /// may have been done; ask for the state, or send the same again: {0}
+    /// may have been executed; check the state or send the same request again: {0}
     Unknown(Failure),
     /// refused: {0}
     Refused(String),
@@ -31,7 +31,7 @@
 }
 
 impl Error {
-    /// The exit code, as `magpiectl --help` lists them.
+    /// Exit code, as listed in `magpiectl --help`.
     pub fn code(&self) -> i32 {
         match self {
             Error::NotRun(_) => 1,
--- a/programs/ctl/src/hall.rs
+++ b/programs/ctl/src/hall.rs
@@ -1,4 +1,4 @@
-//! Data halls on the users' platform.
+//! The `hall` commands: lists closed data halls on the users' platform.
 
 use {
     crate::{cli::HallCommand, context::Context, exit::Error, show},
@@ -10,23 +10,23 @@
     },
 };
 
-/// Runs a command on data halls.
+/// Runs a `hall` command.
 pub fn run(context: &Context, command: HallCommand) -> Result<(), Error> {
     let HallCommand::List(command) = command;
-    let told: PeerResponse =
+    let response: PeerResponse =
         context.entry_box(peer::PATH, &PeerRequest::Halls { passed: false })?;
-    let PeerResponse::Halls(Some(halls)) = told else {
-        return Err(Error::Ended("no owner of the cell answers".to_owned()));
+    let PeerResponse::Halls(Some(halls)) = response else {
+        return Err(Error::Ended("no owner of the cell responded".to_owned()));
     };
     if command.json {
         show::json(&halls);
         return Ok(());
     }
-    let row = |shut: &ClosedHall| {
+    let row = |closed: &ClosedHall| {
         [
-            shut.hall.to_string(),
-            time(shut.since),
-            shut.by.as_deref().unwrap_or("-").to_owned(),
+            closed.hall.to_string(),
+            format_time(closed.since),
+            closed.by.as_deref().unwrap_or("-").to_owned(),
         ]
     };
     let header = ["SHUT HALL", "KNOWN SINCE", "BY"];
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// A time in milliseconds since 1970, for people.
-fn time(millis: u64) -> String {
+/// Formats a time in milliseconds since 1970 as UTC; the plain number if it is out of range.
+fn format_time(millis: u64) -> String {
     wall_clock::utc(millis, SecondsFormat::Secs).unwrap_or_else(|| millis.to_string())
 }
--- a/programs/ctl/src/job.rs
+++ b/programs/ctl/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs.
+//! The `job` commands: submits, shows, lists, cancels and awaits jobs.
 
 use {
     crate::{
@@ -19,13 +19,13 @@
     },
 };
 
-/// How often a job that is waited for is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which `job wait` polls the job.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest work that can be declared, in seconds.
+/// Maximum declared run time, in seconds.
 const MAX_SECONDS: f64 = 1e9;
 
-/// Runs a command on jobs.
+/// Runs a `job` command.
 pub fn run(context: &Context, command: JobCommand) -> Result<(), Error> {
     match command {
         JobCommand::Submit(command) => submit(context, &command),
@@ -55,20 +55,20 @@
     )
 }
 
-/// A number of units as thousandths.
-fn thousandths(name: &str, value: f64, most: f64) -> Result<u64, Error> {
-    if !(0.0..=most).contains(&value) {
+/// Converts the value of a flag to thousandths, if it is between 0 and `max`.
+fn thousandths(name: &str, value: f64, max: f64) -> Result<u64, Error> {
+    if !(0.0..=max).contains(&value) {
         return Err(Error::Input(format!(
-            "--{name}: '{value}' is wrong; right is 0 to {most}"
+            "--{name}: '{value}' is invalid; expected 0 to {max}"
         )));
     }
     Ok((value * 1000.0).round() as u64)
 }
 
 fn submit(context: &Context, command: &JobSubmit) -> Result<(), Error> {
-    let most = f64::from(u32::MAX / 1000);
-    let cpu = thousandths("processors", command.processors, most)? as u32;
-    let memory = thousandths("memory-gb", command.memory_gb, most)? as u32;
+    let max = f64::from(u32::MAX / 1000);
+    let cpu = thousandths("processors", command.processors, max)? as u32;
+    let memory = thousandths("memory-gb", command.memory_gb, max)? as u32;
     let length = thousandths("seconds", command.seconds, MAX_SECONDS)?;
     let spec = Spec {
         class: Arc::from(command.class.as_str()),
@@ -78,15 +78,15 @@
         once: command.once,
         hall: command.hall.as_deref().map(Arc::from),
     };
-    let message = plan(context, command, spec)?;
+    let message = build_submission(context, command, spec)?;
     let id = message.id.clone().unwrap_or_default();
     let status: Status = context
         .sched("/jobs/submit", &message)
         .inspect_err(|error| {
-            // The job has its id already, so that its state can be asked for.
+            // The job already has an id, with which its state can be queried.
             if matches!(error, Error::Unknown(_)) {
                 eprintln!(
-                    "the job's id is {id}; 'job show {id}', or the same again with --id {id}"
+                    "the job's id is {id}; run 'job show {id}', or submit again with --id {id}"
                 );
             }
         })?;
@@ -98,8 +98,8 @@
     Ok(())
 }
 
-/// The submission with its id: the one that was given, or one in the cell that a scheduler chooses.
-fn plan(context: &Context, command: &JobSubmit, spec: Spec) -> Result<Submit, Error> {
+/// Builds the submission, with the given id or with an id in the cell that a scheduler selects.
+fn build_submission(context: &Context, command: &JobSubmit, spec: Spec) -> Result<Submit, Error> {
     let mut message = Submit {
         id: command.id.as_deref().map(Arc::from),
         key: fastrand::u64(..),
@@ -127,10 +127,10 @@
     Ok(())
 }
 
-/// Looks at a job until it has ended. Progress goes to the error output.
+/// Polls a job until it has ended. Prints the progress to standard error.
 fn wait(context: &Context, command: &JobWait) -> Result<(), Error> {
     let end = Instant::now() + Duration::from_secs(command.seconds);
-    let mut shown = String::new();
+    let mut last_progress = String::new();
     loop {
         let status = status(context, &command.id)?;
         let Status {
@@ -141,15 +141,15 @@
             ..
         } = &status;
         let progress = format!("{finished}/{count} finished, {running} running, {queued} queued");
-        if progress != shown && !command.json {
+        if progress != last_progress && !command.json {
             eprintln!("{progress}");
-            shown = progress;
+            last_progress = progress;
         }
         if status.ended {
-            let whole = status.finished == status.count;
+            let completed = status.finished == status.count;
             print(std::slice::from_ref(&status), command.json);
             let text = format!("{} ended without finishing all of its tasks", status.id);
-            return if whole {
+            return if completed {
                 Ok(())
             } else {
                 Err(Error::Ended(text))
@@ -158,15 +158,15 @@
         if Instant::now() >= end {
             return Err(Error::Ended(format!("{} has not ended", command.id)));
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 fn print(jobs: &[Status], json: bool) {
     if json {
         match jobs {
-            [one] => show::json(one),
-            all => show::json(&all),
+            [job] => show::json(job),
+            jobs => show::json(&jobs),
         }
         return;
     }
--- a/programs/ctl/src/main.rs
+++ b/programs/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! magpiectl, the operators' command line: manages the table, jobs, workers, cells and halls.
 
 mod cell;
 mod cli;
@@ -20,14 +20,14 @@
         arguments.entry_box,
         arguments.token_file,
     );
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Table(command) => table::run(&context, command.command),
         Command::Job(command) => job::run(&context, command.command),
         Command::Worker(command) => worker::run(&context, command.command),
         Command::Cell(command) => cell::run(&context, command.command),
         Command::Hall(command) => hall::run(&context, command.command),
     };
-    if let Err(error) = done {
+    if let Err(error) = result {
         eprintln!("{error}");
         process::exit(error.code());
     }
--- a/programs/ctl/src/show.rs
+++ b/programs/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Printing for people and for scripts.
+//! Output of commands, as aligned columns or JSON.
 
 use {serde::Serialize, std::io::Write};
 
@@ -7,7 +7,7 @@
     out(&serde_json::to_string(value).unwrap_or_default());
 }
 
-/// Prints rows in columns as wide as their widest cell.
+/// Prints rows in aligned columns, each as wide as its widest cell.
 pub fn columns<const N: usize>(header: [&str; N], rows: &[[String; N]]) {
     let mut widths = header.map(str::len);
     for row in rows {
@@ -29,14 +29,14 @@
     out(text.trim_end());
 }
 
-/// Prints a line. A reader that closed its end, such as `head`, ends the process quietly.
+/// Prints a line. Exits the process with code 0 if standard output is closed, as by `head`.
 pub fn out(text: &str) {
     if writeln!(std::io::stdout(), "{text}").is_err() {
         std::process::exit(0);
     }
 }
 
-/// Thousandths as a number.
+/// Formats an amount in thousandths as a number of units.
 pub fn thousandths(amount: u32) -> String {
     (f64::from(amount) / 1000.0).to_string()
 }
--- a/programs/ctl/src/table.rs
+++ b/programs/ctl/src/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table.
+//! The `table` commands: prints, checks, compares and edits the operators' table.
 
 use {
     crate::{
@@ -15,13 +15,13 @@
     },
 };
 
-/// Runs a command on the table.
+/// Runs a `table` command.
 pub fn run(context: &Context, command: TableCommand) -> Result<(), Error> {
     match command {
         TableCommand::Get(command) => get(context, command.json),
         TableCommand::Check(command) => {
             let rows = read(&command.file)?;
-            show::out(&format!("{} rows are right", rows.len()));
+            show::out(&format!("{} rows are valid", rows.len()));
             Ok(())
         }
         TableCommand::Diff(command) => diff(context, &command.file, command.json),
@@ -34,13 +34,13 @@
     context.table("/table/current", &())
 }
 
-/// Reads a sheet; every wrong cell is told.
+/// Reads a sheet from a file. The error lists every invalid cell.
 fn read(file: &str) -> Result<Vec<Row>, Error> {
     let text = fs::read_to_string(file).map_err(|e| Error::Input(format!("{file}: {e}")))?;
-    sheet::parse(&text).map_err(|faults| {
-        let lines: Vec<String> = faults
+    sheet::parse(&text).map_err(|errors| {
+        let lines: Vec<String> = errors
             .iter()
-            .map(|fault| format!("{file}: {fault}"))
+            .map(|error| format!("{file}: {error}"))
             .collect();
         Error::Input(lines.join("\n"))
     })
@@ -87,11 +87,11 @@
     let wanted = read(&command.file)?;
     let mut rows = table::diff::diff(&current.table, &wanted);
     if let Some(from) = command.from {
-        keep_changed(&mut rows, &current, from)?;
+        rebase(&mut rows, &current, from)?;
     }
     if rows.is_empty() {
         show::out(&format!(
-            "nothing differs from version {}",
+            "no differences from version {}",
             current.table.version
         ));
         return Ok(());
@@ -112,15 +112,15 @@
     Ok(())
 }
 
-/// Judges the edits by the table at the version that the sheet was made from, as far back as the
-/// history reaches: a row that the operator did not change keeps what others made of it since, and
-/// one that both changed becomes a conflict.
-fn keep_changed(rows: &mut Vec<RowEdit>, current: &Current, from: u64) -> Result<(), Error> {
-    let reaches = current
+/// Rebases the edits on the table at version `from`, on which the sheet is based, using the
+/// history. A row that the operator did not change keeps the changes of others since then; a row
+/// that both changed becomes a conflict. Fails if the history does not reach back to `from`.
+fn rebase(rows: &mut Vec<RowEdit>, current: &Current, from: u64) -> Result<(), Error> {
+    let in_history = current
         .history
         .first()
         .is_none_or(|change| change.version <= from + 1);
-    if from > current.table.version || !reaches {
+    if from > current.table.version || !in_history {
         return Err(Error::Refused(format!(
             "the history does not reach back to version {from}"
         )));
@@ -138,33 +138,33 @@
         }
     }
     rows.retain_mut(|edit| {
-        let Some(seen) = before.get(&edit.class) else {
+        let Some(old_row) = before.get(&edit.class) else {
             return true;
         };
-        let revision = seen.as_ref().map_or(0, |row| row.revision);
+        let revision = old_row.as_ref().map_or(0, |row| row.revision);
         edit.revision = revision;
-        let plain = |row: &Row| Row {
+        let without_revision = |row: &Row| Row {
             revision: 0,
             ..row.clone()
         };
-        seen.as_ref().map(plain) != edit.row.as_ref().map(plain)
+        old_row.as_ref().map(without_revision) != edit.row.as_ref().map(without_revision)
     });
     Ok(())
 }
 
 fn explain(refusal: &Refusal) -> String {
     match refusal {
-        Refusal::Invalid(rules) => rules.join("\n"),
+        Refusal::Invalid(violations) => violations.join("\n"),
         Refusal::Conflicts(conflicts) => {
-            let mut lines = vec!["others changed the same rows meanwhile".to_owned()];
+            let mut lines = vec!["others have changed the same rows".to_owned()];
             for conflict in conflicts {
                 lines.push(format!(
-                    "{}: yours is {}",
+                    "{}: your row is {}",
                     conflict.class,
                     cells(&conflict.wanted)
                 ));
                 lines.push(format!(
-                    "{}: it now is {}",
+                    "{}: the current row is {}",
                     conflict.class,
                     cells(&conflict.present)
                 ));
--- a/programs/ctl/src/worker.rs
+++ b/programs/ctl/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers.
+//! The `worker` commands: lists and drains workers.
 
 use {
     crate::{
@@ -11,7 +11,7 @@
     std::sync::Arc,
 };
 
-/// Runs a command on workers.
+/// Runs a `worker` command.
 pub fn run(context: &Context, command: WorkerCommand) -> Result<(), Error> {
     match command {
         WorkerCommand::List(command) => list(context, &command),
@@ -61,7 +61,7 @@
     if command.json {
         show::json(&drained);
     } else if command.undo {
-        show::out(&format!("{} takes work again", command.worker));
+        show::out(&format!("{} accepts work again", command.worker));
     } else {
         show::out(&format!("{} gets no new work", command.worker));
     }
--- a/programs/ctl/tests/hall.rs
+++ b/programs/ctl/tests/hall.rs
@@ -1,4 +1,4 @@
-//! `magpiectl hall list` against a box that this test plays.
+//! Tests `magpiectl hall list` against a simulated box.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -14,28 +14,31 @@
     },
 };
 
-/// A box that tells these halls, whatever it is asked.
+/// Starts a box that responds to each request with these halls.
 fn open(halls: Option<Vec<ClosedHall>>) -> Server {
-    let answer = move |request: Request| {
+    let handler = move |request: Request| {
         assert_eq!(request.path, peer::PATH);
-        let asked: Result<PeerRequest, Failure> = request.message();
-        assert!(matches!(asked, Ok(PeerRequest::Halls { passed: false })));
-        let told: Result<PeerResponse, Failure> = Ok(PeerResponse::Halls(halls.clone()));
-        request.respond(Reply::message(&told));
+        let peer_request: Result<PeerRequest, Failure> = request.message();
+        assert!(matches!(
+            peer_request,
+            Ok(PeerRequest::Halls { passed: false })
+        ));
+        let response: Result<PeerResponse, Failure> = Ok(PeerResponse::Halls(halls.clone()));
+        request.respond(Reply::message(&response));
     };
-    let any = "127.0.0.1:0".parse().unwrap();
-    Server::open(any, 1, None, Arc::new(answer)).unwrap()
+    let address = "127.0.0.1:0".parse().unwrap();
+    Server::open(address, 1, None, Arc::new(handler)).unwrap()
 }
 
-fn list(server: &Server, more: &[&str]) -> Output {
+fn list(server: &Server, flags: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_magpiectl"))
         .args(["--box", &server.url(), "hall", "list"])
-        .args(more)
+        .args(flags)
         .output()
         .unwrap()
 }
 
-fn shut() -> Vec<ClosedHall> {
+fn closed_halls() -> Vec<ClosedHall> {
     vec![ClosedHall {
         hall: "h1".into(),
         by: Some("night shift".into()),
@@ -44,8 +47,8 @@
 }
 
 #[test]
-fn list_for_people() {
-    let out = list(&open(Some(shut())), &[]);
+fn list_prints_columns() {
+    let out = list(&open(Some(closed_halls())), &[]);
     let text = String::from_utf8(out.stdout).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[0].starts_with("SHUT HALL"), "{text}");
@@ -55,16 +58,16 @@
 }
 
 #[test]
-fn list_for_scripts() {
-    let out = list(&open(Some(shut())), &["--json"]);
+fn list_prints_json() {
+    let out = list(&open(Some(closed_halls())), &["--json"]);
     let text = String::from_utf8(out.stdout).unwrap();
     let expected = r#"[{"hall":"h1","by":"night shift","since":1780000000000}]"#;
     assert_eq!(text.trim(), expected);
 }
 
-/// Nobody knows which halls are shut: that is not the same as none.
+/// Guards against printing an empty list if no owner of the cell knows which halls are closed.
 #[test]
-fn list_without_owner() {
+fn list_without_owner_fails() {
     let out = list(&open(None), &[]);
     assert_eq!(out.status.code(), Some(5));
     assert!(out.stdout.is_empty());
--- a/programs/gate/src/cli.rs
+++ b/programs/gate/src/cli.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables of the gate.
+//! Flags and environment variables of magpie-gate, the load balancer for callers' requests.
 
 use {
     argh::FromArgs,
@@ -12,7 +12,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Takes callers' requests to backend servers. Each flag has a variable; the flag goes first.
+/// Forwards callers' requests to backend servers. Each flag has an environment variable; the flag
+/// takes precedence.
 #[derive(FromArgs)]
 pub struct Arguments {
     /// name of this box, as in the list of boxes (MAGPIE_NAME)
@@ -30,22 +31,22 @@
     /// base address of the list of boxes (MAGPIE_BOXES)
     #[argh(option)]
     boxes: Option<String>,
-    /// policy that chooses a backend server (MAGPIE_CHOICE, default two-choices)
+    /// load-balancing policy (MAGPIE_CHOICE, default two-choices)
     #[argh(option)]
     choice: Option<String>,
-    /// milliseconds for a request whose caller names none (MAGPIE_DEADLINE_MS, default 5000)
+    /// deadline in milliseconds of a request that has none (MAGPIE_DEADLINE_MS, default 5000)
     #[argh(option)]
     deadline_ms: Option<String>,
-    /// most kilobytes of a request's body (MAGPIE_BODY_KB, default 1024)
+    /// maximum size of a request body in kilobytes (MAGPIE_BODY_KB, default 1024)
     #[argh(option)]
     body_kb: Option<String>,
-    /// most callers' connections at once (MAGPIE_CONNECTIONS, default 1000)
+    /// maximum number of concurrent callers' connections (MAGPIE_CONNECTIONS, default 1000)
     #[argh(option)]
     connections: Option<String>,
-    /// milliseconds of service after being not ready (MAGPIE_LINGER_MS, default 1000)
+    /// milliseconds of service after reporting not ready (MAGPIE_LINGER_MS, default 1000)
     #[argh(option)]
     linger_ms: Option<String>,
-    /// seconds for what is in flight when stopping (MAGPIE_STOP_SECONDS, default 20)
+    /// maximum seconds for in-flight requests on shutdown (MAGPIE_STOP_SECONDS, default 20)
     #[argh(option)]
     stop_seconds: Option<String>,
     /// file with the token of the internal ports, else MAGPIE_TOKEN (MAGPIE_TOKEN_FILE)
@@ -59,21 +60,21 @@
     pub check: bool,
 }
 
-/// What the program needs besides the gate's settings.
+/// Settings of the process itself, besides those of the gate.
 pub struct ProcessSettings {
-    /// The level of the logs.
+    /// Log level.
     pub level: LevelFilter,
-    /// The time of service after being not ready.
+    /// Duration of service after reporting not ready.
     pub linger: Duration,
-    /// The time for what is in flight when stopping.
+    /// Maximum duration of in-flight requests on shutdown.
     pub stop: Duration,
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
 ///
-/// Every fault.
+/// All invalid settings.
 pub fn read(arguments: Arguments) -> Result<(Settings, ProcessSettings), Vec<Fault>> {
     let mut reader = Reader::new();
     let name = reader.name("name", arguments.name, None);
@@ -81,11 +82,11 @@
     let listen = reader.address("listen", arguments.listen, "127.0.0.1:7000");
     let ops = reader.address("ops", arguments.ops, "127.0.0.1:7001");
     let boxes = reader.url("boxes", arguments.boxes, None);
-    let chosen = reader.name("choice", arguments.choice, Some("two-choices"));
-    let policy = chosen.and_then(|chosen| match balancing::create(&chosen) {
+    let policy_name = reader.name("choice", arguments.choice, Some("two-choices"));
+    let policy = policy_name.and_then(|policy_name| match balancing::create(&policy_name) {
         Ok(policy) => Some(policy),
         Err(failure) => {
-            reader.fault("choice", &chosen, &failure.text);
+            reader.fault("choice", &policy_name, &failure.text);
             None
         }
     });
--- a/programs/gate/tests/settings.rs
+++ b/programs/gate/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the real program: every fault at once, the variables, the check.
+//! Tests the settings of the magpie-gate binary: all invalid settings are reported at once, flags
+//! take precedence over environment variables, and the token is never printed.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -16,20 +17,20 @@
     command.output().unwrap()
 }
 
-const RIGHT: [(&str, &str); 3] = [
+const VALID: [(&str, &str); 3] = [
     ("MAGPIE_NAME", "b1"),
     ("MAGPIE_HALL", "h1"),
     ("MAGPIE_BOXES", "http://127.0.0.1:7101"),
 ];
 
 #[test]
-fn check_right() {
-    let output = run(&["--check"], &RIGHT);
+fn check_valid() {
+    let output = run(&["--check"], &VALID);
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
-fn check_lists_every_fault() {
+fn check_lists_all_invalid() {
     let flags = [
         "--check",
         "--name",
@@ -53,26 +54,26 @@
     assert!(text.contains("--deadline-ms (MAGPIE_DEADLINE_MS): '0' is invalid; expected"));
 }
 
-#[test_case(&["--check", "--hall", "a b"], 2; "the flag goes before the variable")]
+#[test_case(&["--check", "--hall", "a b"], 2; "the flag takes precedence")]
 #[test_case(&["--check", "--speed", "9"], 2; "an unknown flag")]
 #[test_case(&["--help"], 0; "help")]
 fn exit_code(flags: &[&str], code: i32) {
-    assert_eq!(run(flags, &RIGHT).status.code(), Some(code));
+    assert_eq!(run(flags, &VALID).status.code(), Some(code));
 }
 
 #[test]
-fn help_names_variable_and_default() {
+fn help_shows_variable_and_default() {
     let output = run(&["--help"], &[]);
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("MAGPIE_DEADLINE_MS, default 5000"), "{text}");
 }
 
 #[test]
-fn token_never_shown() {
-    let mut variables = RIGHT.to_vec();
+fn check_never_prints_token() {
+    let mut variables = VALID.to_vec();
     variables.push(("MAGPIE_TOKEN", "verysecret"));
     variables.push(("MAGPIE_NAME", "a b"));
     let output = run(&["--check"], &variables);
-    let shown = [output.stdout, output.stderr].concat();
-    assert!(!String::from_utf8_lossy(&shown).contains("verysecret"));
+    let printed = [output.stdout, output.stderr].concat();
+    assert!(!String::from_utf8_lossy(&printed).contains("verysecret"));
 }
--- a/programs/sched/src/cli.rs
+++ b/programs/sched/src/cli.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables of the scheduler.
+//! Flags and environment variables of magpie-sched, the scheduler.
 
 use {
     argh::FromArgs,
@@ -13,7 +13,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Owns cells of workers and takes jobs. Each flag has a variable; the flag goes first.
+/// Schedules jobs on the workers of the cells that it owns. Each flag has an environment variable;
+/// the flag takes precedence.
 #[derive(FromArgs)]
 pub struct Arguments {
     /// name of this box, as in the list of boxes (MAGPIE_NAME)
@@ -22,7 +23,7 @@
     /// address of the port (MAGPIE_LISTEN, default 127.0.0.1:7002)
     #[argh(option)]
     listen: Option<String>,
-    /// base address that others reach the port by (MAGPIE_URL, default that of the port)
+    /// base address under which others reach the port (MAGPIE_URL, default that of the port)
     #[argh(option)]
     url: Option<String>,
     /// base address of the key-value service (MAGPIE_STORE)
@@ -31,13 +32,13 @@
     /// base address of the list of boxes (MAGPIE_BOXES)
     #[argh(option)]
     boxes: Option<String>,
-    /// policy that chooses a worker (MAGPIE_PLACEMENT, default mixed)
+    /// placement policy (MAGPIE_PLACEMENT, default mixed)
     #[argh(option)]
     placement: Option<String>,
-    /// seconds that a worker's lease runs (MAGPIE_LEASE_SECONDS, default 30)
+    /// length of a worker's lease in seconds (MAGPIE_LEASE_SECONDS, default 30)
     #[argh(option)]
     lease_seconds: Option<String>,
-    /// thousandths by which a worker's clock may be off (MAGPIE_DRIFT, default 10)
+    /// maximum drift of a worker's clock in thousandths (MAGPIE_DRIFT, default 10)
     #[argh(option)]
     drift: Option<String>,
     /// milliseconds between exchanges with a worker (MAGPIE_HEARTBEAT_MS, default 2000)
@@ -54,11 +55,11 @@
     pub check: bool,
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
 ///
-/// Every fault.
+/// All invalid settings.
 pub fn read(arguments: Arguments) -> Result<(Settings, LevelFilter), Vec<Fault>> {
     let mut reader = Reader::new();
     let name = reader.name("name", arguments.name, None);
@@ -69,11 +70,11 @@
     };
     let store = reader.url("store", arguments.store, None);
     let boxes = reader.url("boxes", arguments.boxes, None);
-    let chosen = reader.name("placement", arguments.placement, Some("mixed"));
-    if let Some(chosen) = &chosen
-        && let Err(failure) = placement::create(chosen)
+    let policy_name = reader.name("placement", arguments.placement, Some("mixed"));
+    if let Some(policy_name) = &policy_name
+        && let Err(failure) = placement::create(policy_name)
     {
-        reader.fault("placement", chosen, &failure.text);
+        reader.fault("placement", policy_name, &failure.text);
     }
     let lease = reader.number("lease-seconds", arguments.lease_seconds, "30", (3, 86_400));
     let drift = reader.number("drift", arguments.drift, "10", (0, 500));
@@ -104,7 +105,7 @@
                 drift: drift? as u32,
             },
             heartbeat: Duration::from_millis(heartbeat?),
-            placement: Arc::from(chosen?),
+            placement: Arc::from(policy_name?),
         };
         Some((settings, common.level))
     })
--- a/programs/sched/src/main.rs
+++ b/programs/sched/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler: owns cells of workers and takes jobs.
+//! The scheduler: schedules jobs on the workers of the cells that it owns.
 
 mod cli;
 
@@ -10,7 +10,7 @@
     let (settings, level) = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
     daemon::init_telemetry(level);
     let mut service = daemon::started_or_exit(Service::start(settings));
-    info!(target: "sched", "The scheduler runs. url={}", service.url());
+    info!(target: "sched", "The scheduler has started. url={}", service.url());
     daemon::wait_for_shutdown();
     service.stop();
     info!(target: "sched", "The scheduler has stopped.");
--- a/programs/table/src/cli.rs
+++ b/programs/table/src/cli.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables of the table.
+//! Flags and environment variables of magpie-table, the table process.
 
 use {
     argh::FromArgs,
@@ -12,8 +12,8 @@
     table::service::Settings,
 };
 
-/// Takes operators' edits of the table and spreads them. Each flag has a variable; the flag goes
-/// first.
+/// Accepts operators' edits of the table and replicates them. Each flag has an environment
+/// variable; the flag takes precedence.
 #[derive(FromArgs)]
 pub struct Arguments {
     /// name of this box, as in the list of boxes (MAGPIE_NAME)
@@ -39,11 +39,11 @@
     pub check: bool,
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
 ///
-/// Every fault.
+/// All invalid settings.
 pub fn read(arguments: Arguments) -> Result<(Settings, LevelFilter), Vec<Fault>> {
     let mut reader = Reader::new();
     let name = reader.name("name", arguments.name, None);
--- a/programs/table/src/main.rs
+++ b/programs/table/src/main.rs
@@ -1,4 +1,4 @@
-//! The table: takes operators' edits and spreads them.
+//! The table process: accepts operators' edits of the table and replicates them.
 
 mod cli;
 
@@ -10,7 +10,7 @@
     let (settings, level) = kernel::settings::unwrap_or_exit(cli::read(arguments), check);
     daemon::init_telemetry(level);
     let mut service = daemon::started_or_exit(Service::start(settings));
-    info!(target: "table", "The table runs. url={}", service.url());
+    info!(target: "table", "The table has started. url={}", service.url());
     daemon::wait_for_shutdown();
     service.stop();
     info!(target: "table", "The table has stopped.");
