--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -47,7 +47,7 @@
     pub tried: Vec<usize>,
 }
 
-struct Waiting {
+struct WaitingRequest {
     request: SlotRequest,
     responder: Responder<Result<Slot, Failure>>,
 }
@@ -60,7 +60,7 @@
     balancer: Box<dyn Balancer>,
     retry_budget: RetryBudget,
     table: Arc<Table>,
-    waiting: BTreeMap<Arc<str>, VecDeque<Waiting>>,
+    waiting: BTreeMap<Arc<str>, VecDeque<WaitingRequest>>,
     series: BTreeMap<Arc<str>, Series>,
     /// True while the sweep timer is armed.
     sweeping: bool,
@@ -152,14 +152,14 @@
             return responder.send(Err(failure));
         }
         let queue = self.waiting.entry(request.class.clone()).or_default();
-        queue.push_back(Waiting { request, responder });
+        queue.push_back(WaitingRequest { request, responder });
         self.schedule_sweep(cx);
     }
 
     /// Arms the sweep timer if requests are waiting.
     fn schedule_sweep(&mut self, cx: CX![]) {
-        let waits = self.waiting.values().any(|queue| !queue.is_empty());
-        if waits && !self.sweeping {
+        let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
+        if has_waiting && !self.sweeping {
             self.sweeping = true;
             after!(SWEEP_INTERVAL, [cx], sweep());
         }
@@ -180,21 +180,21 @@
     /// Assigns a slot on an available server that was not tried before, preferring servers in this
     /// gate's data hall.
     fn find_slot(&mut self, request: &SlotRequest, now: Instant) -> Option<Slot> {
-        let mut near = Vec::new();
-        let mut far = Vec::new();
+        let mut local = Vec::new();
+        let mut remote = Vec::new();
         for index in self.pool.of_class(&request.class) {
             let server = self.pool.server(*index);
             if !server.is_available(now) || request.tried.contains(index) {
                 continue;
             }
             let list = if server.hall == self.hall {
-                &mut near
+                &mut local
             } else {
-                &mut far
+                &mut remote
             };
             list.push(*index);
         }
-        let candidates = if near.is_empty() { &far } else { &near };
+        let candidates = if local.is_empty() { &remote } else { &local };
         if candidates.is_empty() {
             return None;
         }
--- a/components/gate/src/balancing.rs
+++ b/components/gate/src/balancing.rs
@@ -55,8 +55,8 @@
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize {
         let start = self.0.usize(..candidates.len());
         let rotated = candidates[start..].iter().chain(&candidates[..start]);
-        let least = rotated.min_by_key(|index| pool.server(**index).in_flight);
-        least.copied().unwrap_or(candidates[0])
+        let selected = rotated.min_by_key(|index| pool.server(**index).in_flight);
+        selected.copied().unwrap_or(candidates[0])
     }
 }
 
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -108,7 +108,7 @@
     headers: Vec<(String, String)>,
     body: Vec<u8>,
     class: Arc<str>,
-    repeat: bool,
+    may_repeat: bool,
     deadline: Instant,
 }
 
@@ -180,7 +180,7 @@
         },
     };
     let method = request.method().to_string();
-    let repeat = matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS")
+    let may_repeat = matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS")
         || !header(request, REPEAT_HEADER).is_empty();
     let path = request
         .uri()
@@ -213,7 +213,7 @@
         headers,
         body,
         class,
-        repeat,
+        may_repeat,
         deadline: started + deadline,
     })
 }
@@ -243,10 +243,10 @@
         };
         tried.push(slot.index);
         let failure = match attempt_once(shared, caller_request, &slot) {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
-        let safe = failure.is_not_run() || caller_request.repeat;
+        let safe = failure.is_not_run() || caller_request.may_repeat;
         last = Some(more_severe(last, failure));
         if !safe || attempt + 1 == MAX_ATTEMPTS || !take_retry(shared) {
             break;
@@ -320,12 +320,12 @@
         body: &caller_request.body,
         timeout: remaining.into(),
     };
-    let answer = shared.client.send(&call)?;
-    let reason = answer.header(NOT_RUN_HEADER);
-    if answer.status == REFUSED_STATUS && !reason.is_empty() {
+    let response = shared.client.send(&call)?;
+    let reason = response.header(NOT_RUN_HEADER);
+    if response.status == REFUSED_STATUS && !reason.is_empty() {
         return Err(Failure::not_run(Cause::Refused, reason));
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Builds the caller's response from the backend server's.
--- a/components/table/src/replication.rs
+++ b/components/table/src/replication.rs
@@ -122,11 +122,11 @@
         return false;
     };
     let address = format!("{url}/table/compare");
-    let answer: Result<Comparison, Failure> =
+    let response: Result<Comparison, Failure> =
         shared
             .client
             .post(&address, &Compare { version }, TABLE_TIMEOUT);
-    let Ok(compared) = answer else { return false };
+    let Ok(compared) = response else { return false };
     if compared.version < version {
         let theirs = compared.version;
         if let Ok(update) = shared.actor.ask(move |actor, _| actor.update_since(theirs)) {
@@ -144,14 +144,14 @@
 /// process stops.
 pub fn run_store_watch(shared: &Shared) {
     load_initial_table(shared);
-    let mut seen = 0;
+    let mut last_version = 0;
     let mut failures = 0;
     while !shared.signal.is_stopped() {
         if !shared.is_watcher() {
             shared.signal.wait(COMPARE_INTERVAL);
             continue;
         }
-        match watch(shared, &mut seen) {
+        match watch(shared, &mut last_version) {
             Ok(()) => failures = 0,
             Err(failure) => {
                 if failures == 0 {
@@ -201,11 +201,11 @@
 }
 
 /// Waits for a newer table in the store and pushes it to all peers if no peer had already sent it.
-fn watch(shared: &Shared, seen: &mut u64) -> Result<(), Failure> {
-    let Some(value) = shared.store.watch(accept::KEY, *seen, WATCH_WAIT)? else {
+fn watch(shared: &Shared, last_version: &mut u64) -> Result<(), Failure> {
+    let Some(value) = shared.store.watch(accept::KEY, *last_version, WATCH_WAIT)? else {
         return Ok(());
     };
-    *seen = value.version;
+    *last_version = value.version;
     let stored = wire::decode(&value.bytes)?;
     let before = shared.actor.ask(|actor, _| actor.stored().table.version)?;
     if shared.actor.ask(move |actor, _| actor.install(stored))? && before > 0 {
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -224,9 +224,9 @@
     fn edit_locked(&self, submit: &Submit) -> Result<Outcome, Failure> {
         let _guard = lock(&self.edit_lock);
         let started = Instant::now();
-        let edited = accept::accept(self.shared.store.as_ref(), &submit.edit);
-        let (outcome, stored) = match edited {
-            Ok(edited) => edited,
+        let result = accept::accept(self.shared.store.as_ref(), &submit.edit);
+        let (outcome, stored) = match result {
+            Ok(accepted) => accepted,
             Err(failure) => {
                 log::warn!(target: "table", "An edit failed. {failure}");
                 return Err(failure);
--- a/components/table/src/sheet.rs
+++ b/components/table/src/sheet.rs
@@ -314,7 +314,7 @@
     const HEADER: &str = "class,team,kind,priority,weight,max_processors,max_memory_gb,\
         max_accelerators,max_running,generations,target_ms,team_processors";
 
-    #[test_case("a,t,batch,3,100,,,,,,,", "", "", ""; "right")]
+    #[test_case("a,t,batch,3,100,,,,,,,", "", "", ""; "valid")]
     #[test_case("a b,t,batch,3,100,,,,,,,", "class", "a b", "a name"; "class")]
     #[test_case("a,t,batsh,3,100,,,,,,,", "kind", "batsh", "service, batch or"; "kind")]
     #[test_case("a,t,batch,12,100,,,,,,,", "priority", "12", "from 0 to 9"; "priority")]
