--- a/components/sched/src/actor/jobs.rs
+++ b/components/sched/src/actor/jobs.rs
@@ -61,7 +61,7 @@
     pub fn cancel(
         &mut self,
         ids: &[Arc<str>],
-        answerer: Responder<Result<Vec<Arc<str>>, Failure>>,
+        responder: Responder<Result<Vec<Arc<str>>, Failure>>,
     ) {
         let mut missing = Vec::new();
         let mut cells = BTreeSet::new();
@@ -78,18 +78,18 @@
             cells.insert(owned.cell.name.clone());
         }
         if cells.is_empty() {
-            return answerer.send(Ok(missing));
+            return responder.send(Ok(missing));
         }
         let done = Box::new(move |result: Result<(), Failure>| {
-            answerer.send(result.map(|()| missing));
+            responder.send(result.map(|()| missing));
         });
-        for (cell, part) in cells
+        for (cell, part_done) in cells
             .iter()
             .zip(persistence::split_callback(done, cells.len()))
         {
             self.notify_workers(cell);
             if let Some(owned) = self.cells.get_mut(cell) {
-                owned.cell.write_queue.stage(AfterWrite::Respond(part));
+                owned.cell.write_queue.stage(AfterWrite::Respond(part_done));
                 owned.writer.notify();
             }
         }
@@ -152,14 +152,14 @@
 
     /// Drains a worker of an owned cell, or ends its drain. Responds with true once the change is
     /// persisted, and with false when no owned cell has the worker.
-    pub fn drain(&mut self, drain: &Drain, answerer: Responder<Result<bool, Failure>>) {
+    pub fn drain(&mut self, drain: &Drain, responder: Responder<Result<bool, Failure>>) {
         let mut cells = self.cells.values_mut();
         let owner = cells.find(|owned| owned.cell.fleet.index_of(&drain.worker).is_some());
         let Some(owned) = owner else {
-            return answerer.send(Ok(false));
+            return responder.send(Ok(false));
         };
         owned.cell.drain(&drain.worker, drain.drained);
-        let done: WriteCallback = Box::new(move |result| answerer.send(result.map(|()| true)));
+        let done: WriteCallback = Box::new(move |result| responder.send(result.map(|()| true)));
         owned.cell.write_queue.stage(AfterWrite::Respond(done));
         owned.writer.notify();
     }
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -95,13 +95,13 @@
             Err(failure) => return request.respond(Reply::failure(&failure)),
         };
         if !owned {
-            let passed = Submit {
+            let forwarded = Submit {
                 id: Some(id.clone()),
                 passed: true,
                 ..submit
             };
             let status: Result<Status, Failure> =
-                self.forward(&id, submit.passed, "/jobs/submit", &passed);
+                self.forward(&id, submit.passed, "/jobs/submit", &forwarded);
             return request.respond(Reply::message(&status));
         }
         let remote = self.remote.clone();
@@ -190,11 +190,11 @@
         let here = self.remote.ask(move |sched, _| sched.status(&id))?;
         match here {
             Err(failure) if failure.cause == Cause::Refused => {
-                let passed = JobQuery {
+                let forwarded = JobQuery {
                     passed: true,
                     ..query.clone()
                 };
-                self.forward(&query.id, query.passed, "/jobs/show", &passed)
+                self.forward(&query.id, query.passed, "/jobs/show", &forwarded)
             }
             here => here,
         }
@@ -209,8 +209,8 @@
         let local = cancel.clone();
         let cancelled = self
             .remote
-            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
-                sched.cancel(&local.ids, answerer);
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, responder| {
+                sched.cancel(&local.ids, responder);
             });
         let missing = match cancelled {
             Ok(Ok(missing)) => missing,
@@ -235,8 +235,8 @@
                 return Err(Failure::not_run(Cause::Invalid, text));
             }
             let first = ids[0].clone();
-            let passed = Cancel { ids, passed: true };
-            total += self.forward::<_, u64>(&first, false, "/jobs/cancel", &passed)?;
+            let forwarded = Cancel { ids, passed: true };
+            total += self.forward::<_, u64>(&first, false, "/jobs/cancel", &forwarded)?;
         }
         Ok(total)
     }
@@ -283,8 +283,8 @@
         let local = drain.clone();
         let drained = self
             .remote
-            .ask_within(MAX_WRITE_WAIT, move |sched, _, answerer| {
-                sched.drain(&local, answerer);
+            .ask_within(MAX_WRITE_WAIT, move |sched, _, responder| {
+                sched.drain(&local, responder);
             })??;
         if drained {
             return Ok(true);
@@ -297,13 +297,13 @@
             let Some(url) = self.remote.ask(move |sched, _| sched.owner_url(&cell))? else {
                 continue;
             };
-            let passed = Drain {
+            let forwarded = Drain {
                 passed: true,
                 ..drain.clone()
             };
             if self
                 .client
-                .post(&format!("{url}/workers/drain"), &passed, PEER_TIMEOUT)?
+                .post(&format!("{url}/workers/drain"), &forwarded, PEER_TIMEOUT)?
             {
                 return Ok(true);
             }
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -132,10 +132,10 @@
             placement: settings.placement,
         };
         let actor_shared = shared.clone();
-        let host = ActorThread::start("sched", move |cx, remote| {
+        let actor = ActorThread::start("sched", move |cx, remote| {
             Scheduler::new(cx, actor_shared, remote)
         })?;
-        let remote = host.actor_ref().clone();
+        let remote = actor.actor_ref().clone();
         let port = Port {
             remote: remote.clone(),
             client: client.clone(),
@@ -169,7 +169,7 @@
             tasks,
             server,
             ready,
-            actor: host,
+            actor,
             _watcher: watcher,
             follower,
             threads,
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -55,8 +55,8 @@
 
 #[test]
 fn claims_only_after_settling() {
-    let host = scheduler();
-    let claims = host.actor_ref().ask(|sched, cx| {
+    let actor = scheduler();
+    let claims = actor.actor_ref().ask(|sched, cx| {
         let now = cx.now();
         let before = sched.cells_to_claim(now + Duration::from_secs(9));
         sched.set_list(cx, list());
@@ -72,8 +72,8 @@
 /// from each other in turns, up to epoch 7 within 4 s.
 #[test]
 fn yielded_cell_is_not_claimed_at_once() {
-    let host = scheduler();
-    let claims = host.actor_ref().ask(|sched, cx| {
+    let actor = scheduler();
+    let claims = actor.actor_ref().ask(|sched, cx| {
         let now: Instant = cx.now() + Duration::from_secs(9);
         sched.set_list(cx, list());
         sched.yield_cell("h1", "a test", now);
