--- a/components/burn/examples/report.rs
+++ b/components/burn/examples/report.rs
@@ -1,4 +1,5 @@
-//! A report built from the counts of two gates, with a third gate unreachable: `cargo run -p magpie-burn-core --example report`.
+//! A report built from the counts of two gates, with a third gate unreachable:
+//! `cargo run -p magpie-burn-core --example report`.
 
 use {
     magpie_burn_core::{
--- a/components/lease/examples/ownership.rs
+++ b/components/lease/examples/ownership.rs
@@ -1,4 +1,5 @@
-//! The stages of an ownership, numbers of starts and lease expiry: `cargo run -p magpie-lease --example ownership`.
+//! The stages of an ownership, numbers of starts and lease expiry:
+//! `cargo run -p magpie-lease --example ownership`.
 
 use {
     magpie_lease::{LeaseTiming, Ownership},
--- a/components/members/examples/owners.rs
+++ b/components/members/examples/owners.rs
@@ -1,4 +1,5 @@
-//! Owners of cells before and after the removal of a box: `cargo run -p magpie-members --example owners`.
+//! Owners of cells before and after the removal of a box:
+//! `cargo run -p magpie-members --example owners`.
 
 use {magpie_members::assign, std::sync::Arc};
 
