--- a/components/sched/tests/cell.rs
+++ b/components/sched/tests/cell.rs
@@ -14,7 +14,7 @@
         Cell, Spec, job, limits::Limits, pass, placement, record::CellRecord,
         write_queue::AfterWrite,
     },
-    standin::{Farm, Witness, clock::Clock, ledger::Ledger},
+    standin::{Auditor, WorkerSet, clock::Clock, ledger::Ledger},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -28,9 +28,9 @@
 
 /// The environment of a cell: simulated workers, a clock, and the cell record as stored.
 struct World {
-    farm: Farm,
+    worker_set: WorkerSet,
     clock: Clock,
-    witness: Witness,
+    auditor: Auditor,
     start: Instant,
     items: Vec<Item>,
     record: CellRecord,
@@ -75,17 +75,17 @@
 
 impl World {
     fn new(workers: usize) -> Self {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let farm = Farm::new(clock.clone(), witness.clone());
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let worker_set = WorkerSet::new(clock.clone(), auditor.clone());
         let items: Vec<Item> = (0..workers).map(item).collect();
         for item in &items {
-            farm.add(&item.name, item.size);
+            worker_set.add(&item.name, item.size);
         }
         let (start, record, unreachable) = (Instant::now(), CellRecord::default(), Vec::new());
         World {
-            farm,
+            worker_set,
             clock,
-            witness,
+            auditor,
             start,
             items,
             record,
@@ -132,24 +132,24 @@
     /// Advances the clock, exchanges with every reachable worker, persists, and places tasks.
     fn step(&mut self, cell: &mut Cell, milliseconds: u64) {
         self.clock.advance(milliseconds);
-        self.farm.advance();
+        self.worker_set.advance();
         self.exchange(cell);
         cell.tick(self.now());
         self.persist(cell);
         pass::run(cell, 1000, self.now());
         self.exchange(cell);
         assert_eq!(
-            self.witness.totals().doubles,
+            self.auditor.totals().concurrent_runs,
             0,
             "a task runs on two workers"
         );
         assert_eq!(
-            self.witness.totals().refinished,
+            self.auditor.totals().repeated_tasks,
             0,
             "a finished task ran again"
         );
         assert_eq!(
-            self.witness.totals().overfull,
+            self.auditor.totals().overcommits,
             0,
             "a worker is overcommitted"
         );
@@ -161,7 +161,10 @@
                 continue;
             }
             let order = cell.next_order(worker_index);
-            if let Ok(report) = self.farm.exchange(&self.items[worker_index].name, &order) {
+            if let Ok(report) = self
+                .worker_set
+                .exchange(&self.items[worker_index].name, &order)
+            {
                 cell.handle_report(worker_index, &order, report, self.now());
             }
         }
@@ -201,7 +204,7 @@
     let mut old = world.active_owner();
     let id = world.submit(&mut old, 1, spec(6, 5000));
     world.step(&mut old, 100);
-    assert_eq!(world.witness.running(), 6);
+    assert_eq!(world.auditor.running(), 6);
     let mut new = world.active_owner();
     assert_eq!(
         (new.counts.adopted, new.status(&id).unwrap().running),
@@ -209,10 +212,15 @@
     );
     // Workers refuse the orders of the old owner after the takeover.
     let order = old.next_order(0);
-    assert!(world.farm.exchange(&world.items[0].name, &order).is_err());
+    assert!(
+        world
+            .worker_set
+            .exchange(&world.items[0].name, &order)
+            .is_err()
+    );
     world.step(&mut new, 5000);
     assert_eq!(new.status(&id).unwrap().finished, 6);
-    assert_eq!(world.witness.totals().starts, 6);
+    assert_eq!(world.auditor.totals().starts, 6);
 }
 
 #[test]
@@ -231,7 +239,7 @@
     let mut new = world.active_owner();
     world.step(&mut new, 1000);
     assert_eq!(new.status(&id).unwrap().finished, 3);
-    assert_eq!(world.witness.totals().starts, 3);
+    assert_eq!(world.auditor.totals().starts, 3);
 }
 
 #[test]
@@ -241,7 +249,7 @@
     let id = world.submit(&mut old, 1, spec(6, 60_000));
     world.step(&mut old, 100);
     let on_unreachable = world
-        .farm
+        .worker_set
         .with("w0", |ledger: &mut Ledger| ledger.running())
         .unwrap();
     assert!(on_unreachable > 0);
@@ -277,7 +285,7 @@
     world.step(&mut cell, 100);
     assert_eq!(
         world
-            .farm
+            .worker_set
             .with("w0", |ledger: &mut Ledger| ledger.running()),
         Some(4)
     );
@@ -290,7 +298,7 @@
         (cell.counts.lost, cell.status(&id).unwrap().running),
         (4, 4)
     );
-    assert_eq!(world.witness.running(), 4);
+    assert_eq!(world.auditor.running(), 4);
 }
 
 #[test]
@@ -299,7 +307,7 @@
     let mut cell = world.active_owner();
     let id = world.submit(&mut cell, 1, spec(4, 2000));
     world.step(&mut cell, 100);
-    world.farm.with("w0", Ledger::reboot);
+    world.worker_set.with("w0", Ledger::reboot);
     world.step(&mut cell, 100);
     world.step(&mut cell, 100);
     assert_eq!(cell.counts.lost, 4);
@@ -317,18 +325,18 @@
     let id = world.submit(&mut cell, 1, spec(1, 5000));
     for _ in 0..20 {
         world.step(&mut cell, 100);
-        if world.witness.running() == 0 {
+        if world.auditor.running() == 0 {
             break;
         }
         for worker_index in 0..2 {
             world
-                .farm
+                .worker_set
                 .with(&world.items[worker_index].name.clone(), Ledger::reboot);
         }
     }
     let status = cell.status(&id).unwrap();
     assert_eq!((status.failed, status.ended), (1, true));
-    assert_eq!(world.witness.totals().starts, 5);
+    assert_eq!(world.auditor.totals().starts, 5);
 }
 
 /// A task is restarted when its worker crashes long after each start: only early losses count
@@ -345,7 +353,7 @@
         }
         for worker_index in 0..2 {
             world
-                .farm
+                .worker_set
                 .with(&world.items[worker_index].name.clone(), Ledger::reboot);
         }
     }
@@ -369,8 +377,8 @@
     );
     world.step(&mut cell, 100);
     world.step(&mut cell, 100);
-    assert_eq!(world.witness.running(), 3);
-    world.farm.with("w0", Ledger::reboot);
+    assert_eq!(world.auditor.running(), 3);
+    world.worker_set.with("w0", Ledger::reboot);
     for _ in 0..4 {
         world.step(&mut cell, 600);
     }
@@ -421,7 +429,7 @@
     }
     assert_eq!(cell.status(&urgent).unwrap().running, 1);
     assert_eq!(
-        (cell.counts.evictions, world.witness.totals().evictions),
+        (cell.counts.evictions, world.auditor.totals().evictions),
         (1, 1)
     );
     world.step(&mut cell, 600);
@@ -452,7 +460,9 @@
         }
         let order = cell.next_order(0);
         if matches!(delivery, Delivery::ReportLost) {
-            self.farm.exchange(&self.items[0].name, &order).unwrap();
+            self.worker_set
+                .exchange(&self.items[0].name, &order)
+                .unwrap();
         }
     }
 }
@@ -473,7 +483,7 @@
     }
     let status = cell.status(&id).unwrap();
     assert_eq!((status.running, status.ended), (0, true));
-    assert_eq!(world.witness.running(), 0);
+    assert_eq!(world.auditor.running(), 0);
 }
 
 /// The same failure with the stop of a preemption: the evicted task kept running.
@@ -506,7 +516,7 @@
     let mut world = World::new(2);
     let mut cell = world.active_owner();
     world
-        .farm
+        .worker_set
         .with("w0", |ledger: &mut Ledger| ledger.faults.failing = true);
     let id = world.submit(&mut cell, 1, spec(8, 1000));
     for _ in 0..8 {
@@ -526,7 +536,7 @@
     world.step(&mut cell, 100);
     assert_eq!(
         world
-            .farm
+            .worker_set
             .with("w0", |ledger: &mut Ledger| ledger.running()),
         Some(0)
     );
@@ -536,7 +546,7 @@
     world.step(&mut new, 100);
     assert_eq!(
         world
-            .farm
+            .worker_set
             .with("w0", |ledger: &mut Ledger| ledger.running()),
         Some(0)
     );
@@ -578,7 +588,7 @@
 fn reserved_indexes_limit_starts() {
     let mut world = World::new(1);
     world.items[0].size = Size::new(4_000_000, 4_000_000, 0);
-    world.farm.add(&Arc::from("w0"), world.items[0].size);
+    world.worker_set.add(&Arc::from("w0"), world.items[0].size);
     let mut cell = world.active_owner();
     world.submit(&mut cell, 1, spec(3000, 60_000));
     assert_eq!(pass::run(&mut cell, 5000, world.now()).placed, 1024);
--- a/components/sched/tests/claims.rs
+++ b/components/sched/tests/claims.rs
@@ -12,7 +12,7 @@
     magpie_sched_core::Scheduler,
     magpie_sched_core::actor::Shared,
     magpie_sched_core::claim::CellOwner,
-    standin::{Farm, Store, Witness, clock::Clock, deploy::entry_item, store::Rates},
+    standin::{Auditor, Store, WorkerSet, clock::Clock, deploy::entry_item, store::Rates},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -24,7 +24,7 @@
     let shared = Shared {
         name: Arc::from("b1"),
         url: Arc::from("http://127.0.0.1:1"),
-        workers: Arc::new(Farm::new(clock.clone(), Witness::new())),
+        workers: Arc::new(WorkerSet::new(clock.clone(), Auditor::new())),
         store: Arc::new(Store::new(Rates::default(), clock)),
         timing: LeaseTiming::default(),
         heartbeat: Duration::from_secs(2),
--- a/components/standin/src/witness.rs
+++ b/components/standin/src/auditor.rs
@@ -18,21 +18,21 @@
     /// Tasks that finished.
     pub finished: u64,
     /// Tasks that were running in two places at once.
-    pub doubles: u64,
+    pub concurrent_runs: u64,
     /// Tasks that finished more than once.
-    pub refinished: u64,
+    pub repeated_tasks: u64,
     /// Tasks stopped by an order or by the end of a lease.
     pub stops: u64,
     /// Tasks stopped with a checkpoint, by an order.
     pub evictions: u64,
     /// Tasks stopped because a lease ended.
-    pub lapses: u64,
+    pub lease_expiries: u64,
     /// Workers that were committed beyond what they have.
-    pub overfull: u64,
+    pub overcommits: u64,
     /// Requests that must run at most once and ran again.
-    pub repeats: u64,
+    pub repeated_requests: u64,
     /// Times a backend server had more requests at once than slots.
-    pub overslots: u64,
+    pub slot_overruns: u64,
     /// Requests that backend servers ran.
     pub requests: u64,
 }
@@ -63,11 +63,11 @@
 
 /// Sees everything that the stand-ins do.
 #[derive(Clone, Default)]
-pub struct Witness {
+pub struct Auditor {
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Witness {
+impl Auditor {
     /// A witness that has seen nothing.
     pub fn new() -> Self {
         Self::default()
@@ -87,10 +87,10 @@
             .entry(task.job.clone())
             .or_insert_with(Instant::now);
         if inner.running.insert(task.clone(), worker.clone()).is_some() {
-            inner.totals.doubles += 1;
+            inner.totals.concurrent_runs += 1;
         }
         if inner.finished.contains(task) {
-            inner.totals.refinished += 1;
+            inner.totals.repeated_tasks += 1;
             log::error!(target: "standin", "A finished task starts again. task={task} worker={worker}");
         }
     }
@@ -112,7 +112,7 @@
                 return;
             }
             End::Lapsed => {
-                inner.totals.lapses += 1;
+                inner.totals.lease_expiries += 1;
                 inner.totals.stops += 1;
                 return;
             }
@@ -120,7 +120,7 @@
         if inner.finished.insert(task.clone()) {
             inner.totals.finished += 1;
         } else {
-            inner.totals.refinished += 1;
+            inner.totals.repeated_tasks += 1;
         }
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// A worker was committed beyond what it has.
-    pub fn overfull(&self) {
-        lock(&self.inner).totals.overfull += 1;
+    pub fn overcommits(&self) {
+        lock(&self.inner).totals.overcommits += 1;
     }
 
     /// A backend server runs a request; an id is given when it must run at most once.
@@ -145,7 +145,7 @@
         let count = inner.ran.entry(Arc::from(id)).or_default();
         *count += 1;
         if *count > 1 {
-            inner.totals.repeats += 1;
+            inner.totals.repeated_requests += 1;
         }
     }
 
@@ -155,8 +155,8 @@
     }
 
     /// A backend server had more requests at once than slots.
-    pub fn overslots(&self) {
-        lock(&self.inner).totals.overslots += 1;
+    pub fn slot_overruns(&self) {
+        lock(&self.inner).totals.slot_overruns += 1;
     }
 
     /// When the first task of a job started.
--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -6,8 +6,8 @@
 
 use {
     crate::{
-        port::{self, Asked, Told},
-        witness::Witness,
+        auditor::Auditor,
+        http_server::{self, ServerRequest, ServerResponse},
     },
     kernel::{Reply, sync::lock},
     serde::{Deserialize, Serialize},
@@ -62,7 +62,7 @@
     busy: AtomicUsize,
     service: Duration,
     rng: Mutex<fastrand::Rng>,
-    witness: Witness,
+    auditor: Auditor,
 }
 
 /// One backend server on a port.
@@ -95,17 +95,17 @@
         address: SocketAddr,
         service: Duration,
         seed: u64,
-        witness: Witness,
+        auditor: Auditor,
     ) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             faults: Mutex::default(),
             busy: AtomicUsize::new(0),
             service,
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
-            witness,
+            auditor,
         });
         let theirs = inner.clone();
-        let url = port::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
+        let url = http_server::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
         Ok(Backend { inner, url })
     }
 
@@ -125,7 +125,7 @@
     }
 }
 
-fn handle(inner: &Inner, asked: &Asked) -> Told {
+fn handle(inner: &Inner, asked: &ServerRequest) -> ServerResponse {
     if asked.path == "/admin/faults" {
         return match serde_json::from_slice(&asked.body) {
             Ok(faults) => {
@@ -138,7 +138,7 @@
     let mut faults = lock(&inner.faults);
     if faults.dropped > 0 {
         faults.dropped -= 1;
-        return Told::Cut;
+        return ServerResponse::Disconnect;
     }
     if faults.leaving {
         return refusal("leaving").into();
@@ -149,17 +149,17 @@
     drop(faults);
     if inner.busy.fetch_add(1, Ordering::AcqRel) >= SLOTS {
         inner.busy.fetch_sub(1, Ordering::AcqRel);
-        inner.witness.overslots();
+        inner.auditor.slot_overruns();
         return refusal("slots").into();
     }
     let once = !asked.header("x-once").is_empty();
     let id = asked.header("x-id");
-    inner.witness.request(once.then_some(id));
+    inner.auditor.request(once.then_some(id));
     thread::sleep(service_time(inner) * slow);
     // The slot is free before the answer leaves, since the next request may come at once.
     inner.busy.fetch_sub(1, Ordering::AcqRel);
     if cut {
-        return Told::Cut;
+        return ServerResponse::Disconnect;
     }
     Reply::text(200, expected(id, &asked.body)).into()
 }
--- a/components/standin/src/boxes.rs
+++ b/components/standin/src/boxes.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the list of boxes, which lags.
 
 use {
-    crate::port::{self, Asked},
+    crate::http_server::{self, ServerRequest},
     infra::boxes::{Boxes, Item, List, State},
     kernel::{Failure, Reply, sync::lock},
     std::{
@@ -100,7 +100,7 @@
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<String> {
         let registry = self.clone();
-        port::open(address, CONNECTIONS, move |asked| {
+        http_server::open(address, CONNECTIONS, move |asked| {
             handle(&registry, &asked).into()
         })
     }
@@ -113,7 +113,7 @@
     }
 }
 
-fn handle(registry: &Registry, asked: &Asked) -> Reply {
+fn handle(registry: &Registry, asked: &ServerRequest) -> Reply {
     let after = asked.number("after");
     match (asked.method.as_str(), asked.path.as_str()) {
         ("GET", "/v1/boxes") => {
@@ -148,7 +148,7 @@
 
 #[cfg(test)]
 mod tests {
-    use {super::*, crate::line::Line, infra::boxes, kernel::Client};
+    use {super::*, crate::proxy::Proxy, infra::boxes, kernel::Client};
 
     fn item(number: usize) -> Item {
         Item {
@@ -173,11 +173,11 @@
             registry.put(item(number));
         }
         let url = registry.open(([127, 0, 0, 1], 0).into()).unwrap();
-        let line = Line::open(url.trim_start_matches("http://").parse().unwrap()).unwrap();
-        line.limit(400_000);
-        let http = boxes::Http::new(&format!("http://{}", line.address()), Client::new(None));
+        let proxy = Proxy::open(url.trim_start_matches("http://").parse().unwrap()).unwrap();
+        proxy.set_rate(400_000);
+        let http = boxes::Http::new(&format!("http://{}", proxy.address()), Client::new(None));
         assert_eq!(http.list(0).unwrap().unwrap().items.len(), 8_000);
-        assert!(line.brought() > 1_000_000);
+        assert!(proxy.bytes_delivered() > 1_000_000);
     }
 
     #[test]
--- a/components/standin/src/deploy.rs
+++ b/components/standin/src/deploy.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
+        auditor::Auditor,
         backend::Backend,
         boxes::Registry,
         clock::Clock,
-        store::{Core, Port, Rates},
-        witness::Witness,
-        worker::{self, Farm},
+        store::{Core, Rates, Server},
+        worker::{self, WorkerSet},
     },
     infra::{
         Size,
@@ -126,18 +126,18 @@
 /// A platform of stand-ins.
 pub struct Platform {
     /// The store.
-    pub store: Port,
+    pub store: Server,
     /// The list of boxes and what is so.
     pub registry: Registry,
     /// The list's base address.
     pub boxes: String,
     /// The workers.
-    pub farm: Farm,
+    pub worker_set: WorkerSet,
     /// The backend servers.
     pub backends: Vec<Backend>,
     /// What really ran.
-    pub witness: Witness,
-    _workers: worker::Port,
+    pub auditor: Auditor,
+    _workers: worker::Server,
 }
 
 impl Platform {
@@ -149,22 +149,22 @@
     pub fn start(deploy: &Deploy, addresses: Addresses, seed: u64) -> io::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let clock = Clock::real();
-        let witness = Witness::new();
+        let auditor = Auditor::new();
         let core = Arc::new(Core::new(Rates::default(), clock.clone()));
-        let store = Port::open(addresses.store, core)?;
+        let store = Server::open(addresses.store, core)?;
         let registry = Registry::new(LAG);
         let boxes = registry.open(addresses.boxes)?;
-        let farm = Farm::new(clock, witness.clone());
-        let workers = farm.open(any)?;
+        let worker_set = WorkerSet::new(clock, auditor.clone());
+        let workers = worker_set.open(any)?;
         for at in 0..deploy.workers {
             let item = worker_item(deploy, at, &workers);
-            farm.add(&item.name, deploy.size);
+            worker_set.add(&item.name, deploy.size);
             registry.put(item);
         }
         let mut backends = Vec::new();
         for at in 0..deploy.backends {
             let seed = seed.wrapping_add(at as u64);
-            let backend = Backend::open(any, deploy.mean, seed, witness.clone())?;
+            let backend = Backend::open(any, deploy.mean, seed, auditor.clone())?;
             registry.put(backend_item(deploy, at, &backend));
             backends.push(backend);
         }
@@ -172,9 +172,9 @@
             store,
             registry,
             boxes,
-            farm,
+            worker_set,
             backends,
-            witness,
+            auditor,
             _workers: workers,
         })
     }
@@ -194,7 +194,7 @@
     }
 }
 
-fn worker_item(deploy: &Deploy, at: usize, port: &worker::Port) -> Item {
+fn worker_item(deploy: &Deploy, at: usize, port: &worker::Server) -> Item {
     let name = format!("w{at:03}");
     let url = port.url(&name);
     Item {
--- a/components/standin/src/port.rs
+++ b/components/standin/src/http_server.rs
@@ -16,7 +16,7 @@
 
 /// One whole request.
 #[derive(Clone)]
-pub struct Asked {
+pub struct ServerRequest {
     /// The method.
     pub method: String,
     /// The path without the query.
@@ -27,7 +27,7 @@
     pub body: Vec<u8>,
 }
 
-impl Asked {
+impl ServerRequest {
     /// A parameter of the query.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self
@@ -55,16 +55,16 @@
 }
 
 /// What a stand-in does with a request.
-pub enum Told {
+pub enum ServerResponse {
     /// A whole answer.
     Reply(Reply),
     /// A broken connection.
-    Cut,
+    Disconnect,
 }
 
-impl From<Reply> for Told {
+impl From<Reply> for ServerResponse {
     fn from(reply: Reply) -> Self {
-        Told::Reply(reply)
+        ServerResponse::Reply(reply)
     }
 }
 
@@ -76,7 +76,7 @@
 pub fn open(
     address: SocketAddr,
     connections: usize,
-    handler: impl Fn(Asked) -> Told + Send + Sync + 'static,
+    handler: impl Fn(ServerRequest) -> ServerResponse + Send + Sync + 'static,
 ) -> io::Result<String> {
     let handler = Arc::new(handler);
     let bounds = Bounds {
@@ -85,7 +85,7 @@
     };
     let run = move |request: &mut Request<Body>| match read(request) {
         Ok(asked) => respond(handler(asked)),
-        Err(_) => respond(Told::Cut),
+        Err(_) => respond(ServerResponse::Disconnect),
     };
     Ok(format!(
         "http://{}",
@@ -93,12 +93,12 @@
     ))
 }
 
-fn read(request: &mut Request<Body>) -> io::Result<Asked> {
+fn read(request: &mut Request<Body>) -> io::Result<ServerRequest> {
     let mut body = Vec::new();
     request.body_mut().read_to_end(&mut body)?;
     let text = |value: &oxhttp::model::HeaderValue| value.to_str().unwrap_or_default().to_owned();
     let headers = request.headers().iter();
-    Ok(Asked {
+    Ok(ServerRequest {
         method: request.method().to_string(),
         path: request.uri().path().to_owned(),
         query: request.uri().query().unwrap_or_default().to_owned(),
@@ -109,8 +109,8 @@
     })
 }
 
-fn respond(told: Told) -> Response<Body> {
-    let Told::Reply(reply) = told else {
+fn respond(told: ServerResponse) -> Response<Body> {
+    let ServerResponse::Reply(reply) = told else {
         return Response::new(public_server::truncated_body(Vec::new()));
     };
     let mut builder = Response::builder()
--- a/components/standin/src/kv.rs
+++ b/components/standin/src/kv.rs
@@ -3,7 +3,7 @@
 //! It keeps to the protocol of their platform, whose names therefore stand here too.
 
 use {
-    crate::port::{self, Asked, Told, reply},
+    crate::http_server::{self, ServerRequest, ServerResponse, reply},
     base64::{Engine, engine::general_purpose::STANDARD},
     kernel::{Reply, sync::lock},
     serde_json::{Value, json},
@@ -17,13 +17,13 @@
 };
 
 /// Connections that the port takes.
-const CONNECTIONS: usize = 1_024;
+const MAX_CONNECTIONS: usize = 1_024;
 /// Items of one page; the users' store gives about 500.
-const PAGE: usize = 50;
+const PAGE_ITEMS: usize = 50;
 /// The most entries of a change.
 const MAX_ENTRIES: usize = 32;
 /// The longest pause between two looks at a watch: leases end without a change to wake it.
-const LOOK: Duration = Duration::from_millis(50);
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 /// Keys that only the operators and the workers write.
 const RESERVED: [&str; 2] = ["op/", "servers/"];
 
@@ -36,23 +36,23 @@
     pub reset: bool,
     /// The answers of this many changes are lost after they were made.
     pub lost: u32,
-    /// This many changes are not answered, and made only by [`Kv::carry_out`].
-    pub late: u32,
+    /// This many changes are not answered, and made only by [`Kv::apply_deferred`].
+    pub deferred: u32,
     /// Watches hear nothing: each waits its time and brings no change.
-    pub deaf: bool,
+    pub watches_silent: bool,
     /// Once as many answers were lost or late, the store is busy.
     pub then_busy: bool,
 }
 
 impl Faults {
     /// Takes one off a count of faults to come. True when there was one.
-    fn strike(&mut self, count: fn(&mut Faults) -> &mut u32) -> bool {
+    fn consume(&mut self, count: fn(&mut Faults) -> &mut u32) -> bool {
         let left = count(self);
         if *left == 0 {
             return false;
         }
         *left -= 1;
-        self.busy |= self.then_busy && self.lost == 0 && self.late == 0;
+        self.busy |= self.then_busy && self.lost == 0 && self.deferred == 0;
         true
     }
 }
@@ -62,7 +62,7 @@
     value: String,
     revision: u64,
     /// The revision at which the key came to be.
-    made: u64,
+    created: u64,
     /// 0 for a key that stays.
     lease: u64,
 }
@@ -82,12 +82,12 @@
     leases: BTreeMap<u64, (Instant, Duration)>,
     history: VecDeque<Change>,
     /// The history up to this revision is gone.
-    forgotten: u64,
-    /// Changes that wait for [`Kv::carry_out`].
-    held: Vec<Value>,
+    compacted_to: u64,
+    /// Changes that wait for [`Kv::apply_deferred`].
+    deferred: Vec<Value>,
     calls: u64,
     /// The keys that some change wanted to write, whatever came of it.
-    tried: HashSet<String>,
+    attempted: HashSet<String>,
     faults: Faults,
 }
 
@@ -106,11 +106,11 @@
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<String> {
         let kv = self.clone();
-        port::open(address, CONNECTIONS, move |asked| kv.handle(&asked))
+        http_server::open(address, MAX_CONNECTIONS, move |request| kv.handle(&request))
     }
 
     /// Sets what goes wrong.
-    pub fn fail(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// True when a change that would write this key has arrived, whatever came of it.
-    pub fn was_tried(&self, key: &str) -> bool {
-        lock(&self.core).tried.contains(key)
+    pub fn was_write_attempted(&self, key: &str) -> bool {
+        lock(&self.core).attempted.contains(key)
     }
 
     /// Writes a key as the operators or a worker would.
@@ -154,15 +154,15 @@
     /// Forgets the history of changes.
     pub fn compact(&self) {
         let mut core = lock(&self.core);
-        core.forgotten = core.revision;
+        core.compacted_to = core.revision;
         core.history.clear();
     }
 
     /// Makes the changes that were held up, each if its conditions still hold. Returns how many
     /// took effect.
-    pub fn carry_out(&self) -> usize {
+    pub fn apply_deferred(&self) -> usize {
         let mut core = lock(&self.core);
-        let held = std::mem::take(&mut core.held);
+        let held = std::mem::take(&mut core.deferred);
         let done = held
             .iter()
             .filter(|change| core.apply(change).status == 200);
@@ -171,110 +171,110 @@
         done
     }
 
-    fn handle(&self, asked: &Asked) -> Told {
+    fn handle(&self, request: &ServerRequest) -> ServerResponse {
         let faults = {
             let mut core = lock(&self.core);
             core.calls += 1;
-            core.note(asked);
-            core.lapse();
+            core.record_attempts(request);
+            core.expire_leases();
             core.faults
         };
         if faults.reset {
-            return Told::Cut;
+            return ServerResponse::Disconnect;
         }
         if faults.busy {
             return reply(503, &json!({})).into();
         }
-        match (asked.method.as_str(), asked.path.as_str()) {
-            ("GET", "/kv-key") => self.get(asked).into(),
-            ("GET", "/kv-range") => self.range(asked).into(),
-            ("GET", "/kv-watch") => self.watch(asked).into(),
-            ("POST", "/kv-txn") => self.change(asked),
-            ("POST", "/kv-lease") => self.grant(asked).into(),
-            ("POST", path) if path.starts_with("/kv-keep/") => self.keep(path).into(),
+        match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/kv-key") => self.get(request).into(),
+            ("GET", "/kv-range") => self.range(request).into(),
+            ("GET", "/kv-watch") => self.watch(request).into(),
+            ("POST", "/kv-txn") => self.change(request),
+            ("POST", "/kv-lease") => self.grant(request).into(),
+            ("POST", path) if path.starts_with("/kv-keep/") => self.renew(path).into(),
             _ => reply(404, &json!({})).into(),
         }
     }
 
-    fn get(&self, asked: &Asked) -> Reply {
+    fn get(&self, request: &ServerRequest) -> Reply {
         let core = lock(&self.core);
-        let key = asked.parameter("privateKey").unwrap_or_default();
+        let key = request.parameter("privateKey").unwrap_or_default();
         match core.items.get(key) {
             Some(item) => {
-                let mut shown = show(key, item);
-                shown["at"] = core.revision.into();
-                reply(200, &shown)
+                let mut found = item_json(key, item);
+                found["at"] = core.revision.into();
+                reply(200, &found)
             }
             None => reply(404, &json!({ "at": core.revision })),
         }
     }
 
-    fn range(&self, asked: &Asked) -> Reply {
+    fn range(&self, request: &ServerRequest) -> Reply {
         let core = lock(&self.core);
-        let prefix = asked.parameter("pathPrefix").unwrap_or_default();
-        let after = asked.parameter("after").unwrap_or_default();
+        let prefix = request.parameter("pathPrefix").unwrap_or_default();
+        let after = request.parameter("after").unwrap_or_default();
         let found = core.items.iter();
         let found = found.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let mut items: Vec<Value> = found
-            .take(PAGE + 1)
-            .map(|(key, item)| show(key, item))
+            .take(PAGE_ITEMS + 1)
+            .map(|(key, item)| item_json(key, item))
             .collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let more = items.len() > PAGE_ITEMS;
+        items.truncate(PAGE_ITEMS);
         reply(
             200,
             &json!({ "items": items, "more": more, "at": core.revision }),
         )
     }
 
-    fn watch(&self, asked: &Asked) -> Reply {
-        let prefix = asked.parameter("pathPrefix").unwrap_or_default();
-        let after = asked.number("after");
-        let until = Instant::now() + Duration::from_millis(asked.number("waitMs"));
+    fn watch(&self, request: &ServerRequest) -> Reply {
+        let prefix = request.parameter("pathPrefix").unwrap_or_default();
+        let after = request.number("after");
+        let until = Instant::now() + Duration::from_millis(request.number("waitMs"));
         let mut core = lock(&self.core);
         loop {
-            core.lapse();
-            if after < core.forgotten {
+            core.expire_leases();
+            if after < core.compacted_to {
                 return reply(410, &json!({}));
             }
-            let events = match core.faults.deaf {
+            let events = match core.faults.watches_silent {
                 true => Vec::new(),
                 false => core.events(prefix, after),
             };
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() || core.faults.busy {
-                let at = if core.faults.deaf {
+                let at = if core.faults.watches_silent {
                     after
                 } else {
                     core.revision
                 };
                 return reply(200, &json!({ "events": events, "at": at }));
             }
-            let step = left.min(LOOK);
+            let step = left.min(WATCH_INTERVAL);
             let waited = self.changed.wait_timeout(core, step);
             core = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    fn change(&self, asked: &Asked) -> Told {
-        let Ok(change) = serde_json::from_slice::<Value>(&asked.body) else {
+    fn change(&self, request: &ServerRequest) -> ServerResponse {
+        let Ok(change) = serde_json::from_slice::<Value>(&request.body) else {
             return reply(400, &json!({})).into();
         };
         let mut core = lock(&self.core);
-        if core.faults.strike(|faults| &mut faults.late) {
-            core.held.push(change);
-            return Told::Cut;
+        if core.faults.consume(|faults| &mut faults.deferred) {
+            core.deferred.push(change);
+            return ServerResponse::Disconnect;
         }
         let answer = core.apply(&change);
         self.changed.notify_all();
-        if core.faults.strike(|faults| &mut faults.lost) {
-            return Told::Cut;
+        if core.faults.consume(|faults| &mut faults.lost) {
+            return ServerResponse::Disconnect;
         }
         answer.into()
     }
 
-    fn grant(&self, asked: &Asked) -> Reply {
-        let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+    fn grant(&self, request: &ServerRequest) -> Reply {
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(1_000));
         let mut core = lock(&self.core);
         core.revision += 1;
@@ -286,7 +286,7 @@
         )
     }
 
-    fn keep(&self, path: &str) -> Reply {
+    fn renew(&self, path: &str) -> Reply {
         let lease = path.rsplit('/').next().and_then(|text| text.parse().ok());
         let mut core = lock(&self.core);
         let Some((until, ttl)) = lease.and_then(|lease: u64| core.leases.get_mut(&lease)) else {
@@ -299,19 +299,19 @@
 
 impl Core {
     /// Notes which keys a change wants to write.
-    fn note(&mut self, asked: &Asked) {
-        if asked.path != "/kv-txn" {
+    fn record_attempts(&mut self, request: &ServerRequest) {
+        if request.path != "/kv-txn" {
             return;
         }
-        let change: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+        let change: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         for entry in change["put"].as_array().into_iter().flatten() {
             let key = entry["privateKey"].as_str().unwrap_or_default();
-            self.tried.insert(key.to_owned());
+            self.attempted.insert(key.to_owned());
         }
     }
 
     /// Ends leases whose time is over, with their keys.
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
         let over: Vec<u64> = self
             .leases
@@ -333,11 +333,11 @@
     fn write(&mut self, key: &str, value: Option<(String, u64)>) {
         self.revision += 1;
         let revision = self.revision;
-        let made = self.items.get(key).map_or(revision, |item| item.made);
+        let created = self.items.get(key).map_or(revision, |item| item.created);
         let item = value.map(|(value, lease)| Item {
             value,
             revision,
-            made,
+            created,
             lease,
         });
         match &item {
@@ -356,7 +356,7 @@
         let new = self.history.iter();
         let new = new.filter(|change| change.revision > after && change.key.starts_with(prefix));
         new.map(|change| match &change.item {
-            Some(item) => show(&change.key, item),
+            Some(item) => item_json(&change.key, item),
             None => json!({ "privateKey": change.key, "revision": change.revision, "gone": true }),
         })
         .collect()
@@ -381,7 +381,8 @@
         };
         if !expect.iter().all(holds) {
             let keys = expect.iter().map(key_of);
-            let found = keys.filter_map(|key| self.items.get(&key).map(|item| show(&key, item)));
+            let found =
+                keys.filter_map(|key| self.items.get(&key).map(|item| item_json(&key, item)));
             let items: Vec<Value> = found.collect();
             return reply(412, &json!({ "items": items }));
         }
@@ -398,12 +399,12 @@
         for key in &remove {
             self.write(&text(key), None);
         }
-        self.unify(put.len() + remove.len());
+        self.assign_one_revision(put.len() + remove.len());
         reply(200, &json!({ "revision": self.revision }))
     }
 
     /// All entries of one change bear one revision.
-    fn unify(&mut self, entries: usize) {
+    fn assign_one_revision(&mut self, entries: usize) {
         let revision = self.revision;
         for change in self.history.iter_mut().rev().take(entries) {
             change.revision = revision;
@@ -417,12 +418,12 @@
     }
 }
 
-fn show(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({
         "privateKey": key,
         "value": item.value,
         "revision": item.revision,
-        "made": item.made,
+        "made": item.created,
         "lease": item.lease,
     })
 }
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        auditor::{Auditor, End},
         clock::Clock,
-        witness::{End, Witness},
     },
     infra::{
         Size,
@@ -52,7 +52,7 @@
     boot: u64,
     size: Size,
     clock: Clock,
-    witness: Witness,
+    auditor: Auditor,
     /// The newest epoch and the last order of it, by cell.
     epochs: BTreeMap<Arc<str>, (u64, u64)>,
     lease: u64,
@@ -66,14 +66,14 @@
 
 impl Ledger {
     /// A worker that runs nothing yet.
-    pub fn new(name: Arc<str>, boot: u64, size: Size, clock: Clock, witness: Witness) -> Self {
+    pub fn new(name: Arc<str>, boot: u64, size: Size, clock: Clock, auditor: Auditor) -> Self {
         let advanced = clock.now();
         Ledger {
             name,
             boot,
             size,
             clock,
-            witness,
+            auditor,
             epochs: BTreeMap::new(),
             lease: 0,
             version: 0,
@@ -125,7 +125,7 @@
             entry.record.phase = phase;
             let finished = phase == Phase::Finished;
             let end = if finished { End::Finished } else { End::Lapsed };
-            self.witness.end(&entry.record.task, end);
+            self.auditor.end(&entry.record.task, end);
         }
     }
 
@@ -134,9 +134,9 @@
         self.advance();
         for entry in self.entries.values() {
             match entry.record.phase {
-                Phase::Running => self.witness.end(&entry.record.task, End::Stopped),
+                Phase::Running => self.auditor.end(&entry.record.task, End::Stopped),
                 // Nobody knows that it finished: its work is lost with the box.
-                Phase::Finished if !entry.told => self.witness.lost(&entry.record.task),
+                Phase::Finished if !entry.told => self.auditor.lost(&entry.record.task),
                 _ => {}
             }
         }
@@ -266,9 +266,9 @@
             phase,
             checkpoint: start.resume,
         };
-        self.witness.start(&start.task, &self.name);
+        self.auditor.start(&start.task, &self.name);
         if phase == Phase::Failed {
-            self.witness.end(&start.task, End::Failed);
+            self.auditor.end(&start.task, End::Failed);
         }
         let (version, length) = (self.version, start.length);
         let entry = Entry {
@@ -281,7 +281,7 @@
         };
         self.entries.insert(start.task.clone(), entry);
         if !self.committed().fits(self.size) {
-            self.witness.overfull();
+            self.auditor.overcommits();
         }
         Ok(())
     }
@@ -301,7 +301,7 @@
         entry.record.phase = Phase::Stopped;
         let evicted = stop.manner == StopMode::Checkpoint;
         let end = if evicted { End::Evicted } else { End::Stopped };
-        self.witness.end(&stop.task, end);
+        self.auditor.end(&stop.task, end);
     }
 }
 
@@ -320,9 +320,9 @@
 mod tests {
     use {super::*, infra::worker::Extension, test_case::test_case};
 
-    fn ledger(clock: &Clock, witness: &Witness) -> Ledger {
+    fn ledger(clock: &Clock, auditor: &Auditor) -> Ledger {
         let size = Size::new(4000, 4000, 0);
-        Ledger::new(Arc::from("w1"), 7, size, clock.clone(), witness.clone())
+        Ledger::new(Arc::from("w1"), 7, size, clock.clone(), auditor.clone())
     }
 
     fn task(index: u32) -> Task {
@@ -363,21 +363,21 @@
 
     #[test]
     fn exchange_runs_and_finishes() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 1), vec![start(0, 1000, 500)]))
             .unwrap();
         clock.advance(501);
         let report = ledger.exchange(&order((1, 2), vec![])).unwrap();
         assert_eq!(report.records[0].phase, Phase::Finished);
-        assert_eq!(witness.totals().finished, 1);
+        assert_eq!(auditor.totals().finished, 1);
     }
 
     #[test]
     fn exchange_refuses_old_epoch() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         assert!(ledger.exchange(&order((2, 1), vec![])).is_ok());
         let late = ledger.exchange(&order((1, 2), vec![start(0, 1000, 500)]));
         assert_eq!(late, Err(worker::fenced()));
@@ -389,26 +389,29 @@
     #[test_case(vec![start(0, 1000, 0), start(0, 1000, 0)], 1, 0; "a start that comes twice")]
     #[test_case(vec![start(0, 3000, 0), start(1, 3000, 0)], 1, 1; "no room for the second")]
     fn exchange_starts(starts: Vec<Start>, running: usize, refused: usize) {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         let report = ledger.exchange(&order((1, 4), starts)).unwrap();
         assert_eq!(
             (ledger.running(), report.refusals.len()),
             (running, refused)
         );
-        assert_eq!(witness.totals().overfull + witness.totals().doubles, 0);
+        assert_eq!(
+            auditor.totals().overcommits + auditor.totals().concurrent_runs,
+            0
+        );
     }
 
     #[test]
     fn advance_ends_lease() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 5), vec![start(0, 1000, 0)]))
             .unwrap();
         clock.advance(10_001);
         ledger.advance();
-        assert_eq!((ledger.running(), witness.totals().lapses), (0, 1));
+        assert_eq!((ledger.running(), auditor.totals().lease_expiries), (0, 1));
         let report = ledger
             .exchange(&order((1, 6), vec![start(1, 1000, 0)]))
             .unwrap();
@@ -417,8 +420,8 @@
 
     #[test]
     fn stop_writes_checkpoint() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 7), vec![start(0, 1000, 5000)]))
             .unwrap();
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -5,24 +5,24 @@
 //! over HTTP by `POST /admin/faults`. [`kv`] and [`runner`] stand in for the store and the workers of
 //! the users' platform and speak its protocol.
 
+pub mod auditor;
 pub mod backend;
 pub mod boxes;
 pub mod clock;
 pub mod deploy;
+pub mod http_server;
 pub mod kv;
 pub mod ledger;
-pub mod line;
-pub mod port;
+pub mod proxy;
 pub mod runner;
 pub mod store;
-pub mod witness;
 pub mod worker;
 
+pub use auditor::Auditor;
 pub use backend::Backend;
 pub use boxes::Registry;
 pub use deploy::{Deploy, Platform};
 pub use kv::Kv;
 pub use runner::Runner;
 pub use store::Core as Store;
-pub use witness::Witness;
-pub use worker::Farm;
+pub use worker::WorkerSet;
--- a/components/standin/src/line.rs
+++ b/components/standin/src/proxy.rs
@@ -1,6 +1,6 @@
 //! A line between callers and a port: it passes bytes on, until it is told to silence the connections
 //! that are open. These stay open and bring nothing more, as behind a switch that has forgotten them;
-//! new ones work. It may also bring callers only so many bytes a second, as a link of little bandwidth
+//! new ones work. It may also bring callers only so many bytes a second, as a connection of little bandwidth
 //! does.
 
 use {
@@ -20,86 +20,86 @@
 /// Bytes that are passed on at once.
 const BUFFER: usize = 16 * 1024;
 
-/// A way of a line.
+/// A direction of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the callers to the port.
-    There,
+    Upstream,
     /// From the port to the callers.
-    Back,
+    Downstream,
 }
 
 /// One open connection.
-struct Link {
+struct Connection {
     /// True once what callers send is lost.
-    there: AtomicBool,
+    upstream: AtomicBool,
     /// True once what the port sends is lost.
-    back: AtomicBool,
+    downstream: AtomicBool,
     caller: TcpStream,
     port: TcpStream,
 }
 
-impl Link {
-    fn flag(&self, way: Way) -> &AtomicBool {
-        match way {
-            Way::There => &self.there,
-            Way::Back => &self.back,
+impl Connection {
+    fn flag(&self, direction: Direction) -> &AtomicBool {
+        match direction {
+            Direction::Upstream => &self.upstream,
+            Direction::Downstream => &self.downstream,
         }
     }
 
-    fn is_silent(&self, way: Way) -> bool {
-        self.flag(way).load(Ordering::Acquire)
+    fn is_silent(&self, direction: Direction) -> bool {
+        self.flag(direction).load(Ordering::Acquire)
     }
 
-    fn silence(&self, way: Way) {
-        self.flag(way).store(true, Ordering::Release);
+    fn silence(&self, direction: Direction) {
+        self.flag(direction).store(true, Ordering::Release);
     }
 }
 
 /// The state that the tasks of a line share.
 #[derive(Default)]
 struct Shared {
-    links: Mutex<Vec<Weak<Link>>>,
+    connections: Mutex<Vec<Weak<Connection>>>,
     /// New connections are closed at once.
     refuses: AtomicBool,
     /// Each piece is late by so many milliseconds, both ways.
     delay: AtomicUsize,
-    opened: AtomicUsize,
+    accepted: AtomicUsize,
     /// Bytes a second that each connection brings its caller; 0 for no limit.
     rate: AtomicUsize,
-    /// The first connection that has brought its caller so many bytes goes silent; 0 for none.
+    /// The first connection that has delivered its caller so many bytes goes silent; 0 for none.
     stall: AtomicUsize,
-    /// Bytes that were brought to callers.
-    brought: AtomicUsize,
+    /// Bytes that were delivered to callers.
+    delivered: AtomicUsize,
 }
 
 /// One line.
-pub struct Line {
+pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl Line {
+impl Proxy {
     /// Opens a line to a port of this machine. It lasts until the process ends.
     ///
     /// # Errors
     ///
-    /// No port can be opened.
+    /// No port can be connections.
     pub fn open(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
-        let own = shared.clone();
+        let state = shared.clone();
         task::spawn("line", move || {
             for stream in listener.incoming().flatten() {
-                if own.refuses.load(Ordering::Acquire) {
+                if state.refuses.load(Ordering::Acquire) {
                     continue;
                 }
                 // A port that is closed looks like a reset to the caller.
-                let _ = join(&own, stream, to);
+                let _ = connect(&state, stream, to);
             }
         })?;
-        Ok(Line { address, shared })
+        Ok(Proxy { address, shared })
     }
 
     /// Its address and port.
@@ -108,107 +108,114 @@
     }
 
     /// Silences the connections that are open now.
-    pub fn silence(&self) {
-        self.cut(Way::There);
-        self.cut(Way::Back);
+    pub fn blackhole(&self) {
+        self.blackhole_direction(Direction::Upstream);
+        self.blackhole_direction(Direction::Downstream);
     }
 
-    /// Silences one way of the connections that are open now.
-    pub fn cut(&self, way: Way) {
-        for link in self.links() {
-            link.silence(way);
+    /// Silences one direction of the connections that are open now.
+    pub fn blackhole_direction(&self, direction: Direction) {
+        for connection in self.open_connections() {
+            connection.silence(direction);
         }
     }
 
     /// Breaks the connections that are open now.
     pub fn reset(&self) {
-        for link in self.links() {
+        for connection in self.open_connections() {
             // One that has ended meanwhile needs no end.
-            let _ = link.caller.shutdown(Shutdown::Both);
-            let _ = link.port.shutdown(Shutdown::Both);
+            let _ = connection.caller.shutdown(Shutdown::Both);
+            let _ = connection.port.shutdown(Shutdown::Both);
         }
     }
 
     /// Closes new connections at once, or takes them again.
-    pub fn refuse(&self, refuses: bool) {
+    pub fn set_refusing(&self, refuses: bool) {
         self.shared.refuses.store(refuses, Ordering::Release);
     }
 
     /// Brings each piece so much later, both ways.
-    pub fn delay(&self, time: Duration) {
+    pub fn set_delay(&self, time: Duration) {
         let millis = time.as_millis() as usize;
         self.shared.delay.store(millis, Ordering::Release);
     }
 
-    fn links(&self) -> Vec<Arc<Link>> {
-        let links = lock(&self.shared.links);
-        links.iter().filter_map(Weak::upgrade).collect()
+    fn open_connections(&self) -> Vec<Arc<Connection>> {
+        let connections = lock(&self.shared.connections);
+        connections.iter().filter_map(Weak::upgrade).collect()
     }
 
     /// Lets each connection bring its caller at most so many bytes a second.
-    pub fn limit(&self, rate: usize) {
+    pub fn set_rate(&self, rate: usize) {
         self.shared.rate.store(rate, Ordering::Release);
     }
 
-    /// Silences the first connection that has brought its caller so many bytes since it was opened, in
+    /// Silences the first connection that has delivered its caller so many bytes since it was connections, in
     /// the middle of what it brings. Later ones are spared.
-    pub fn stall(&self, bytes: usize) {
+    pub fn stall_after(&self, bytes: usize) {
         self.shared.stall.store(bytes, Ordering::Release);
     }
 
-    /// How many connections were opened so far.
-    pub fn opened(&self) -> usize {
-        self.shared.opened.load(Ordering::Acquire)
+    /// How many connections were connections so far.
+    pub fn connections(&self) -> usize {
+        self.shared.accepted.load(Ordering::Acquire)
     }
 
-    /// How many bytes were brought to callers so far.
-    pub fn brought(&self) -> usize {
-        self.shared.brought.load(Ordering::Acquire)
+    /// How many bytes were delivered to callers so far.
+    pub fn bytes_delivered(&self) -> usize {
+        self.shared.delivered.load(Ordering::Acquire)
     }
 }
 
 /// Passes the bytes of one connection on, both ways.
-fn join(shared: &Arc<Shared>, caller: TcpStream, to: SocketAddr) -> io::Result<()> {
+fn connect(shared: &Arc<Shared>, caller: TcpStream, to: SocketAddr) -> io::Result<()> {
     let port = TcpStream::connect(to)?;
     let (from, back) = (caller.try_clone()?, port.try_clone()?);
-    let link = Arc::new(Link {
-        there: AtomicBool::new(false),
-        back: AtomicBool::new(false),
+    let connection = Arc::new(Connection {
+        upstream: AtomicBool::new(false),
+        downstream: AtomicBool::new(false),
         caller: caller.try_clone()?,
         port: port.try_clone()?,
     });
-    let mut links = lock(&shared.links);
-    links.retain(|link| link.strong_count() > 0);
-    links.push(Arc::downgrade(&link));
-    drop(links);
-    shared.opened.fetch_add(1, Ordering::AcqRel);
-    let (own, other) = (shared.clone(), link.clone());
+    let mut connections = lock(&shared.connections);
+    connections.retain(|connection| connection.strong_count() > 0);
+    connections.push(Arc::downgrade(&connection));
+    drop(connections);
+    shared.accepted.fetch_add(1, Ordering::AcqRel);
+    let (state, other) = (shared.clone(), connection.clone());
     task::spawn("line", move || {
-        pass(from, port, (&other, Way::There), |_| own.wait());
+        forward(from, port, (&other, Direction::Upstream), |_| {
+            state.sleep_delay()
+        });
     })?;
-    let own = shared.clone();
+    let state = shared.clone();
     task::spawn("line", move || {
         let mut total = 0;
-        pass(back, caller, (&link, Way::Back), |bytes| {
-            own.wait();
-            total += bytes;
-            own.bring(bytes, total, &link);
-        });
+        forward(
+            back,
+            caller,
+            (&connection, Direction::Downstream),
+            |bytes| {
+                state.sleep_delay();
+                total += bytes;
+                state.deliver(bytes, total, &connection);
+            },
+        );
     })?;
     Ok(())
 }
 
 impl Shared {
     /// Takes the time by which each piece is late.
-    fn wait(&self) {
+    fn sleep_delay(&self) {
         let millis = self.delay.load(Ordering::Acquire);
         if millis > 0 {
             thread::sleep(Duration::from_millis(millis as u64));
         }
     }
 
-    /// Takes the time that these bytes need on their way to the caller, of so many on this connection.
-    fn bring(&self, bytes: usize, total: usize, link: &Link) {
+    /// Takes the time that these bytes need on their direction to the caller, of so many on this connection.
+    fn deliver(&self, bytes: usize, total: usize, connection: &Connection) {
         let rate = self.rate.load(Ordering::Acquire);
         if rate > 0 {
             thread::sleep(Duration::from_secs_f64(bytes as f64 / rate as f64));
@@ -216,21 +223,21 @@
         let stall = self.stall.load(Ordering::Acquire);
         if stall > 0 && total >= stall {
             self.stall.store(0, Ordering::Release);
-            link.silence(Way::There);
-            link.silence(Way::Back);
+            connection.silence(Direction::Upstream);
+            connection.silence(Direction::Downstream);
         }
-        if !link.is_silent(Way::Back) {
-            self.brought.fetch_add(bytes, Ordering::AcqRel);
+        if !connection.is_silent(Direction::Downstream) {
+            self.delivered.fetch_add(bytes, Ordering::AcqRel);
         }
     }
 }
 
-/// Passes bytes on one way until the connection ends, each piece after `before`. What comes on a silent
+/// Passes bytes on one direction until the connection ends, each piece after `before`. What comes on a silent
 /// one is read and lost.
-fn pass(
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
-    (link, way): (&Link, Way),
+    (connection, direction): (&Connection, Direction),
     mut before: impl FnMut(usize),
 ) {
     let mut buffer = vec![0; BUFFER];
@@ -238,7 +245,7 @@
         if read > 0 {
             before(read);
         }
-        let is_silent = link.is_silent(way);
+        let is_silent = connection.is_silent(direction);
         if read == 0 {
             // The end of a silent connection is not told either.
             if !is_silent {
--- a/components/standin/src/runner.rs
+++ b/components/standin/src/runner.rs
@@ -5,8 +5,8 @@
 
 use {
     crate::{
+        http_server::{self, ServerRequest, ServerResponse, reply},
         kv::{Kv, decode, encode},
-        port::{self, Asked, Told, reply},
     },
     kernel::{Reply, sync::lock, wall_clock},
     serde_json::{Value, json},
@@ -23,73 +23,73 @@
 
 thread_local! {
     /// When the life began to which the connection of this thread leads; 0 before its first call.
-    static LED_TO: Cell<u64> = const { Cell::new(0) };
+    static CONNECTED_TO: Cell<u64> = const { Cell::new(0) };
 }
 
 /// Connections that a port takes.
-const CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 /// The longest lease, in milliseconds.
 const MAX_LEASE: u64 = 6_000;
 /// Starts are held to a room that has shrunk after this time: 3 s until all are in touch, and a heartbeat.
-const ROOM_TOLD: Duration = Duration::from_millis(4_100);
+const SHRINK_GRACE: Duration = Duration::from_millis(4_100);
 /// The pause between two looks at a held poll.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// A specification that begins so makes its tasks fail.
-pub const FAILING: &str = "fail";
+pub const FAILING_PREFIX: &str = "fail";
 /// A specification that begins so names the step and the number, with a dot between them, of a task that crashes its
 /// worker once it has begun.
-pub const CRASHING: &str = "crash=";
+pub const CRASHING_PREFIX: &str = "crash=";
 /// From the start of such a task until its worker crashes.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
 /// How long a worker is away that has crashed under a task.
-const CRASHED_FOR: Duration = Duration::from_millis(700);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(700);
 /// A specification that begins so names the time of each task in milliseconds.
-pub const TIMED: &str = "ms=";
+pub const DURATION_PREFIX: &str = "ms=";
 
 /// One run of a task on one worker.
 #[derive(Debug, Clone)]
-pub struct Ran {
+pub struct TaskRun {
     /// The name of the task.
     pub task: Arc<str>,
     /// The life of the worker.
     pub worker: Arc<str>,
     /// When it began.
-    pub begun: Instant,
+    pub started: Instant,
     /// When it ended, to the moment also where nobody looked then, and how.
     pub ended: Option<(Instant, &'static str)>,
     /// When its end was acknowledged under a lease that had not lapsed since.
-    pub noted: Option<Instant>,
+    pub acknowledged: Option<Instant>,
 }
 
 /// What all workers of a farm saw together.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct RunLog {
     /// Tasks that run now, by name, and how many runs of each there are.
     running: HashMap<String, u32>,
     /// Starts, by the name of the task.
     pub starts: HashMap<String, u32>,
     /// Tasks that ran twice at the same time.
-    pub doubled: Vec<String>,
+    pub ran_twice: Vec<String>,
     /// All runs, in the order of their starts.
-    pub ran: Vec<Ran>,
+    pub runs: Vec<TaskRun>,
     /// Starts that were refused for want of room: when, task and worker.
-    pub over: Vec<(Instant, Arc<str>, Arc<str>)>,
+    pub capacity_refusals: Vec<(Instant, Arc<str>, Arc<str>)>,
 }
 
-impl Seen {
+impl RunLog {
     /// Tasks that were started after a run of theirs had ended well and that end was acknowledged.
-    pub fn started_after_done(&self) -> Vec<Arc<str>> {
+    pub fn restarted_after_done(&self) -> Vec<Arc<str>> {
         let mut done: HashMap<&str, Instant> = HashMap::new();
-        for ran in &self.ran {
+        for ran in &self.runs {
             if let Some((at, "done")) = ran.ended
-                && ran.noted.is_some()
+                && ran.acknowledged.is_some()
             {
                 let first = done.entry(&ran.task).or_insert(at);
                 *first = at.min(*first);
             }
         }
-        let is_again = |ran: &&Ran| done.get(&*ran.task).is_some_and(|&at| ran.begun > at);
-        let again = self.ran.iter().filter(is_again);
+        let is_again = |ran: &&TaskRun| done.get(&*ran.task).is_some_and(|&at| ran.started > at);
+        let again = self.runs.iter().filter(is_again);
         again.map(|ran| ran.task.clone()).collect()
     }
 }
@@ -102,13 +102,13 @@
     /// The answers of this many starts are lost after they were carried out.
     pub lost: u32,
     /// Every connection is closed after its first answer.
-    pub closes: bool,
+    pub closes_connections: bool,
     /// Starts are refused with 503.
-    pub unwell: bool,
+    pub refuses_starts: bool,
     /// Once as many answers were lost, another life is there.
-    pub then_other: bool,
+    pub then_restart: bool,
     /// Once as many answers were lost, starts are refused so.
-    pub then_unwell: bool,
+    pub then_refuses: bool,
 }
 
 struct Run {
@@ -116,8 +116,8 @@
     until: Instant,
     fails: bool,
     percent: u64,
-    /// Its place among all runs seen.
-    place: usize,
+    /// Its log_index among all runs seen.
+    log_index: usize,
 }
 
 /// One end that is listed until it is acknowledged.
@@ -127,8 +127,8 @@
     run: u64,
     how: &'static str,
     at: Instant,
-    /// Its place among all runs seen.
-    place: usize,
+    /// Its log_index among all runs seen.
+    log_index: usize,
 }
 
 struct Core {
@@ -137,9 +137,9 @@
     size: u64,
     /// When it last got fewer.
     shrunk: Option<Instant>,
-    begun: Instant,
+    clock_start: Instant,
     /// When this life began, in milliseconds since 1970.
-    born: u64,
+    started_at: u64,
     /// It has crashed and is not back yet.
     is_down: bool,
     /// How often it has crashed under a task.
@@ -158,12 +158,12 @@
     lapsed: Option<Instant>,
     /// The number of the last end.
     count: u64,
-    seen: Arc<Mutex<Seen>>,
+    run_log: Arc<Mutex<RunLog>>,
     faults: Faults,
     /// So many calls more get no answer and are carried out later.
-    late: u32,
+    deferred_calls: u32,
     /// Those calls.
-    held: Vec<Asked>,
+    deferred: Vec<ServerRequest>,
 }
 
 /// One worker.
@@ -186,15 +186,15 @@
         id: &str,
         cores: u64,
         work: Duration,
-        seen: &Arc<Mutex<Seen>>,
+        run_log: &Arc<Mutex<RunLog>>,
     ) -> io::Result<Self> {
         let runner = Runner {
             core: Arc::new(Mutex::new(Core {
                 id: id.to_owned(),
                 size: cores * 1_000,
                 shrunk: None,
-                begun: Instant::now(),
-                born: wall_clock::millis(),
+                clock_start: Instant::now(),
+                started_at: wall_clock::millis(),
                 is_down: false,
                 crashes: 0,
                 fence: 0,
@@ -205,18 +205,20 @@
                 ended: Vec::new(),
                 lapsed: None,
                 count: 0,
-                seen: seen.clone(),
+                run_log: run_log.clone(),
                 faults: Faults::default(),
-                late: 0,
-                held: Vec::new(),
+                deferred_calls: 0,
+                deferred: Vec::new(),
             })),
             kv: kv.clone(),
         };
-        let own = runner.clone();
+        let server_runner = runner.clone();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let url = port::open(any, CONNECTIONS, move |asked| own.handle(&asked))?;
+        let url = http_server::open(any, MAX_CONNECTIONS, move |request| {
+            server_runner.handle(&request)
+        })?;
         let entry = json!({
-            "born": runner.born(),
+            "born": runner.start_time(),
             "service": pool,
             "address": url.trim_start_matches("http://"),
             "zone": "h1",
@@ -234,13 +236,13 @@
     }
 
     /// Stands in another data hall than `h1` from now on, as its entry says.
-    pub fn stand_in(&self, hall: &str) {
+    pub fn set_hall(&self, hall: &str) {
         let id = self.id();
-        self.record(&id, &id, "zone", hall.into());
+        self.write_entry(&id, &id, "zone", hall.into());
     }
 
     /// Records a life, as the entry of one has it but for one field.
-    fn record(&self, former: &str, id: &str, field: &str, value: Value) {
+    fn write_entry(&self, former: &str, id: &str, field: &str, value: Value) {
         let entry = self.kv.value(&format!("servers/{former}"));
         let text = decode(&entry.unwrap_or_default());
         let Ok(mut entry) = serde_json::from_slice::<Value>(&text) else {
@@ -251,7 +253,7 @@
     }
 
     /// Sets what goes wrong.
-    pub fn fail(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
@@ -259,17 +261,17 @@
     /// store. The entry of the former one stays, unless it has the same name.
     pub fn restart(&self, id: &str) {
         let former = self.id();
-        self.restart_unlisted(id);
-        self.record(&former, id, "born", self.born().into());
+        self.restart_without_entry(id);
+        self.write_entry(&former, id, "born", self.start_time().into());
     }
 
     /// The same, but for the entry in the store, which stays as it is.
-    pub fn restart_unlisted(&self, id: &str) {
+    pub fn restart_without_entry(&self, id: &str) {
         let mut core = lock(&self.core);
-        core.lose_all();
+        core.end_all();
         core.id = id.to_owned();
-        core.begun = Instant::now();
-        core.born = wall_clock::millis().max(core.born + 1);
+        core.clock_start = Instant::now();
+        core.started_at = wall_clock::millis().max(core.started_at + 1);
         core.fence = 0;
         core.lease = 0;
         core.over.clear();
@@ -280,36 +282,36 @@
     }
 
     /// Writes the present life into its entry.
-    pub fn list(&self) {
+    pub fn update_entry(&self) {
         let id = self.id();
-        self.record(&id, &id, "born", self.born().into());
+        self.write_entry(&id, &id, "born", self.start_time().into());
     }
 
     /// When the present life began, in milliseconds since 1970.
-    pub fn born(&self) -> u64 {
-        lock(&self.core).born
+    pub fn start_time(&self) -> u64 {
+        lock(&self.core).started_at
     }
 
-    /// Leaves the next calls, so many, without an answer until [`Runner::carry_out`].
-    pub fn hold_back(&self, calls: u32) {
-        lock(&self.core).late = calls;
+    /// Leaves the next calls, so many, without an answer until [`Runner::run_deferred`].
+    pub fn defer_calls(&self, calls: u32) {
+        lock(&self.core).deferred_calls = calls;
     }
 
     /// Carries out the calls that were held back, whichever life is there by now.
-    pub fn carry_out(&self) {
+    pub fn run_deferred(&self) {
         let mut core = lock(&self.core);
-        core.late = 0;
-        let held = std::mem::take(&mut core.held);
+        core.deferred_calls = 0;
+        let held = std::mem::take(&mut core.deferred);
         drop(core);
-        for asked in held {
-            let Ok(body) = serde_json::from_slice::<Value>(&asked.body) else {
+        for request in held {
+            let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
                 continue;
             };
             let mut core = lock(&self.core);
-            if core.is_down || core.guard(&asked, &body).is_some() {
+            if core.is_down || core.check_caller(&request, &body).is_some() {
                 continue;
             }
-            match asked.path.as_str() {
+            match request.path.as_str() {
                 "/run-start" => drop(core.start(&body)),
                 "/run-stop" => drop(core.stop(&body)),
                 "/pace" => drop(core.pace(&body)),
@@ -346,36 +348,36 @@
         core.running.len()
     }
 
-    fn handle(&self, asked: &Asked) -> Told {
-        let mut told = self.answer(asked);
-        if let Told::Reply(reply) = &mut told
-            && lock(&self.core).faults.closes
+    fn handle(&self, request: &ServerRequest) -> ServerResponse {
+        let mut acked = self.answer(request);
+        if let ServerResponse::Reply(reply) = &mut acked
+            && lock(&self.core).faults.closes_connections
         {
             reply.headers.push(("connection", "close".to_owned()));
         }
-        told
+        acked
     }
 
-    fn answer(&self, asked: &Asked) -> Told {
+    fn answer(&self, request: &ServerRequest) -> ServerResponse {
         let mut core = lock(&self.core);
-        let (faults, is_down, born) = (core.faults, core.is_down, core.born);
-        if faults.reset || is_down || !leads_to(born) {
-            return Told::Cut;
+        let (faults, is_down, started_at) = (core.faults, core.is_down, core.started_at);
+        if faults.reset || is_down || !is_connected_to(started_at) {
+            return ServerResponse::Disconnect;
         }
-        if core.late > 0 {
-            core.late -= 1;
-            core.held.push(asked.clone());
-            return Told::Cut;
+        if core.deferred_calls > 0 {
+            core.deferred_calls -= 1;
+            core.deferred.push(request.clone());
+            return ServerResponse::Disconnect;
         }
         drop(core);
-        let Ok(body) = serde_json::from_slice::<Value>(&asked.body) else {
+        let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
             return reply(400, &json!({})).into();
         };
-        let refusal = lock(&self.core).guard(asked, &body);
+        let refusal = lock(&self.core).check_caller(request, &body);
         if let Some(refusal) = refusal {
             return refusal.into();
         }
-        match asked.path.as_str() {
+        match request.path.as_str() {
             "/run-start" => self.start(&body),
             "/run-stop" => lock(&self.core).stop(&body).into(),
             "/pace" => lock(&self.core).pace(&body).into(),
@@ -384,44 +386,44 @@
         }
     }
 
-    fn start(&self, body: &Value) -> Told {
+    fn start(&self, body: &Value) -> ServerResponse {
         let mut core = lock(&self.core);
-        if core.faults.unwell {
+        if core.faults.refuses_starts {
             return reply(503, &json!({})).into();
         }
         let answer = core.start(body);
         if answer.status == 200 && is_crashing(body) {
-            self.crash_soon(core.id.clone(), core.born);
+            self.crash_soon(core.id.clone(), core.started_at);
         }
         if core.faults.lost > 0 {
             core.faults.lost -= 1;
-            core.faults.unwell |= core.faults.then_unwell && core.faults.lost == 0;
-            if core.faults.then_other && core.faults.lost == 0 {
+            core.faults.refuses_starts |= core.faults.then_refuses && core.faults.lost == 0;
+            if core.faults.then_restart && core.faults.lost == 0 {
                 core.id.push('+');
-                core.born += 1;
+                core.started_at += 1;
             }
-            return Told::Cut;
+            return ServerResponse::Disconnect;
         }
         answer.into()
     }
 
     /// Crashes this life of the worker shortly, which comes back as another one at the same address.
-    fn crash_soon(&self, id: String, born: u64) {
-        let own = self.clone();
+    fn crash_soon(&self, id: String, started_at: u64) {
+        let runner = self.clone();
         thread::spawn(move || {
             thread::sleep(CRASH_AFTER);
-            let mut core = lock(&own.core);
-            if core.born != born || core.is_down {
+            let mut core = lock(&runner.core);
+            if core.started_at != started_at || core.is_down {
                 return;
             }
-            core.lose_all();
+            core.end_all();
             core.is_down = true;
             core.crashes += 1;
             let next = format!("{id}+{}", core.crashes);
             drop(core);
-            thread::sleep(CRASHED_FOR);
-            if own.born() == born {
-                own.restart(&next);
+            thread::sleep(CRASH_DOWNTIME);
+            if runner.start_time() == started_at {
+                runner.restart(&next);
             }
         });
     }
@@ -432,34 +434,34 @@
     }
 
     /// Holds a poll until there is something to tell, or its time is over. A crash cuts it.
-    fn hold(&self, body: &Value) -> Told {
+    fn hold(&self, body: &Value) -> ServerResponse {
         let until = Instant::now() + Duration::from_millis(number(body, "waitMs"));
         lock(&self.core).renew(body);
-        let born = self.born();
+        let started_at = self.start_time();
         loop {
             let mut core = lock(&self.core);
-            if core.born != born || core.is_down {
-                return Told::Cut;
+            if core.started_at != started_at || core.is_down {
+                return ServerResponse::Disconnect;
             }
             core.advance();
             if !core.ended.is_empty() || Instant::now() >= until {
                 return core.report().into();
             }
             drop(core);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 impl Core {
     fn clock(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64 + 1
+        self.clock_start.elapsed().as_millis() as u64 + 1
     }
 
     /// Refuses what is meant for another life, or comes from a former owner.
-    fn guard(&mut self, asked: &Asked, body: &Value) -> Option<Reply> {
+    fn check_caller(&mut self, request: &ServerRequest, body: &Value) -> Option<Reply> {
         self.advance();
-        let meant = asked.header("expected-instance");
+        let meant = request.header("expected-instance");
         if !meant.is_empty() && meant != self.id {
             return Some(reply(421, &json!({})));
         }
@@ -475,13 +477,13 @@
         reply(409, &json!({ "clockMs": self.clock(), "reason": reason }))
     }
 
-    fn done(&self) -> Reply {
+    fn accepted(&self) -> Reply {
         reply(200, &json!({ "clockMs": self.clock() }))
     }
 
     /// True when everybody should know how much room it has: starts are held to less room only after a while.
-    fn is_room_told(&self) -> bool {
-        self.shrunk.is_none_or(|at| at.elapsed() > ROOM_TOLD)
+    fn is_size_known(&self) -> bool {
+        self.shrunk.is_none_or(|at| at.elapsed() > SHRINK_GRACE)
     }
 
     /// True when this very run of the task is going on.
@@ -496,28 +498,28 @@
         if self.clock() > self.lease {
             self.lapsed = Some(Instant::now());
         }
-        let (told, kept) = std::mem::take(&mut self.ended)
+        let (acked, kept) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| end.count <= seen);
         self.ended = kept;
-        self.note(told);
+        self.acknowledge(acked);
         let most = self.clock() + MAX_LEASE;
         self.lease = self.lease.max(number(body, "deadlineMs").min(most));
     }
 
     /// Notes which ends were acknowledged in time.
-    fn note(&self, told: Vec<End>) {
+    fn acknowledge(&self, acked: Vec<End>) {
         let now = Instant::now();
-        let mut seen = lock(&self.seen);
-        for end in told {
+        let mut run_log = lock(&self.run_log);
+        for end in acked {
             if self.lapsed.is_none_or(|lapsed| lapsed < end.at) {
-                seen.ran[end.place].noted = Some(now);
+                run_log.runs[end.log_index].acknowledged = Some(now);
             }
         }
     }
 
-    /// Loses what runs: nobody is told.
-    fn lose_all(&mut self) {
+    /// Loses what runs: nobody is acked.
+    fn end_all(&mut self) {
         self.advance();
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names {
@@ -530,7 +532,7 @@
     fn advance(&mut self) {
         let now = Instant::now();
         let lapsed = self.clock() > self.lease;
-        let over = self.begun + Duration::from_millis(self.lease);
+        let over = self.clock_start + Duration::from_millis(self.lease);
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names {
             let run = &self.running[&name];
@@ -556,11 +558,11 @@
             run: run.number,
             how,
             at,
-            place: run.place,
+            log_index: run.log_index,
         });
-        let mut seen = lock(&self.seen);
-        seen.ran[run.place].ended = Some((at, how));
-        if let Some(running) = seen.running.get_mut(name) {
+        let mut run_log = lock(&self.run_log);
+        run_log.runs[run.log_index].ended = Some((at, how));
+        if let Some(running) = run_log.running.get_mut(name) {
             *running -= 1;
         }
     }
@@ -570,7 +572,7 @@
         let run = number(body, "run");
         let deadline = number(body, "deadlineMs");
         if self.is_running(&name, run) {
-            return self.done();
+            return self.accepted();
         }
         if self.running.contains_key(&name) || self.over.get(&name).is_some_and(|&over| run <= over)
         {
@@ -580,39 +582,39 @@
             return self.refuse("late");
         }
         if (self.running.len() as u64 + 1) * 1_000 > self.size {
-            if self.is_room_told() {
+            if self.is_size_known() {
                 let over = (Instant::now(), name.into(), self.id.as_str().into());
-                lock(&self.seen).over.push(over);
+                lock(&self.run_log).capacity_refusals.push(over);
             }
             return self.refuse("room");
         }
         self.lease = self.lease.max(deadline.min(self.clock() + MAX_LEASE));
         let text = body["specification"].as_str().unwrap_or_default();
         let now = Instant::now();
-        let mut seen = lock(&self.seen);
-        let begun = Run {
+        let mut run_log = lock(&self.run_log);
+        let started = Run {
             number: run,
-            until: now + work_of(text).unwrap_or(self.work),
-            fails: text.starts_with(FAILING),
+            until: now + duration_from(text).unwrap_or(self.work),
+            fails: text.starts_with(FAILING_PREFIX),
             percent: 100,
-            place: seen.ran.len(),
+            log_index: run_log.runs.len(),
         };
-        seen.ran.push(Ran {
+        run_log.runs.push(TaskRun {
             task: name.as_str().into(),
             worker: self.id.as_str().into(),
-            begun: now,
+            started: now,
             ended: None,
-            noted: None,
+            acknowledged: None,
         });
-        self.running.insert(name.clone(), begun);
-        *seen.starts.entry(name.clone()).or_default() += 1;
-        let running = seen.running.entry(name.clone()).or_default();
+        self.running.insert(name.clone(), started);
+        *run_log.starts.entry(name.clone()).or_default() += 1;
+        let running = run_log.running.entry(name.clone()).or_default();
         *running += 1;
         if *running > 1 {
-            seen.doubled.push(name);
+            run_log.ran_twice.push(name);
         }
-        drop(seen);
-        self.done()
+        drop(run_log);
+        self.accepted()
     }
 
     fn stop(&mut self, body: &Value) -> Reply {
@@ -623,7 +625,7 @@
         }
         let over = self.over.entry(name).or_default();
         *over = run.max(*over);
-        self.done()
+        self.accepted()
     }
 
     fn pace(&mut self, body: &Value) -> Reply {
@@ -631,7 +633,7 @@
         match self.running.get_mut(name) {
             Some(run) => {
                 run.percent = number(body, "percent");
-                self.done()
+                self.accepted()
             }
             None => self.refuse("old"),
         }
@@ -649,30 +651,34 @@
             .map(|end| json!([end.count, end.name, end.run, end.how, ""]))
             .collect();
         let report = json!({
-            "born": self.born, "clockMs": self.clock(), "running": running, "ended": ended,
+            "born": self.started_at, "clockMs": self.clock(), "running": running, "ended": ended,
         });
         reply(200, &report)
     }
 }
 
 /// True unless the connection of this thread was opened to an earlier life: a crash ends all connections.
-fn leads_to(born: u64) -> bool {
-    let led_to = LED_TO.get();
-    LED_TO.set(if led_to == 0 { born } else { led_to });
-    led_to == 0 || led_to == born
+fn is_connected_to(started_at: u64) -> bool {
+    let connected_to = CONNECTED_TO.get();
+    CONNECTED_TO.set(if connected_to == 0 {
+        started_at
+    } else {
+        connected_to
+    });
+    connected_to == 0 || connected_to == started_at
 }
 
 /// True for the start of a task that crashes its worker.
 fn is_crashing(body: &Value) -> bool {
     let text = body["specification"].as_str().unwrap_or_default();
     let name = body["task"].as_str().unwrap_or_default();
-    text.strip_prefix(CRASHING)
+    text.strip_prefix(CRASHING_PREFIX)
         .is_some_and(|crashing| name.ends_with(&format!(".{crashing}")))
 }
 
 /// The time of each task, where its specification names one.
-fn work_of(text: &str) -> Option<Duration> {
-    let millis = text.strip_prefix(TIMED)?.parse().ok()?;
+fn duration_from(text: &str) -> Option<Duration> {
+    let millis = text.strip_prefix(DURATION_PREFIX)?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! A stand-in of the key-value service.
 
-mod port;
+mod server;
 
-pub use port::Port;
+pub use server::Server;
 
 use {
     crate::clock::Clock,
@@ -157,7 +157,7 @@
     }
 
     /// Makes a lease lapse now, with its keys.
-    pub fn lapse(&self, id: u64) {
+    pub fn expire_lease(&self, id: u64) {
         if let Some(lease) = lock(&self.state).leases.get_mut(&id) {
             lease.0 = 0;
         }
@@ -277,13 +277,13 @@
 #[cfg(test)]
 mod tests {
     use {
-        super::*, crate::line::Line, infra::store, kernel::Client, std::sync::Arc,
+        super::*, crate::proxy::Proxy, infra::store, kernel::Client, std::sync::Arc,
         test_case::test_case,
     };
 
-    fn port() -> (Port, store::Http) {
+    fn port() -> (Server, store::Http) {
         let core = Arc::new(Core::new(Rates::default(), Clock::real()));
-        let port = Port::open(([127, 0, 0, 1], 0).into(), core).unwrap();
+        let port = Server::open(([127, 0, 0, 1], 0).into(), core).unwrap();
         let http = store::Http::new(&port.url(), Client::new(None));
         (port, http)
     }
@@ -319,9 +319,9 @@
         let (port, _) = port();
         let value = vec![b'v'; 1_000_000];
         let _ = port.core().swap("k", 0, &value).unwrap();
-        let line = Line::open(port.url().trim_start_matches("http://").parse().unwrap()).unwrap();
-        line.limit(400_000);
-        let http = store::Http::new(&format!("http://{}", line.address()), Client::new(None));
+        let proxy = Proxy::open(port.url().trim_start_matches("http://").parse().unwrap()).unwrap();
+        proxy.set_rate(400_000);
+        let http = store::Http::new(&format!("http://{}", proxy.address()), Client::new(None));
         assert_eq!(call(&http).unwrap().unwrap().bytes.len(), value.len());
     }
 
--- a/components/standin/src/store/port.rs
+++ b/components/standin/src/store/server.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Core,
-    crate::port::{self, Asked, Told},
+    crate::http_server::{self, ServerRequest, ServerResponse},
     infra::{Store, Swap, Versioned, store::VERSION_HEADER},
     kernel::{Failure, Reply, verdict::Cause},
     std::{io, net::SocketAddr, sync::Arc, thread, time::Duration},
@@ -12,12 +12,12 @@
 const CONNECTIONS: usize = 4096;
 
 /// The service on a port.
-pub struct Port {
+pub struct Server {
     core: Arc<Core>,
     url: String,
 }
 
-impl Port {
+impl Server {
     /// Opens the port.
     ///
     /// # Errors
@@ -25,8 +25,8 @@
     /// The address cannot be bound.
     pub fn open(address: SocketAddr, core: Arc<Core>) -> io::Result<Self> {
         let theirs = core.clone();
-        let url = port::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
-        Ok(Port { core, url })
+        let url = http_server::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
+        Ok(Server { core, url })
     }
 
     /// The base address.
@@ -45,7 +45,7 @@
         .with_header(VERSION_HEADER, value.version.to_string())
 }
 
-fn handle(core: &Core, asked: &Asked) -> Told {
+fn handle(core: &Core, asked: &ServerRequest) -> ServerResponse {
     if let Some(rest) = asked.path.strip_prefix("/admin/") {
         return admin(core, rest, asked).into();
     }
@@ -68,17 +68,17 @@
 }
 
 /// Answers with the reply; nothing found is 404; a failure as the service shows it.
-fn answer(result: Result<Option<Reply>, Failure>) -> Told {
+fn answer(result: Result<Option<Reply>, Failure>) -> ServerResponse {
     match result {
         Ok(Some(reply)) => reply.into(),
         Ok(None) => Reply::text(404, "no such key\n").into(),
         Err(failure) if failure.cause == Cause::Busy => Reply::text(429, failure.text).into(),
         Err(failure) if failure.cause == Cause::Invalid => Reply::text(413, failure.text).into(),
-        Err(_) => Told::Cut,
+        Err(_) => ServerResponse::Disconnect,
     }
 }
 
-fn write(core: &Core, key: &str, asked: &Asked) -> Told {
+fn write(core: &Core, key: &str, asked: &ServerRequest) -> ServerResponse {
     let lease = asked.parameter("lease").and_then(|text| text.parse().ok());
     let result = core.swap_leased(key, asked.number("expect"), &asked.body, lease);
     answer(result.map(|swap| {
@@ -90,7 +90,7 @@
     }))
 }
 
-fn watch(core: &Core, key: &str, asked: &Asked) -> Told {
+fn watch(core: &Core, key: &str, asked: &ServerRequest) -> ServerResponse {
     let time = Duration::from_millis(asked.number("wait_ms"));
     match core.watch(key, asked.number("after"), time) {
         Ok(None) => Reply::text(304, "").into(),
@@ -99,7 +99,7 @@
     }
 }
 
-fn lease(core: &Core, id: &str, asked: &Asked) -> Told {
+fn lease(core: &Core, id: &str, asked: &ServerRequest) -> ServerResponse {
     let result = match id.parse() {
         Ok(id) => core.renew(id).map(|alive| alive.then_some(id)),
         Err(_) => core.grant(asked.number("ttl_ms")).map(Some),
@@ -108,7 +108,7 @@
 }
 
 /// Faults and counters over HTTP, for the stand-in as a process.
-fn admin(core: &Core, path: &str, asked: &Asked) -> Reply {
+fn admin(core: &Core, path: &str, asked: &ServerRequest) -> Reply {
     let json = |body: Result<Vec<u8>, serde_json::Error>| {
         Reply::bytes(200, "application/json", body.unwrap_or_default())
     };
@@ -123,7 +123,7 @@
             Err(e) => Reply::text(400, e.to_string()),
         },
         ("POST", "lapse") => {
-            core.lapse(asked.number("id"));
+            core.expire_lease(asked.number("id"));
             Reply::text(200, "lapsed\n")
         }
         _ => Reply::text(404, "no such path\n"),
--- a/components/standin/src/worker.rs
+++ b/components/standin/src/worker.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
+        auditor::Auditor,
         clock::Clock,
+        http_server::{self, ServerRequest, ServerResponse},
         ledger::{Faults, Ledger},
-        port::{self, Asked, Told},
-        witness::Witness,
     },
     infra::{
         Size,
@@ -37,19 +37,19 @@
 
 /// The workers, without a port. As [`Workers`] it is called by name instead of by address.
 #[derive(Clone)]
-pub struct Farm {
+pub struct WorkerSet {
     ledgers: Arc<RwLock<Ledgers>>,
     clock: Clock,
-    witness: Witness,
+    auditor: Auditor,
 }
 
-impl Farm {
+impl WorkerSet {
     /// A farm without workers.
-    pub fn new(clock: Clock, witness: Witness) -> Self {
-        Farm {
+    pub fn new(clock: Clock, auditor: Auditor) -> Self {
+        WorkerSet {
             ledgers: Arc::default(),
             clock,
-            witness,
+            auditor,
         }
     }
 
@@ -61,7 +61,7 @@
             boot,
             size,
             self.clock.clone(),
-            self.witness.clone(),
+            self.auditor.clone(),
         );
         if let Ok(mut ledgers) = self.ledgers.write() {
             ledgers.insert(name.clone(), Mutex::new(ledger));
@@ -90,18 +90,20 @@
     /// # Errors
     ///
     /// The address cannot be bound.
-    pub fn open(&self, address: SocketAddr) -> io::Result<Port> {
-        let farm = self.clone();
-        let url = port::open(address, CONNECTIONS, move |asked| handle(&farm, &asked))?;
+    pub fn open(&self, address: SocketAddr) -> io::Result<Server> {
+        let worker_set = self.clone();
+        let url = http_server::open(address, CONNECTIONS, move |asked| {
+            handle(&worker_set, &asked)
+        })?;
         let signal = Signal::new();
-        let (farm, bell) = (self.clone(), signal.clone());
+        let (worker_set, bell) = (self.clone(), signal.clone());
         let ticker = task::spawn("workers-tick", move || {
             while !bell.is_stopped() {
-                farm.advance();
+                worker_set.advance();
                 bell.wait(TICK);
             }
         })?;
-        Ok(Port {
+        Ok(Server {
             url,
             signal,
             ticker: Some(ticker),
@@ -109,7 +111,7 @@
     }
 }
 
-impl Workers for Farm {
+impl Workers for WorkerSet {
     fn exchange(&self, base: &str, order: &Order) -> Result<Report, Failure> {
         let broken = || Failure::may_have_run(Cause::Broken, "the worker broke off");
         let outcome = self.with(base, |ledger| {
@@ -129,20 +131,20 @@
 }
 
 /// The port of the workers.
-pub struct Port {
+pub struct Server {
     url: String,
     signal: Signal,
     ticker: Option<JoinHandle<()>>,
 }
 
-impl Port {
+impl Server {
     /// The base address of a worker.
     pub fn url(&self, name: &str) -> String {
         format!("{}/w/{name}", self.url)
     }
 }
 
-impl Drop for Port {
+impl Drop for Server {
     fn drop(&mut self) {
         self.signal.stop();
         if let Some(thread) = self.ticker.take() {
@@ -151,39 +153,39 @@
     }
 }
 
-fn handle(farm: &Farm, asked: &Asked) -> Told {
+fn handle(worker_set: &WorkerSet, asked: &ServerRequest) -> ServerResponse {
     let path = asked.path.strip_prefix("/w/");
     let Some((name, action)) = path.and_then(|rest| rest.split_once('/')) else {
         return Reply::text(404, "no such path\n").into();
     };
     match action {
-        "exchange" => exchange(farm, name, asked),
-        "faults" => set_faults(farm, name, asked).into(),
+        "exchange" => exchange(worker_set, name, asked),
+        "faults" => set_faults(worker_set, name, asked).into(),
         "reboot" => {
-            farm.with(name, Ledger::reboot);
+            worker_set.with(name, Ledger::reboot);
             Reply::text(200, "rebooted\n").into()
         }
         _ => Reply::text(404, "no such path\n").into(),
     }
 }
 
-fn set_faults(farm: &Farm, name: &str, asked: &Asked) -> Reply {
+fn set_faults(worker_set: &WorkerSet, name: &str, asked: &ServerRequest) -> Reply {
     let faults = match serde_json::from_slice::<Faults>(&asked.body) {
         Ok(faults) => faults,
         Err(e) => return Reply::text(400, e.to_string()),
     };
-    match farm.with(name, |ledger| ledger.faults = faults) {
+    match worker_set.with(name, |ledger| ledger.faults = faults) {
         Some(()) => Reply::text(200, "set\n"),
         None => Reply::text(404, "no such worker\n"),
     }
 }
 
-fn exchange(farm: &Farm, name: &str, asked: &Asked) -> Told {
+fn exchange(worker_set: &WorkerSet, name: &str, asked: &ServerRequest) -> ServerResponse {
     let order: Order = match serde_json::from_slice(&asked.body) {
         Ok(order) => order,
         Err(e) => return Reply::text(400, e.to_string()).into(),
     };
-    let failure = match farm.exchange(name, &order) {
+    let failure = match worker_set.exchange(name, &order) {
         Ok(report) => {
             let body = serde_json::to_vec(&report).unwrap_or_default();
             return Reply::bytes(200, "application/json", body).into();
@@ -194,6 +196,6 @@
         Cause::Conflict => Reply::text(worker::FENCED_STATUS, failure.text).into(),
         Cause::Refused => Reply::text(worker::STALE_STATUS, failure.text).into(),
         Cause::Unreachable => Reply::text(404, "no such worker\n").into(),
-        _ => Told::Cut,
+        _ => ServerResponse::Disconnect,
     }
 }
--- a/components/standin/tests/line.rs
+++ b/components/standin/tests/proxy.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
 use {
-    magpie_standin_core::line::{Line, Way},
+    magpie_standin_core::proxy::{Direction, Proxy},
     std::{
         io::{Read, Write},
         net::{TcpListener, TcpStream},
@@ -17,10 +17,10 @@
 const SHORT: Duration = Duration::from_millis(200);
 
 /// A line, and a connection over it: the caller's end and the port's.
-fn connect() -> (Line, TcpStream, TcpStream) {
+fn connect() -> (Proxy, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let line = Line::open(listener.local_addr().unwrap()).unwrap();
-    let mut caller = TcpStream::connect(line.address()).unwrap();
+    let proxy = Proxy::open(listener.local_addr().unwrap()).unwrap();
+    let mut caller = TcpStream::connect(proxy.address()).unwrap();
     let (mut port, _) = listener.accept().unwrap();
     port.set_read_timeout(Some(FOREVER)).unwrap();
     caller.set_read_timeout(Some(FOREVER)).unwrap();
@@ -29,7 +29,7 @@
     assert_eq!(hear(&mut port), Some(b'a'));
     port.write_all(b"b").unwrap();
     assert_eq!(hear(&mut caller), Some(b'b'));
-    (line, caller, port)
+    (proxy, caller, port)
 }
 
 /// The next byte; `None` at the end or without one in time.
@@ -40,8 +40,8 @@
 
 #[test]
 fn cut_loses_one_way() {
-    let (line, mut caller, mut port) = connect();
-    line.cut(Way::There);
+    let (proxy, mut caller, mut port) = connect();
+    proxy.blackhole_direction(Direction::Upstream);
     caller.write_all(b"c").unwrap();
     port.write_all(b"d").unwrap();
     assert_eq!(hear(&mut caller), Some(b'd'));
@@ -51,8 +51,8 @@
 
 #[test]
 fn silence_loses_both_ways() {
-    let (line, mut caller, mut port) = connect();
-    line.silence();
+    let (proxy, mut caller, mut port) = connect();
+    proxy.blackhole();
     caller.write_all(b"c").unwrap();
     port.write_all(b"d").unwrap();
     caller.set_read_timeout(Some(SHORT)).unwrap();
@@ -62,16 +62,16 @@
 
 #[test]
 fn reset_ends_what_is_open() {
-    let (line, mut caller, mut port) = connect();
-    line.reset();
+    let (proxy, mut caller, mut port) = connect();
+    proxy.reset();
     assert_eq!((hear(&mut caller), hear(&mut port)), (None, None));
 }
 
 #[test]
 fn refuse_closes_new_ones() {
-    let (line, mut open, mut port) = connect();
-    line.refuse(true);
-    let mut caller = TcpStream::connect(line.address()).unwrap();
+    let (proxy, mut open, mut port) = connect();
+    proxy.set_refusing(true);
+    let mut caller = TcpStream::connect(proxy.address()).unwrap();
     caller.set_read_timeout(Some(FOREVER)).unwrap();
     assert_eq!(hear(&mut caller), None);
     open.write_all(b"c").unwrap();
--- a/components/trial/tests/whole_path.rs
+++ b/components/trial/tests/end_to_end.rs
@@ -183,7 +183,7 @@
     let answer = fleet.client.send(&call).unwrap();
     assert_eq!(answer.header("x-magpie-verdict"), "ran");
     assert_eq!(answer.body, backend::expected("r1", &body).into_bytes());
-    assert!(fleet.platform.witness.ran("r1"));
+    assert!(fleet.platform.auditor.ran("r1"));
     let ops = fleet.entries()[0].gate.ops_url();
     let sample: burn::report::Sample = fleet
         .client
@@ -202,10 +202,14 @@
     let other = send("h2", 8);
     assert_eq!(wait_ended(&fleet, &first.id).finished, 20);
     assert_eq!(wait_ended(&fleet, &other.id).finished, 20);
-    let totals = fleet.platform.witness.totals();
+    let totals = fleet.platform.auditor.totals();
     assert_eq!((totals.starts, totals.finished), (40, 40));
     assert_eq!(
-        (totals.doubles, totals.refinished, totals.overfull),
+        (
+            totals.concurrent_runs,
+            totals.repeated_tasks,
+            totals.overcommits
+        ),
         (0, 0, 0)
     );
 }
@@ -267,7 +271,7 @@
         assert!(wait_ended(&fleet, &job.id).finished == 0);
     }
     wait(soon(), "tasks run on", || {
-        fleet.platform.witness.running() == 0
+        fleet.platform.auditor.running() == 0
     })
     .unwrap();
 }
@@ -278,7 +282,7 @@
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, &cell, 1, 30, 4000).unwrap();
     wait(soon(), "nothing runs", || {
-        fleet.platform.witness.running() == 30
+        fleet.platform.auditor.running() == 30
     })
     .unwrap();
     let mut dead = fleet.take_owner(&cell).unwrap();
@@ -286,10 +290,10 @@
     let next = submit_until_taken(&fleet, &cell, 2);
     assert_eq!(wait_ended(&fleet, &long.id).finished, 30);
     assert_eq!(wait_ended(&fleet, &next).finished, 5);
-    let totals = fleet.platform.witness.totals();
+    let totals = fleet.platform.auditor.totals();
     // Every task started once: the new owner adopted what ran.
     assert_eq!((totals.starts, totals.finished, totals.stops), (35, 35, 0));
-    assert_eq!((totals.doubles, totals.refinished), (0, 0));
+    assert_eq!((totals.concurrent_runs, totals.repeated_tasks), (0, 0));
 }
 
 #[test]
@@ -298,7 +302,7 @@
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, "h1", 1, 30, 6000).unwrap();
     wait(soon(), "nothing runs", || {
-        fleet.platform.witness.running() == 30
+        fleet.platform.auditor.running() == 30
     })
     .unwrap();
     let frozen = fleet.take_owner(&cell).unwrap();
@@ -314,9 +318,9 @@
     thaw.send(()).unwrap();
     fleet.entries_mut().push(frozen);
     assert_eq!(wait_ended(&fleet, &long.id).finished, 30);
-    let totals = fleet.platform.witness.totals();
+    let totals = fleet.platform.auditor.totals();
     assert_eq!((totals.starts, totals.finished, totals.stops), (30, 30, 0));
-    assert_eq!((totals.doubles, totals.refinished), (0, 0));
+    assert_eq!((totals.concurrent_runs, totals.repeated_tasks), (0, 0));
 }
 
 fn submit_until_taken(fleet: &Fleet, cell: &Arc<str>, key: u64) -> Arc<str> {
@@ -357,7 +361,7 @@
                 })
             })
             .collect();
-        let arrived = || fleet.platform.witness.totals().requests == 8;
+        let arrived = || fleet.platform.auditor.totals().requests == 8;
         wait(soon(), "not all calls arrived", arrived).unwrap();
         assert!(
             entry
--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -16,7 +16,7 @@
     standin::{
         Kv, Runner,
         kv::{Faults, decode, encode},
-        runner::Seen,
+        runner::RunLog,
     },
     std::{
         io::{BufRead, BufReader},
@@ -204,7 +204,7 @@
 struct Cluster {
     kv: Kv,
     store: String,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<RunLog>>,
     runners: Vec<Runner>,
 }
 
@@ -212,7 +212,7 @@
     fn new(work: Duration) -> Self {
         let kv = Kv::default();
         let url = kv.open(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let seen = Arc::new(Mutex::new(RunLog::default()));
         let mut runners = Vec::new();
         for number in 0..3 {
             let id = format!("i-{number}");
@@ -258,9 +258,11 @@
             match send(process.callers, "DELETE", &path, None).unwrap().status {
                 200 => return true,
                 503 => {
-                    let was_tried = self.kv.was_tried(&format!("magpie/in/cancel/{id}"));
+                    let was_write_attempted = self
+                        .kv
+                        .was_write_attempted(&format!("magpie/in/cancel/{id}"));
                     assert!(
-                        is_outcome_unknown || !was_tried,
+                        is_outcome_unknown || !was_write_attempted,
                         "a rejected cancellation was written"
                     );
                 }
@@ -365,7 +367,7 @@
     let seen = lock(&cluster.seen);
     assert_eq!(seen.starts.len(), 5);
     assert!(seen.starts.values().all(|&starts| starts == 1));
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
 }
 
 /// Maximum number of threads of a box that neither owns the cell nor relays.
@@ -413,12 +415,12 @@
     let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
-    cluster.kv.fail(Faults {
+    cluster.kv.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
     until("no box is ready", || !boxes.iter().any(Process::is_ready));
-    cluster.kv.fail(Faults::default());
+    cluster.kv.set_faults(Faults::default());
     for process in &boxes {
         until("the box is ready again", || process.is_ready());
         until("the job is completed", || {
@@ -469,14 +471,14 @@
     let large = json!({ "specification": "x".repeat(300_000), "steps": [] });
     let answer = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
     assert_eq!(answer.status, 413);
-    cluster.kv.fail(Faults {
+    cluster.kv.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
     let answer = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
     assert_eq!(answer.status, 503);
     assert_eq!(answer.header("retry-after"), "1");
-    cluster.kv.fail(Faults::default());
+    cluster.kv.set_faults(Faults::default());
     until("the rejected job is unknown", || {
         status(port, "/q/00000000000000a2") == 410
     });
@@ -491,7 +493,7 @@
     let port = boxes[0].callers;
     until("the cell has an owner", || cluster.owner().is_some());
     let path = "/q/00000000000000a1";
-    cluster.kv.fail(Faults {
+    cluster.kv.set_faults(Faults {
         lost: 1,
         ..Faults::default()
     });
@@ -536,8 +538,8 @@
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
     until("its tasks run", || cluster.running() == 4);
-    cluster.kv.fail(Faults {
-        deaf: true,
+    cluster.kv.set_faults(Faults {
+        watches_silent: true,
         ..Faults::default()
     });
     cluster.cancel(&boxes[box_index], "00000000000000a1");
@@ -571,7 +573,7 @@
     let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
     until("the cell has an owner", || cluster.owner().is_some());
-    cluster.kv.fail(faults);
+    cluster.kv.set_faults(faults);
     let submit = |id: &str| {
         let path = format!("/q/{id}");
         send(port, "POST", &path, Some(&job(1))).unwrap().status
@@ -580,9 +582,13 @@
     submit("00000000000000a0");
     for id in ["00000000000000a1", "00000000000000a2", "00000000000000a3"] {
         assert_eq!(submit(id), 503);
-        assert!(!cluster.kv.was_tried(&format!("magpie/in/job/{id}")));
+        assert!(
+            !cluster
+                .kv
+                .was_write_attempted(&format!("magpie/in/job/{id}"))
+        );
     }
-    cluster.kv.fail(Faults::default());
+    cluster.kv.set_faults(Faults::default());
     until("the rejected job is accepted", || {
         submit("00000000000000a1") == 200
     });
@@ -625,7 +631,7 @@
         state(boxes[0].callers, path) == "completed"
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
     assert!(seen.starts.values().all(|&starts| starts == 1));
 }
 
@@ -655,7 +661,7 @@
         cluster.kv.calls() > before + 52
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty(), "{:?}", seen.doubled);
+    assert!(seen.ran_twice.is_empty(), "{:?}", seen.ran_twice);
     assert_eq!(seen.starts.values().sum::<u32>(), 16);
 }
 
@@ -709,7 +715,7 @@
     for (number, runner) in cluster.runners.iter().enumerate() {
         let id = format!("i-{number}");
         if is_entry_stale {
-            runner.restart_unlisted(&id);
+            runner.restart_without_entry(&id);
         } else {
             runner.restart(&id);
         }
@@ -724,7 +730,7 @@
     }
     thread::sleep(ENTRY_DELAY);
     for runner in &cluster.runners {
-        runner.list();
+        runner.update_entry();
     }
     cluster.run_jobs(&boxes, 5..9);
     until("the job from before the restart is completed", || {
@@ -732,11 +738,11 @@
     });
     let seen = lock(&cluster.seen);
     assert!(
-        seen.doubled.is_empty(),
+        seen.ran_twice.is_empty(),
         "run concurrently: {:?}",
-        seen.doubled
+        seen.ran_twice
     );
-    let again = seen.started_after_done();
+    let again = seen.restarted_after_done();
     assert!(again.is_empty(), "run again: {again:?}");
 }
 
@@ -845,8 +851,8 @@
     {
         let boxes = cluster.boxes(2);
         cluster.runners.iter().for_each(|runner| {
-            runner.fail(standin::runner::Faults {
-                unwell: true,
+            runner.set_faults(standin::runner::Faults {
+                refuses_starts: true,
                 ..standin::runner::Faults::default()
             });
         });
@@ -854,13 +860,13 @@
         assert_eq!(answer.status, 200);
     }
     for runner in &cluster.runners {
-        runner.fail(standin::runner::Faults::default());
+        runner.set_faults(standin::runner::Faults::default());
     }
     let boxes = cluster.boxes(2);
     until("the job is completed", || {
         state(boxes[1].callers, path) == "completed"
     });
-    assert!(lock(&cluster.seen).doubled.is_empty());
+    assert!(lock(&cluster.seen).ran_twice.is_empty());
 }
 
 /// A relay calls most workers; when it is killed, the owner continues without it.
@@ -883,6 +889,6 @@
         state(port, second) == "completed"
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
     assert_eq!(seen.starts.len(), 22);
 }
--- a/programs/demo/src/callers.rs
+++ b/programs/demo/src/callers.rs
@@ -86,7 +86,7 @@
         }
         "not-run" => {
             World::count(&world.counts.shed);
-            if once && world.fleet.platform.witness.ran(id) {
+            if once && world.fleet.platform.auditor.ran(id) {
                 world.breach("a request told 'not run' had run");
             }
         }
--- a/programs/demo/src/check.rs
+++ b/programs/demo/src/check.rs
@@ -79,17 +79,23 @@
 
 /// Looks at what the stand-ins saw.
 pub fn totals(world: &World) {
-    let totals = world.fleet.platform.witness.totals();
+    let totals = world.fleet.platform.auditor.totals();
     let counts = [
-        (totals.doubles, "a task ran in two places at once"),
-        (totals.refinished, "a task ran again after it had finished"),
-        (totals.overfull, "a worker was committed beyond what it has"),
+        (totals.concurrent_runs, "a task ran in two places at once"),
         (
-            totals.repeats,
+            totals.repeated_tasks,
+            "a task ran again after it had finished",
+        ),
+        (
+            totals.overcommits,
+            "a worker was committed beyond what it has",
+        ),
+        (
+            totals.repeated_requests,
             "a request that must not be repeated ran again",
         ),
         (
-            totals.overslots,
+            totals.slot_overruns,
             "a backend server got more requests than it has slots",
         ),
     ];
--- a/programs/demo/src/outcome.rs
+++ b/programs/demo/src/outcome.rs
@@ -66,7 +66,7 @@
 
 /// Gathers the outcome.
 pub fn build(world: &World, (before, after): (Counts, Counts), took: Duration) -> Outcome {
-    let totals = world.fleet.platform.witness.totals();
+    let totals = world.fleet.platform.auditor.totals();
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     let counts = &world.counts;
     let reads = after.get + after.watch - before.get - before.watch;
@@ -90,8 +90,8 @@
         starts: totals.starts,
         finished: totals.finished,
         evictions: totals.evictions,
-        double_runs: totals.doubles + totals.refinished,
-        overcommits: totals.overfull,
+        double_runs: totals.concurrent_runs + totals.repeated_tasks,
+        overcommits: totals.overcommits,
         edits: count(&counts.edits),
         conflicts: count(&counts.conflicts),
         open_edits: count(&counts.open_edits),
@@ -107,7 +107,7 @@
 fn urgent_times(world: &World) -> Vec<f64> {
     let mut times = Vec::new();
     for (id, submitted) in lock(&world.urgent).iter() {
-        let Some(begun) = world.fleet.platform.witness.begun(id) else {
+        let Some(begun) = world.fleet.platform.auditor.begun(id) else {
             continue;
         };
         times.push(begun.saturating_duration_since(*submitted).as_secs_f64() * 1e3);
--- a/programs/demo/src/trouble.rs
+++ b/programs/demo/src/trouble.rs
@@ -121,14 +121,14 @@
 }
 
 fn worker_restarts(world: &World) {
-    world.fleet.platform.farm.with("w003", Ledger::reboot);
+    world.fleet.platform.worker_set.with("w003", Ledger::reboot);
 }
 
 fn worker_fails(world: &World) {
     world
         .fleet
         .platform
-        .farm
+        .worker_set
         .with("w005", |ledger| ledger.faults.failing = true);
 }
 
--- a/programs/load/src/added.rs
+++ b/programs/load/src/added.rs
@@ -7,7 +7,7 @@
     infra::Store,
     kernel::{Call, Client},
     serde::Serialize,
-    standin::{Backend, Registry, Witness, clock::Clock, deploy::entry_item, store},
+    standin::{Auditor, Backend, Registry, clock::Clock, deploy::entry_item, store},
     std::{
         io,
         net::SocketAddr,
@@ -81,7 +81,7 @@
     let core = Arc::new(store::Core::new(store::Rates::default(), Clock::real()));
     seed(core.as_ref())?;
     let registry = Registry::new(Duration::ZERO);
-    let backend = Backend::open(any, Duration::ZERO, 1, Witness::new())?;
+    let backend = Backend::open(any, Duration::ZERO, 1, Auditor::new())?;
     let mut item = entry_item("s1", "h1", &[("http", backend.url())]);
     item.kind = infra::boxes::Kind::Backend;
     item.class = Arc::from(CLASS);
--- a/programs/load/src/slope/exchange.rs
+++ b/programs/load/src/slope/exchange.rs
@@ -8,7 +8,7 @@
     },
     infra::worker::{self, Order, Workers},
     sched::service,
-    standin::{Farm, Witness, clock::Clock},
+    standin::{Auditor, WorkerSet, clock::Clock},
     std::sync::Arc,
 };
 
@@ -17,10 +17,10 @@
 
 /// Exchanges with one worker, one after another.
 pub fn run() -> Vec<Fit> {
-    let farm = Farm::new(Clock::real(), Witness::new());
+    let worker_set = WorkerSet::new(Clock::real(), Auditor::new());
     let name = item(1, "h1").name;
-    farm.add(&name, super::rig::WORKER);
-    let Ok(port) = farm.open(([127, 0, 0, 1], 0).into()) else {
+    worker_set.add(&name, super::rig::WORKER);
+    let Ok(port) = worker_set.open(([127, 0, 0, 1], 0).into()) else {
         return Vec::new();
     };
     let workers = worker::Http::new(service::worker_client());
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -10,7 +10,7 @@
     sched::limits::Limits,
     sched::record::CellRecord,
     sched::{Cell, Spec, job, pass, placement},
-    standin::{Farm, Witness, clock::Clock},
+    standin::{Auditor, WorkerSet, clock::Clock},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -31,7 +31,7 @@
 pub struct Rig {
     /// The cell.
     pub cell: Cell,
-    farm: Farm,
+    worker_set: WorkerSet,
     clock: Clock,
     start: Instant,
     version: u64,
@@ -66,10 +66,10 @@
     /// A cell that holds this many workers, all heard.
     pub fn new(workers: usize) -> Self {
         let clock = Clock::manual();
-        let farm = Farm::new(clock.clone(), Witness::new());
+        let worker_set = WorkerSet::new(clock.clone(), Auditor::new());
         let items: Vec<Item> = (0..workers).map(|at| item(at, CELL)).collect();
         for item in &items {
-            farm.add(&item.name, WORKER);
+            worker_set.add(&item.name, WORKER);
         }
         let start = Instant::now();
         let tenure = Ownership::begin(Arc::from(CELL), 1);
@@ -89,7 +89,7 @@
         cell.set_limits(Limits::of(CELL, table(4), &list));
         let mut rig = Rig {
             cell,
-            farm,
+            worker_set,
             clock,
             start,
             version: 0,
@@ -165,7 +165,7 @@
             let order = self.cell.next_order(at);
             spent += started.elapsed();
             let name = self.cell.fleet.worker(at).name.clone();
-            let Ok(report) = self.farm.exchange(&name, &order) else {
+            let Ok(report) = self.worker_set.exchange(&name, &order) else {
                 continue;
             };
             let started = Instant::now();
--- a/programs/load/src/slope/writes.rs
+++ b/programs/load/src/slope/writes.rs
@@ -64,7 +64,7 @@
 /// Starts, writes and reads a second with jobs of this size.
 fn rates(fleet: &Fleet, tasks: u32) -> (f64, f64, f64) {
     let counts = || fleet.platform.store.core().counts();
-    let starts = || fleet.platform.witness.totals().starts;
+    let starts = || fleet.platform.auditor.totals().starts;
     let (before, first) = (counts(), starts());
     let began = Instant::now();
     let mut number = 0;
--- a/programs/load/src/takeover.rs
+++ b/programs/load/src/takeover.rs
@@ -107,7 +107,7 @@
     let cell = fleet.deploy.hall(0);
     let tasks = (fleet.deploy.workers / fleet.deploy.halls * 16) as u32;
     submit(&fleet, &spec(batch, &cell, tasks, 3_600_000), 1)?;
-    let all = || fleet.platform.witness.running() == tasks as usize;
+    let all = || fleet.platform.auditor.running() == tasks as usize;
     wait(Instant::now() + ROUND_MOST, "the cell did not fill", all)?;
     let mut times = Vec::new();
     for round in 0..rounds {
@@ -115,14 +115,14 @@
     }
     let mut sorted = times.clone();
     sorted.sort_by(f64::total_cmp);
-    let totals = fleet.platform.witness.totals();
+    let totals = fleet.platform.auditor.totals();
     Ok(Outcome {
         deploy: name,
         running: tasks as usize,
         p50_ms: sorted[(sorted.len() - 1) / 2],
         most_ms: sorted[sorted.len() - 1],
         rounds: times,
-        double_runs: totals.doubles + totals.refinished,
+        double_runs: totals.concurrent_runs + totals.repeated_tasks,
         stops: totals.stops,
     })
 }
@@ -137,7 +137,7 @@
     let killed = Instant::now();
     dead.kill();
     let id = submit(fleet, &spec("urgent", cell, 1, 100), u64::from(round) + 100)?;
-    let begun = || fleet.platform.witness.begun(&id);
+    let begun = || fleet.platform.auditor.begun(&id);
     wait(
         Instant::now() + ROUND_MOST,
         "urgent work did not start",
--- a/programs/soak/src/fault.rs
+++ b/programs/soak/src/fault.rs
@@ -7,7 +7,7 @@
     },
     anyhow::Result,
     kernel::{Client, sync::lock, task::Signal},
-    standin::{kv, line::Way, runner},
+    standin::{kv, proxy::Direction, runner},
     std::{
         collections::HashMap,
         thread,
@@ -125,18 +125,22 @@
             Fault::KillAll => world.boxes.iter().for_each(|own| lock(own).kill()),
             Fault::Term(number) => lock(&world.boxes[number]).ask_to_end(),
             Fault::TermAll => world.boxes.iter().for_each(|own| lock(own).ask_to_end()),
-            Fault::StoreSilent(number) => world.lines[number].silence(),
-            Fault::StoreOneWay(number, way) => world.lines[number].cut(way_of(way)),
-            Fault::StoreReset(number) => world.lines[number].reset(),
+            Fault::StoreSilent(number) => world.proxies[number].blackhole(),
+            Fault::StoreOneWay(number, way) => {
+                world.proxies[number].blackhole_direction(way_of(way))
+            }
+            Fault::StoreReset(number) => world.proxies[number].reset(),
             Fault::Compact => world.kv.compact(),
-            Fault::WorkerSilent(number) => world.workers[number].line.silence(),
-            Fault::WorkerOneWay(number, way) => world.workers[number].line.cut(way_of(way)),
-            Fault::WorkerReset(number) => world.workers[number].line.reset(),
+            Fault::WorkerSilent(number) => world.workers[number].proxy.blackhole(),
+            Fault::WorkerOneWay(number, way) => {
+                world.workers[number].proxy.blackhole_direction(way_of(way))
+            }
+            Fault::WorkerReset(number) => world.workers[number].proxy.reset(),
             Fault::Crash(number) => {
                 self.stale.insert(place, world.crash(number));
             }
             Fault::Reborn(number, is_behind) => world.reborn(number, is_behind),
-            Fault::CallsLate(number, count) => world.workers[number].runner.hold_back(count),
+            Fault::CallsLate(number, count) => world.workers[number].runner.defer_calls(count),
             Fault::Unlisted(number) => world.unlist(&world.life(number)),
             Fault::Shut(hall) => world.shut(hall),
             Fault::Version => world.write_version(),
@@ -151,7 +155,7 @@
     fn end(&mut self, place: usize) {
         match self.plan[place].fault {
             Fault::Late(_) => {
-                self.world.kv.carry_out();
+                self.world.kv.apply_deferred();
             }
             Fault::Crash(_) => {
                 if let Some(life) = self.stale.remove(&place) {
@@ -161,7 +165,7 @@
             Fault::Unlisted(number) | Fault::Garbled(number) | Fault::Reborn(number, _) => {
                 self.world.list(number);
             }
-            Fault::CallsLate(number, _) => self.world.workers[number].runner.carry_out(),
+            Fault::CallsLate(number, _) => self.world.workers[number].runner.run_deferred(),
             Fault::Shrunk(number, _) => self.world.resize(number, CORES),
             Fault::Foreign(kind) => self.world.unlist_foreign(kind),
             Fault::Shut(hall) => {
@@ -184,20 +188,20 @@
                 Fault::Busy => faults.busy = true,
                 Fault::Reset => faults.reset = true,
                 Fault::Lost(count) => faults.lost = count,
-                Fault::Late(count) => faults.late = count,
-                Fault::Deaf => faults.deaf = true,
+                Fault::Late(count) => faults.deferred = count,
+                Fault::Deaf => faults.watches_silent = true,
                 _ => {}
             }
         }
-        world.kv.fail(faults);
-        for (number, line) in world.lines.iter().enumerate() {
+        world.kv.set_faults(faults);
+        for (number, proxy) in world.proxies.iter().enumerate() {
             let is_away = |fault| fault == Fault::StoreAway(number);
             let away = self.faults().any(is_away);
-            line.refuse(away);
+            proxy.set_refusing(away);
             if away {
-                line.reset();
+                proxy.reset();
             }
-            line.delay(self.delay(|fault| match fault {
+            proxy.set_delay(self.delay(|fault| match fault {
                 Fault::StoreSlow(at, millis) if at == number => Some(millis),
                 _ => None,
             }));
@@ -216,14 +220,14 @@
         let mut faults = runner::Faults::default();
         for fault in self.faults() {
             match fault {
-                Fault::Unwell(at) if at == number => faults.unwell = true,
+                Fault::Unwell(at) if at == number => faults.refuses_starts = true,
                 Fault::WorkerAway(at) if at == number => faults.reset = true,
                 Fault::StartsLost(at, count) if at == number => faults.lost = count,
                 _ => {}
             }
         }
-        worker.runner.fail(faults);
-        worker.line.delay(self.delay(|fault| match fault {
+        worker.runner.set_faults(faults);
+        worker.proxy.set_delay(self.delay(|fault| match fault {
             Fault::WorkerSlow(at, millis) if at == number => Some(millis),
             _ => None,
         }));
@@ -248,8 +252,12 @@
     }
 }
 
-fn way_of(is_there: bool) -> Way {
-    if is_there { Way::There } else { Way::Back }
+fn way_of(is_there: bool) -> Direction {
+    if is_there {
+        Direction::Upstream
+    } else {
+        Direction::Downstream
+    }
 }
 
 /// Notes which boxes have become ready, until the signal says stop.
--- a/programs/soak/src/world.rs
+++ b/programs/soak/src/world.rs
@@ -14,8 +14,8 @@
     standin::{
         Kv, Runner,
         kv::{decode, encode},
-        line::Line,
-        runner::Seen,
+        proxy::Proxy,
+        runner::RunLog,
     },
     std::{
         collections::HashMap,
@@ -41,7 +41,7 @@
     /// The worker.
     pub runner: Runner,
     /// What all boxes reach it by.
-    pub line: Line,
+    pub proxy: Proxy,
     /// How many lives it was given.
     lives: Mutex<u32>,
     /// Its entry in the listing, with all of its room.
@@ -61,12 +61,12 @@
     /// The store.
     pub kv: Kv,
     /// The line of each box to the store.
-    pub lines: Vec<Line>,
+    pub proxies: Vec<Proxy>,
     /// The boxes.
     pub boxes: Vec<Mutex<Process>>,
     /// The workers.
     pub workers: Vec<Worker>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<RunLog>>,
     /// All jobs.
     pub jobs: Mutex<Jobs>,
     troubles: Mutex<Troubles>,
@@ -88,11 +88,11 @@
         let kv = Kv::default();
         let url = kv.open(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let store: SocketAddr = url.trim_start_matches("http://").parse()?;
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let seen = Arc::new(Mutex::new(RunLog::default()));
         let mut world = World {
             begun: Instant::now(),
             kv,
-            lines: Vec::new(),
+            proxies: Vec::new(),
             boxes: Vec::new(),
             workers: Vec::new(),
             seen,
@@ -109,12 +109,12 @@
             world.workers.push(worker);
         }
         for number in 0..boxes {
-            let line = Line::open(store)?;
-            let address = line.address().to_string();
+            let proxy = Proxy::open(store)?;
+            let address = proxy.address().to_string();
             if let Some(link) = program.link {
-                line.limit(link as usize * BYTES_OF_MBIT);
+                proxy.set_rate(link as usize * BYTES_OF_MBIT);
             }
-            world.lines.push(line);
+            world.proxies.push(proxy);
             let process = Process::new(program, number, address)?;
             world.boxes.push(Mutex::new(process));
         }
@@ -131,13 +131,13 @@
         let entry = self.kv.value(&key).context("a worker has no entry")?;
         let mut entry: Value = serde_json::from_slice(&decode(&entry))?;
         let address = entry["address"].as_str().unwrap_or_default();
-        let line = Line::open(address.parse()?)?;
-        entry["address"] = line.address().to_string().into();
+        let proxy = Proxy::open(address.parse()?)?;
+        entry["address"] = proxy.address().to_string().into();
         entry["zone"] = hall_name(number % HALLS).into();
         self.kv.put(&key, &encode(&entry));
         Ok(Worker {
             runner,
-            line,
+            proxy,
             lives: Mutex::new(1),
             entry,
         })
@@ -192,7 +192,7 @@
     pub fn reborn(&self, number: usize, is_behind: bool) {
         self.workers[number]
             .runner
-            .restart_unlisted(&self.life(number));
+            .restart_without_entry(&self.life(number));
         if !is_behind {
             self.list(number);
         }
@@ -245,7 +245,7 @@
         let mut entry = worker.entry.clone();
         // A worker tells what it has now, whatever else has befallen its entry meanwhile.
         entry["capacity"]["cpu"] = (worker.runner.cores() * 1_000).into();
-        entry["born"] = worker.runner.born().into();
+        entry["born"] = worker.runner.start_time().into();
         self.kv.put(&key, &encode(&entry));
     }
 
@@ -355,13 +355,13 @@
     /// All runs of tasks so far.
     pub fn runs(&self) -> Vec<Run> {
         let seen = lock(&self.seen);
-        let runs = seen.ran.iter().map(|ran| Run {
+        let runs = seen.runs.iter().map(|ran| Run {
             task: ran.task.to_string(),
             worker: ran.worker.to_string(),
-            begun: self.at(ran.begun),
+            begun: self.at(ran.started),
             ended: ran.ended.map_or(NEVER, |(at, _)| self.at(at)),
             how: ran.ended.map_or("", |(_, how)| how),
-            noted: ran.noted.is_some(),
+            noted: ran.acknowledged.is_some(),
         });
         runs.collect()
     }
@@ -374,7 +374,7 @@
             false => Trouble::always(),
         };
         // What was refused for want of room is found in no run.
-        let over = lock(&self.seen).over.clone();
+        let over = lock(&self.seen).capacity_refusals.clone();
         for (at, task, worker) in over {
             let text = format!("{task} was sent to full {worker} at {} us", self.at(at));
             let id = task.split('.').next().unwrap_or_default();
--- a/programs/standin/src/store.rs
+++ b/programs/standin/src/store.rs
@@ -6,7 +6,7 @@
     standin::{
         Store,
         clock::Clock,
-        store::{Port, Rates},
+        store::{Rates, Server},
     },
     std::sync::Arc,
 };
@@ -14,7 +14,7 @@
 /// Serves the store until the process is asked to stop.
 pub fn run(command: &cli::Store) {
     let core = Arc::new(Store::new(Rates::default(), Clock::real()));
-    let port = daemon::started_or_exit(Port::open(command.listen, core));
+    let port = daemon::started_or_exit(Server::open(command.listen, core));
     println!("store {}", port.url());
     daemon::wait_for_shutdown();
 }
