--- a/components/standin/src/auditor.rs
+++ b/components/standin/src/auditor.rs
@@ -49,7 +49,7 @@
     /// By an order, or with its box.
     Stopped,
     /// With its lease.
-    Lapsed,
+    LeaseExpired,
 }
 
 #[derive(Default)]
@@ -57,8 +57,8 @@
     totals: Totals,
     running: HashMap<Task, Arc<str>>,
     finished: HashSet<Task>,
-    ran: HashMap<Arc<str>, u32>,
-    begun: HashMap<Arc<str>, Instant>,
+    request_runs: HashMap<Arc<str>, u32>,
+    first_starts: HashMap<Arc<str>, Instant>,
 }
 
 /// Sees everything that the stand-ins do.
@@ -79,11 +79,11 @@
     }
 
     /// A task starts on a worker.
-    pub fn start(&self, task: &Task, worker: &Arc<str>) {
+    pub fn record_start(&self, task: &Task, worker: &Arc<str>) {
         let mut inner = lock(&self.inner);
         inner.totals.starts += 1;
         inner
-            .begun
+            .first_starts
             .entry(task.job.clone())
             .or_insert_with(Instant::now);
         if inner.running.insert(task.clone(), worker.clone()).is_some() {
@@ -96,7 +96,7 @@
     }
 
     /// A task ends on a worker.
-    pub fn end(&self, task: &Task, end: End) {
+    pub fn record_end(&self, task: &Task, end: End) {
         let mut inner = lock(&self.inner);
         inner.running.remove(task);
         match end {
@@ -111,7 +111,7 @@
                 inner.totals.stops += 1;
                 return;
             }
-            End::Lapsed => {
+            End::LeaseExpired => {
                 inner.totals.lease_expiries += 1;
                 inner.totals.stops += 1;
                 return;
@@ -125,7 +125,7 @@
     }
 
     /// A task's end was lost with its box before anybody was told of it.
-    pub fn lost(&self, task: &Task) {
+    pub fn discard_finish(&self, task: &Task) {
         let mut inner = lock(&self.inner);
         if inner.finished.remove(task) {
             inner.totals.finished -= 1;
@@ -133,16 +133,16 @@
     }
 
     /// A worker was committed beyond what it has.
-    pub fn overcommits(&self) {
+    pub fn record_overcommit(&self) {
         lock(&self.inner).totals.overcommits += 1;
     }
 
     /// A backend server runs a request; an id is given when it must run at most once.
-    pub fn request(&self, id: Option<&str>) {
+    pub fn record_request(&self, id: Option<&str>) {
         let mut inner = lock(&self.inner);
         inner.totals.requests += 1;
         let Some(id) = id else { return };
-        let count = inner.ran.entry(Arc::from(id)).or_default();
+        let count = inner.request_runs.entry(Arc::from(id)).or_default();
         *count += 1;
         if *count > 1 {
             inner.totals.repeated_requests += 1;
@@ -150,18 +150,18 @@
     }
 
     /// True when a request with this id ran.
-    pub fn ran(&self, id: &str) -> bool {
-        lock(&self.inner).ran.contains_key(id)
+    pub fn has_run(&self, id: &str) -> bool {
+        lock(&self.inner).request_runs.contains_key(id)
     }
 
     /// A backend server had more requests at once than slots.
-    pub fn slot_overruns(&self) {
+    pub fn record_slot_overrun(&self) {
         lock(&self.inner).totals.slot_overruns += 1;
     }
 
     /// When the first task of a job started.
-    pub fn begun(&self, job: &str) -> Option<Instant> {
-        lock(&self.inner).begun.get(job).copied()
+    pub fn first_start(&self, job: &str) -> Option<Instant> {
+        lock(&self.inner).first_starts.get(job).copied()
     }
 
     /// The number of tasks that are running.
--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -23,11 +23,11 @@
     },
 };
 
-/// Requests that a server runs at once.
+/// Requests that a server runs at at_most_once.
 pub const SLOTS: usize = 8;
 
 /// Connections that a server takes.
-pub const CONNECTIONS: usize = 64;
+pub const MAX_CONNECTIONS: usize = 64;
 
 /// The header by which a server says that it did not run a request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
@@ -59,7 +59,7 @@
 
 struct Inner {
     faults: Mutex<Faults>,
-    busy: AtomicUsize,
+    in_flight: AtomicUsize,
     service: Duration,
     rng: Mutex<fastrand::Rng>,
     auditor: Auditor,
@@ -72,7 +72,7 @@
 }
 
 /// The sum that an answer carries of a request's body.
-pub fn sum(body: &[u8]) -> u64 {
+pub fn checksum(body: &[u8]) -> u64 {
     let mut sum = 0xcbf2_9ce4_8422_2325_u64;
     for byte in body {
         sum = (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -81,8 +81,8 @@
 }
 
 /// The whole answer to a request with this id and body.
-pub fn expected(id: &str, body: &[u8]) -> String {
-    format!("{id}:{:016x}", sum(body))
+pub fn expected_body(id: &str, body: &[u8]) -> String {
+    format!("{id}:{:016x}", checksum(body))
 }
 
 impl Backend {
@@ -99,13 +99,15 @@
     ) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             faults: Mutex::default(),
-            busy: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             service,
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
             auditor,
         });
-        let theirs = inner.clone();
-        let url = http_server::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
+        let shared = inner.clone();
+        let url = http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&shared, &request)
+        })?;
         Ok(Backend { inner, url })
     }
 
@@ -120,14 +122,14 @@
     }
 
     /// Requests that it runs now.
-    pub fn busy(&self) -> usize {
-        self.inner.busy.load(Ordering::Acquire)
+    pub fn in_flight(&self) -> usize {
+        self.inner.in_flight.load(Ordering::Acquire)
     }
 }
 
-fn handle(inner: &Inner, asked: &ServerRequest) -> ServerResponse {
-    if asked.path == "/admin/faults" {
-        return match serde_json::from_slice(&asked.body) {
+fn handle(inner: &Inner, request: &ServerRequest) -> ServerResponse {
+    if request.path == "/admin/faults" {
+        return match serde_json::from_slice(&request.body) {
             Ok(faults) => {
                 *lock(&inner.faults) = faults;
                 Reply::text(200, "set\n").into()
@@ -147,21 +149,21 @@
     faults.cut = faults.cut.saturating_sub(1);
     let slow = faults.slow;
     drop(faults);
-    if inner.busy.fetch_add(1, Ordering::AcqRel) >= SLOTS {
-        inner.busy.fetch_sub(1, Ordering::AcqRel);
-        inner.auditor.slot_overruns();
+    if inner.in_flight.fetch_add(1, Ordering::AcqRel) >= SLOTS {
+        inner.in_flight.fetch_sub(1, Ordering::AcqRel);
+        inner.auditor.record_slot_overrun();
         return refusal("slots").into();
     }
-    let once = !asked.header("x-once").is_empty();
-    let id = asked.header("x-id");
-    inner.auditor.request(once.then_some(id));
+    let at_most_once = !request.header("x-once").is_empty();
+    let id = request.header("x-id");
+    inner.auditor.record_request(at_most_once.then_some(id));
     thread::sleep(service_time(inner) * slow);
-    // The slot is free before the answer leaves, since the next request may come at once.
-    inner.busy.fetch_sub(1, Ordering::AcqRel);
+    // The slot is free before the answer leaves, since the next request may come at at_most_once.
+    inner.in_flight.fetch_sub(1, Ordering::AcqRel);
     if cut {
         return ServerResponse::Disconnect;
     }
-    Reply::text(200, expected(id, &asked.body)).into()
+    Reply::text(200, expected_body(id, &request.body)).into()
 }
 
 fn refusal(reason: &str) -> Reply {
--- a/components/standin/src/boxes.rs
+++ b/components/standin/src/boxes.rs
@@ -14,15 +14,15 @@
 };
 
 /// Connections that the port takes.
-const CONNECTIONS: usize = 4096;
+const MAX_CONNECTIONS: usize = 4096;
 
 struct Inner {
     /// What is so.
     items: BTreeMap<Arc<str>, Item>,
-    /// What is shown.
-    shown: Arc<List>,
-    /// When the shown list takes over what is so.
-    due: Option<Instant>,
+    /// What is published.
+    published: Arc<List>,
+    /// When the published list takes over what is so.
+    publish_at: Option<Instant>,
     lag: Duration,
 }
 
@@ -35,14 +35,14 @@
 impl Registry {
     /// An empty list that lags by this much.
     pub fn new(lag: Duration) -> Self {
-        let shown = Arc::new(List {
+        let published = Arc::new(List {
             version: 1,
             items: Vec::new(),
         });
         let inner = Inner {
             items: BTreeMap::new(),
-            shown,
-            due: None,
+            published,
+            publish_at: None,
             lag,
         };
         Registry {
@@ -53,8 +53,8 @@
     fn change(&self, change: impl FnOnce(&mut BTreeMap<Arc<str>, Item>)) {
         let mut inner = lock(&self.inner);
         change(&mut inner.items);
-        if inner.due.is_none() {
-            inner.due = Some(Instant::now() + inner.lag);
+        if inner.publish_at.is_none() {
+            inner.publish_at = Some(Instant::now() + inner.lag);
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Marks a box as leaving.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         self.change(|items| {
             if let Some(item) = items.get_mut(name) {
                 item.state = State::Leaving;
@@ -81,16 +81,19 @@
         });
     }
 
-    /// The list as it is shown now.
-    pub fn shown(&self) -> Arc<List> {
+    /// The list as it is published now.
+    pub fn published(&self) -> Arc<List> {
         let mut inner = lock(&self.inner);
-        if inner.due.is_some_and(|due| Instant::now() >= due) {
-            inner.due = None;
-            let version = inner.shown.version + 1;
+        if inner
+            .publish_at
+            .is_some_and(|publish_at| Instant::now() >= publish_at)
+        {
+            inner.publish_at = None;
+            let version = inner.published.version + 1;
             let items = inner.items.values().cloned().collect();
-            inner.shown = Arc::new(List { version, items });
+            inner.published = Arc::new(List { version, items });
         }
-        inner.shown.clone()
+        inner.published.clone()
     }
 
     /// Serves the list on a port. Returns its base address.
@@ -100,32 +103,32 @@
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<String> {
         let registry = self.clone();
-        http_server::open(address, CONNECTIONS, move |asked| {
-            handle(&registry, &asked).into()
+        http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&registry, &request).into()
         })
     }
 }
 
 impl Boxes for Registry {
     fn list(&self, after: u64) -> Result<Option<List>, Failure> {
-        let shown = self.shown();
-        Ok((shown.version != after).then(|| (*shown).clone()))
+        let published = self.published();
+        Ok((published.version != after).then(|| (*published).clone()))
     }
 }
 
-fn handle(registry: &Registry, asked: &ServerRequest) -> Reply {
-    let after = asked.number("after");
-    match (asked.method.as_str(), asked.path.as_str()) {
+fn handle(registry: &Registry, request: &ServerRequest) -> Reply {
+    let after = request.number("after");
+    match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/v1/boxes") => {
-            let shown = registry.shown();
-            if shown.version == after {
+            let published = registry.published();
+            if published.version == after {
                 Reply::text(304, "")
             } else {
-                let body = serde_json::to_vec(&*shown).unwrap_or_default();
+                let body = serde_json::to_vec(&*published).unwrap_or_default();
                 Reply::bytes(200, "application/json", body)
             }
         }
-        ("POST", "/admin/put") => match serde_json::from_slice::<Vec<Item>>(&asked.body) {
+        ("POST", "/admin/put") => match serde_json::from_slice::<Vec<Item>>(&request.body) {
             Ok(items) => {
                 for item in items {
                     registry.put(item);
@@ -135,11 +138,11 @@
             Err(e) => Reply::text(400, e.to_string()),
         },
         ("POST", "/admin/leave") => {
-            registry.leave(asked.parameter("name").unwrap_or_default());
+            registry.mark_leaving(request.parameter("name").unwrap_or_default());
             Reply::text(200, "leaving\n")
         }
         ("POST", "/admin/remove") => {
-            registry.remove(asked.parameter("name").unwrap_or_default());
+            registry.remove(request.parameter("name").unwrap_or_default());
             Reply::text(200, "removed\n")
         }
         _ => Reply::text(404, "no such path\n"),
--- a/components/standin/src/http_server.rs
+++ b/components/standin/src/http_server.rs
@@ -12,7 +12,7 @@
 };
 
 /// The time for one read or write of a connection.
-const STEP: Duration = Duration::from_secs(60);
+const IO_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One whole request.
 #[derive(Clone)]
@@ -81,10 +81,10 @@
     let handler = Arc::new(handler);
     let bounds = Bounds {
         connections,
-        io_timeout: STEP,
+        io_timeout: IO_TIMEOUT,
     };
-    let run = move |request: &mut Request<Body>| match read(request) {
-        Ok(asked) => respond(handler(asked)),
+    let run = move |request: &mut Request<Body>| match read_request(request) {
+        Ok(request) => respond(handler(request)),
         Err(_) => respond(ServerResponse::Disconnect),
     };
     Ok(format!(
@@ -93,7 +93,7 @@
     ))
 }
 
-fn read(request: &mut Request<Body>) -> io::Result<ServerRequest> {
+fn read_request(request: &mut Request<Body>) -> io::Result<ServerRequest> {
     let mut body = Vec::new();
     request.body_mut().read_to_end(&mut body)?;
     let text = |value: &oxhttp::model::HeaderValue| value.to_str().unwrap_or_default().to_owned();
@@ -109,8 +109,8 @@
     })
 }
 
-fn respond(told: ServerResponse) -> Response<Body> {
-    let ServerResponse::Reply(reply) = told else {
+fn respond(response: ServerResponse) -> Response<Body> {
+    let ServerResponse::Reply(reply) = response else {
         return Response::new(public_server::truncated_body(Vec::new()));
     };
     let mut builder = Response::builder()
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -15,10 +15,10 @@
 };
 
 /// The work between two checkpoints, in milliseconds.
-const CHECKPOINT_EVERY: u64 = 1000;
+const CHECKPOINT_INTERVAL: u64 = 1000;
 
 /// The time between two samples of usage, in milliseconds.
-const USAGE_EVERY: u64 = 5000;
+const USAGE_INTERVAL: u64 = 5000;
 
 /// The age of a sample of usage, in milliseconds.
 const USAGE_LAG: u64 = 3000;
@@ -42,8 +42,8 @@
     /// Work done, in milliseconds at full speed.
     done: u64,
     percent: u8,
-    /// True once a report told of the end.
-    told: bool,
+    /// True once a report reported of the end.
+    reported: bool,
 }
 
 /// One worker.
@@ -106,26 +106,30 @@
     /// Lets the time pass: work goes on, tasks finish, the lease may end.
     pub fn advance(&mut self) {
         let now = self.clock.now();
-        let passed = now.saturating_sub(self.advanced);
+        let elapsed = now.saturating_sub(self.advanced);
         self.advanced = now;
-        let lapsed = now > self.lease;
+        let expired = now > self.lease;
         for entry in self.entries.values_mut() {
             if entry.record.phase != Phase::Running {
                 continue;
             }
-            entry.done += passed * u64::from(entry.percent) / 100;
-            entry.record.checkpoint = entry.done / CHECKPOINT_EVERY * CHECKPOINT_EVERY;
+            entry.done += elapsed * u64::from(entry.percent) / 100;
+            entry.record.checkpoint = entry.done / CHECKPOINT_INTERVAL * CHECKPOINT_INTERVAL;
             let phase = match entry.length {
                 length if length > 0 && entry.done >= length => Phase::Finished,
-                _ if lapsed => Phase::Stopped,
+                _ if expired => Phase::Stopped,
                 _ => continue,
             };
             self.version += 1;
             entry.version = self.version;
             entry.record.phase = phase;
             let finished = phase == Phase::Finished;
-            let end = if finished { End::Finished } else { End::Lapsed };
-            self.auditor.end(&entry.record.task, end);
+            let end = if finished {
+                End::Finished
+            } else {
+                End::LeaseExpired
+            };
+            self.auditor.record_end(&entry.record.task, end);
         }
     }
 
@@ -134,9 +138,11 @@
         self.advance();
         for entry in self.entries.values() {
             match entry.record.phase {
-                Phase::Running => self.auditor.end(&entry.record.task, End::Stopped),
+                Phase::Running => self.auditor.record_end(&entry.record.task, End::Stopped),
                 // Nobody knows that it finished: its work is lost with the box.
-                Phase::Finished if !entry.told => self.auditor.lost(&entry.record.task),
+                Phase::Finished if !entry.reported => {
+                    self.auditor.discard_finish(&entry.record.task)
+                }
                 _ => {}
             }
         }
@@ -157,11 +163,11 @@
         if order.epoch < seen.0 {
             return Err(worker::fenced());
         }
-        let this = (order.epoch, order.number);
-        if this <= *seen {
+        let current = (order.epoch, order.number);
+        if current <= *seen {
             return Err(worker::stale());
         }
-        *seen = this;
+        *seen = current;
         if let Some(extension) = order.extend {
             let end = extension.from.saturating_add(extension.length);
             // An extension of another life of the box counts for nothing.
@@ -170,7 +176,7 @@
             }
         }
         for (task, attempt) in &order.forget {
-            self.forget(task, *attempt);
+            self.remove_ended(task, *attempt);
         }
         for stop in &order.stops {
             self.stop(stop);
@@ -201,7 +207,7 @@
             0
         };
         let clock = self.clock.now();
-        let sampling = clock >= self.sampled + USAGE_EVERY;
+        let sampling = clock >= self.sampled + USAGE_INTERVAL;
         if sampling {
             self.sampled = clock;
         }
@@ -209,7 +215,7 @@
         let mut usage = Vec::new();
         for entry in self.entries.values_mut() {
             if entry.version > seen {
-                entry.told = entry.record.phase != Phase::Running;
+                entry.reported = entry.record.phase != Phase::Running;
                 records.push(entry.record.clone());
             }
             if sampling && entry.record.phase == Phase::Running {
@@ -227,7 +233,7 @@
         }
     }
 
-    fn forget(&mut self, task: &Task, attempt: u64) {
+    fn remove_ended(&mut self, task: &Task, attempt: u64) {
         let ended =
             |entry: &Entry| entry.record.attempt == attempt && entry.record.phase != Phase::Running;
         if self.entries.get(task).is_some_and(ended) {
@@ -266,9 +272,9 @@
             phase,
             checkpoint: start.resume,
         };
-        self.auditor.start(&start.task, &self.name);
+        self.auditor.record_start(&start.task, &self.name);
         if phase == Phase::Failed {
-            self.auditor.end(&start.task, End::Failed);
+            self.auditor.record_end(&start.task, End::Failed);
         }
         let (version, length) = (self.version, start.length);
         let entry = Entry {
@@ -277,11 +283,11 @@
             length,
             done: start.resume,
             percent: 100,
-            told: false,
+            reported: false,
         };
         self.entries.insert(start.task.clone(), entry);
         if !self.committed().fits(self.size) {
-            self.auditor.overcommits();
+            self.auditor.record_overcommit();
         }
         Ok(())
     }
@@ -301,7 +307,7 @@
         entry.record.phase = Phase::Stopped;
         let evicted = stop.manner == StopMode::Checkpoint;
         let end = if evicted { End::Evicted } else { End::Stopped };
-        self.auditor.end(&stop.task, end);
+        self.auditor.record_end(&stop.task, end);
     }
 }
 
@@ -381,8 +387,8 @@
         assert!(ledger.exchange(&order((2, 1), vec![])).is_ok());
         let late = ledger.exchange(&order((1, 2), vec![start(0, 1000, 500)]));
         assert_eq!(late, Err(worker::fenced()));
-        let passed = ledger.exchange(&order((2, 1), vec![start(0, 1000, 500)]));
-        assert_eq!(passed, Err(worker::stale()));
+        let stale = ledger.exchange(&order((2, 1), vec![start(0, 1000, 500)]));
+        assert_eq!(stale, Err(worker::stale()));
         assert_eq!(ledger.running(), 0);
     }
 
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -49,13 +49,13 @@
     pub refused: u64,
 }
 
-struct Kept {
+struct Entry {
     value: Versioned,
     lease: Option<u64>,
 }
 
 struct State {
-    keys: BTreeMap<String, Kept>,
+    keys: BTreeMap<String, Entry>,
     last: u64,
     leases: BTreeMap<u64, (u64, u64)>,
     faults: Faults,
@@ -131,7 +131,7 @@
     ///
     /// As any call.
     pub fn grant(&self, length: u64) -> Result<u64, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.lease += 1;
         state.last += 1;
         let id = state.last;
@@ -146,7 +146,7 @@
     ///
     /// As any call.
     pub fn renew(&self, id: u64) -> Result<bool, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.lease += 1;
         let now = self.clock.now();
         let Some(lease) = state.leases.get_mut(&id) else {
@@ -161,23 +161,23 @@
         if let Some(lease) = lock(&self.state).leases.get_mut(&id) {
             lease.0 = 0;
         }
-        self.sweep();
+        self.remove_expired();
     }
 
     /// Drops lapsed leases and their keys.
-    fn sweep(&self) {
+    fn remove_expired(&self) {
         let mut state = lock(&self.state);
         let now = self.clock.now();
         let State { keys, leases, .. } = &mut *state;
         leases.retain(|_, (end, _)| *end > now);
-        keys.retain(|_, kept| kept.lease.is_none_or(|id| leases.contains_key(&id)));
+        keys.retain(|_, entry| entry.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 
     /// The faults and rates that meet every call.
-    fn enter(&self, write: bool) -> Result<MutexGuard<'_, State>, Failure> {
+    fn admit(&self, write: bool) -> Result<MutexGuard<'_, State>, Failure> {
         let mut state = lock(&self.state);
         if state.faults.down {
-            return Err(broken());
+            return Err(connection_broken());
         }
         let now = Instant::now();
         let bucket = if write {
@@ -204,16 +204,16 @@
         bytes: &[u8],
         lease: Option<u64>,
     ) -> Result<Swap, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.swap += 1;
         if bytes.len() > MAX_VALUE {
             return Err(Failure::not_run(Cause::Invalid, "the value is too large"));
         }
         if state.faults.dropped > 0 {
             state.faults.dropped -= 1;
-            return Err(broken());
+            return Err(connection_broken());
         }
-        let present = state.keys.get(key).map_or(0, |kept| kept.value.version);
+        let present = state.keys.get(key).map_or(0, |entry| entry.value.version);
         if present != expected {
             return Ok(Swap::Conflict(present));
         }
@@ -223,26 +223,26 @@
             version,
             bytes: bytes.into(),
         };
-        state.keys.insert(key.to_owned(), Kept { value, lease });
+        state.keys.insert(key.to_owned(), Entry { value, lease });
         self.changed.notify_all();
         if state.faults.lost > 0 {
             state.faults.lost -= 1;
-            return Err(broken());
+            return Err(connection_broken());
         }
         Ok(Swap::Written(version))
     }
 }
 
-fn broken() -> Failure {
+fn connection_broken() -> Failure {
     Failure::may_have_run(Cause::Broken, "the store broke off")
 }
 
 impl Store for Core {
     fn get(&self, key: &str) -> Result<Option<Versioned>, Failure> {
-        self.sweep();
-        let mut state = self.enter(false)?;
+        self.remove_expired();
+        let mut state = self.admit(false)?;
         state.counts.get += 1;
-        Ok(state.keys.get(key).map(|kept| kept.value.clone()))
+        Ok(state.keys.get(key).map(|entry| entry.value.clone()))
     }
 
     fn swap(&self, key: &str, expected: u64, bytes: &[u8]) -> Result<Swap, Failure> {
@@ -251,16 +251,16 @@
 
     fn watch(&self, key: &str, after: u64, time: Duration) -> Result<Option<Versioned>, Failure> {
         let end = Instant::now() + time;
-        self.enter(false)?.counts.watch += 1;
+        self.admit(false)?.counts.watch += 1;
         let mut state = lock(&self.state);
         loop {
             if state.faults.down {
-                return Err(broken());
+                return Err(connection_broken());
             }
-            if let Some(kept) = state.keys.get(key)
-                && kept.value.version > after
+            if let Some(entry) = state.keys.get(key)
+                && entry.value.version > after
             {
-                return Ok(Some(kept.value.clone()));
+                return Ok(Some(entry.value.clone()));
             }
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
--- a/components/standin/src/worker.rs
+++ b/components/standin/src/worker.rs
@@ -28,10 +28,10 @@
 };
 
 /// Connections that the port takes.
-const CONNECTIONS: usize = 16_384;
+const MAX_CONNECTIONS: usize = 16_384;
 
 /// How often the time is let pass on every worker.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 type Ledgers = BTreeMap<Arc<str>, Mutex<Ledger>>;
 
@@ -92,15 +92,15 @@
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<Server> {
         let worker_set = self.clone();
-        let url = http_server::open(address, CONNECTIONS, move |asked| {
-            handle(&worker_set, &asked)
+        let url = http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&worker_set, &request)
         })?;
         let signal = Signal::new();
-        let (worker_set, bell) = (self.clone(), signal.clone());
+        let (worker_set, stop_signal) = (self.clone(), signal.clone());
         let ticker = task::spawn("workers-tick", move || {
-            while !bell.is_stopped() {
+            while !stop_signal.is_stopped() {
                 worker_set.advance();
-                bell.wait(TICK);
+                stop_signal.wait(TICK_INTERVAL);
             }
         })?;
         Ok(Server {
@@ -125,8 +125,8 @@
             }
             report
         });
-        let gone = || Failure::not_run(Cause::Unreachable, format!("no worker {base}"));
-        outcome.unwrap_or_else(|| Err(gone()))
+        let unknown = || Failure::not_run(Cause::Unreachable, format!("no worker {base}"));
+        outcome.unwrap_or_else(|| Err(unknown()))
     }
 }
 
@@ -153,14 +153,14 @@
     }
 }
 
-fn handle(worker_set: &WorkerSet, asked: &ServerRequest) -> ServerResponse {
-    let path = asked.path.strip_prefix("/w/");
+fn handle(worker_set: &WorkerSet, request: &ServerRequest) -> ServerResponse {
+    let path = request.path.strip_prefix("/w/");
     let Some((name, action)) = path.and_then(|rest| rest.split_once('/')) else {
         return Reply::text(404, "no such path\n").into();
     };
     match action {
-        "exchange" => exchange(worker_set, name, asked),
-        "faults" => set_faults(worker_set, name, asked).into(),
+        "exchange" => exchange(worker_set, name, request),
+        "faults" => set_faults(worker_set, name, request).into(),
         "reboot" => {
             worker_set.with(name, Ledger::reboot);
             Reply::text(200, "rebooted\n").into()
@@ -169,8 +169,8 @@
     }
 }
 
-fn set_faults(worker_set: &WorkerSet, name: &str, asked: &ServerRequest) -> Reply {
-    let faults = match serde_json::from_slice::<Faults>(&asked.body) {
+fn set_faults(worker_set: &WorkerSet, name: &str, request: &ServerRequest) -> Reply {
+    let faults = match serde_json::from_slice::<Faults>(&request.body) {
         Ok(faults) => faults,
         Err(e) => return Reply::text(400, e.to_string()),
     };
@@ -180,8 +180,8 @@
     }
 }
 
-fn exchange(worker_set: &WorkerSet, name: &str, asked: &ServerRequest) -> ServerResponse {
-    let order: Order = match serde_json::from_slice(&asked.body) {
+fn exchange(worker_set: &WorkerSet, name: &str, request: &ServerRequest) -> ServerResponse {
+    let order: Order = match serde_json::from_slice(&request.body) {
         Ok(order) => order,
         Err(e) => return Reply::text(400, e.to_string()).into(),
     };
--- a/components/trial/src/fleet.rs
+++ b/components/trial/src/fleet.rs
@@ -19,10 +19,10 @@
 };
 
 /// How long the start may take.
-const START_MOST: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often the start is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The time for one call.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
@@ -99,20 +99,26 @@
     ///
     /// It takes too long, as a sentence.
     pub fn wait_ready(&self) -> Result<(), String> {
-        let end = Instant::now() + START_MOST;
-        let listed = || self.platform.registry.shown().of_kind(Kind::Entry).count();
-        wait(end, "the list of boxes did not show all in time", || {
-            listed() >= self.deploy.entries
+        let end = Instant::now() + START_TIMEOUT;
+        let entry_count = || {
+            self.platform
+                .registry
+                .published()
+                .of_kind(Kind::Entry)
+                .count()
+        };
+        wait_until(end, "the list of boxes did not show all in time", || {
+            entry_count() >= self.deploy.entries
         })?;
-        self.first_table(end)?;
-        wait(end, "the entry boxes were not ready in time", || {
+        self.submit_first_table(end)?;
+        wait_until(end, "the entry boxes were not ready in time", || {
             self.entries()
                 .iter()
                 .all(|entry| entry.is_ready(self.deploy.halls))
         })
     }
 
-    fn first_table(&self, end: Instant) -> Result<(), String> {
+    fn submit_first_table(&self, end: Instant) -> Result<(), String> {
         let rows = sheet::parse(self.deploy.sheet).map_err(|faults| faults[0].to_string())?;
         let rows = rows.into_iter().map(|row| RowEdit {
             class: row.class.clone(),
@@ -132,7 +138,7 @@
                 Ok(Outcome::Accepted(_)) => return Ok(()),
                 Ok(Outcome::Refused(refusal)) => return Err(refusal.to_string()),
                 Err(failure) if Instant::now() > end => return Err(failure.to_string()),
-                Err(_) => thread::sleep(LOOK_EVERY),
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
@@ -143,12 +149,12 @@
 /// # Errors
 ///
 /// It is not so by the end; the text says what.
-pub fn wait(end: Instant, text: &str, so: impl Fn() -> bool) -> Result<(), String> {
-    while !so() {
+pub fn wait_until(end: Instant, text: &str, condition: impl Fn() -> bool) -> Result<(), String> {
+    while !condition() {
         if Instant::now() > end {
             return Err(text.to_owned());
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/components/trial/tests/end_to_end.rs
+++ b/components/trial/tests/end_to_end.rs
@@ -7,7 +7,7 @@
     kernel::{Call, Failure, verdict::Cause},
     magpie_trial::{
         Fleet,
-        fleet::{TIMEOUT, wait},
+        fleet::{TIMEOUT, wait_until},
     },
     sched::{
         Spec, Status, job,
@@ -85,7 +85,7 @@
 }
 
 fn wait_ended(fleet: &Fleet, id: &Arc<str>) -> Status {
-    wait(soon(), "the job did not end", || {
+    wait_until(soon(), "the job did not end", || {
         show(fleet, id).is_ok_and(|s| s.ended)
     })
     .unwrap();
@@ -153,7 +153,7 @@
     assert_eq!(send(), Outcome::Accepted(2));
     // The same edit again, as after a lost reply, is the same edit.
     assert_eq!(send(), Outcome::Accepted(2));
-    wait(soon(), "the edit is not in force", || {
+    wait_until(soon(), "the edit is not in force", || {
         fleet
             .entries()
             .iter()
@@ -182,8 +182,11 @@
     };
     let answer = fleet.client.send(&call).unwrap();
     assert_eq!(answer.header("x-magpie-verdict"), "ran");
-    assert_eq!(answer.body, backend::expected("r1", &body).into_bytes());
-    assert!(fleet.platform.auditor.ran("r1"));
+    assert_eq!(
+        answer.body,
+        backend::expected_body("r1", &body).into_bytes()
+    );
+    assert!(fleet.platform.auditor.has_run("r1"));
     let ops = fleet.entries()[0].gate.ops_url();
     let sample: burn::report::Sample = fleet
         .client
@@ -270,7 +273,7 @@
         assert!(show(&fleet, &job.id).unwrap().cancelled);
         assert!(wait_ended(&fleet, &job.id).finished == 0);
     }
-    wait(soon(), "tasks run on", || {
+    wait_until(soon(), "tasks run on", || {
         fleet.platform.auditor.running() == 0
     })
     .unwrap();
@@ -281,7 +284,7 @@
     let fleet = fleet();
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, &cell, 1, 30, 4000).unwrap();
-    wait(soon(), "nothing runs", || {
+    wait_until(soon(), "nothing runs", || {
         fleet.platform.auditor.running() == 30
     })
     .unwrap();
@@ -301,7 +304,7 @@
     let fleet = fleet();
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, "h1", 1, 30, 6000).unwrap();
-    wait(soon(), "nothing runs", || {
+    wait_until(soon(), "nothing runs", || {
         fleet.platform.auditor.running() == 30
     })
     .unwrap();
@@ -311,7 +314,7 @@
     assert!(frozen.sched.remote().tell(move |_, _| {
         let _ = frost.recv();
     }));
-    wait(soon(), "nobody took the cell over", || {
+    wait_until(soon(), "nobody took the cell over", || {
         fleet.entries().iter().any(|entry| entry.owns(&cell))
     })
     .unwrap();
@@ -324,7 +327,7 @@
 }
 
 fn submit_until_taken(fleet: &Fleet, cell: &Arc<str>, key: u64) -> Arc<str> {
-    wait(soon(), "the job was not taken in", || {
+    wait_until(soon(), "the job was not taken in", || {
         submit(fleet, cell, key, 5, 200).is_ok()
     })
     .unwrap();
@@ -356,13 +359,13 @@
                         body: b"x",
                         timeout: TIMEOUT.into(),
                     };
-                    let whole = backend::expected(&id, b"x").into_bytes();
+                    let whole = backend::expected_body(&id, b"x").into_bytes();
                     client.send(&call).is_ok_and(|answer| answer.body == whole)
                 })
             })
             .collect();
         let arrived = || fleet.platform.auditor.totals().requests == 8;
-        wait(soon(), "not all calls arrived", arrived).unwrap();
+        wait_until(soon(), "not all calls arrived", arrived).unwrap();
         assert!(
             entry
                 .gate
@@ -441,7 +444,7 @@
     // Sent again, all have come in, and each once.
     let versions = RefCell::new(BTreeSet::new());
     for number in 0..8 {
-        wait(soon(), "an edit did not come in", || match send(number) {
+        wait_until(soon(), "an edit did not come in", || match send(number) {
             Ok(Outcome::Accepted(version)) => versions.borrow_mut().insert(version),
             _ => false,
         })
--- a/programs/demo/src/callers.rs
+++ b/programs/demo/src/callers.rs
@@ -79,14 +79,14 @@
     };
     match answer.header("x-magpie-verdict") {
         "ran" => {
-            if answer.status != 200 || answer.body != backend::expected(id, &body).as_bytes() {
+            if answer.status != 200 || answer.body != backend::expected_body(id, &body).as_bytes() {
                 World::count(&world.counts.wrong);
                 world.breach("an answer was not the caller's own whole answer");
             }
         }
         "not-run" => {
             World::count(&world.counts.shed);
-            if once && world.fleet.platform.auditor.ran(id) {
+            if once && world.fleet.platform.auditor.has_run(id) {
                 world.breach("a request told 'not run' had run");
             }
         }
--- a/programs/demo/src/outcome.rs
+++ b/programs/demo/src/outcome.rs
@@ -107,7 +107,7 @@
 fn urgent_times(world: &World) -> Vec<f64> {
     let mut times = Vec::new();
     for (id, submitted) in lock(&world.urgent).iter() {
-        let Some(begun) = world.fleet.platform.auditor.begun(id) else {
+        let Some(begun) = world.fleet.platform.auditor.first_start(id) else {
             continue;
         };
         times.push(begun.saturating_duration_since(*submitted).as_secs_f64() * 1e3);
--- a/programs/demo/src/trouble.rs
+++ b/programs/demo/src/trouble.rs
@@ -79,7 +79,7 @@
 
 /// The list shows it as leaving; two seconds later the server itself takes nothing more.
 fn backend_leaves(world: &World) {
-    world.fleet.platform.registry.leave("s001");
+    world.fleet.platform.registry.mark_leaving("s001");
     thread::sleep(Duration::from_secs(2));
     world.fleet.platform.backends[1].set_faults(backend::Faults {
         leaving: true,
--- a/programs/load/src/takeover.rs
+++ b/programs/load/src/takeover.rs
@@ -15,7 +15,7 @@
     },
     trial::{
         Fleet,
-        fleet::{TIMEOUT, wait},
+        fleet::{TIMEOUT, wait_until},
     },
 };
 
@@ -108,7 +108,7 @@
     let tasks = (fleet.deploy.workers / fleet.deploy.halls * 16) as u32;
     submit(&fleet, &spec(batch, &cell, tasks, 3_600_000), 1)?;
     let all = || fleet.platform.auditor.running() == tasks as usize;
-    wait(Instant::now() + ROUND_MOST, "the cell did not fill", all)?;
+    wait_until(Instant::now() + ROUND_MOST, "the cell did not fill", all)?;
     let mut times = Vec::new();
     for round in 0..rounds {
         times.push(once(&fleet, &cell, round)?);
@@ -137,8 +137,8 @@
     let killed = Instant::now();
     dead.kill();
     let id = submit(fleet, &spec("urgent", cell, 1, 100), u64::from(round) + 100)?;
-    let begun = || fleet.platform.auditor.begun(&id);
-    wait(
+    let begun = || fleet.platform.auditor.first_start(&id);
+    wait_until(
         Instant::now() + ROUND_MOST,
         "urgent work did not start",
         || begun().is_some(),
