--- a/components/standin/examples/store.rs
+++ b/components/standin/examples/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the store with a fault: `cargo run -p magpie-standin-core --example store`.
+//! Store stand-in with an injected fault: `cargo run -p magpie-standin-core --example store`.
 
 use {
     infra::read_back,
--- a/components/standin/src/auditor.rs
+++ b/components/standin/src/auditor.rs
@@ -1,4 +1,4 @@
-//! What really ran: the stand-ins tell it each start and end, and it notes every breach.
+//! Records every task and request that the stand-ins run and counts violations of invariants.
 
 use {
     infra::worker::Task,
@@ -10,45 +10,45 @@
     },
 };
 
-/// Counts of what ran and of what must never be.
+/// Counts of events and of invariant violations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Starts of tasks.
+    /// Task starts.
     pub starts: u64,
     /// Tasks that finished.
     pub finished: u64,
-    /// Tasks that were running in two places at once.
+    /// Starts of tasks that were already running.
     pub concurrent_runs: u64,
-    /// Tasks that finished more than once.
+    /// Starts or finishes of tasks that had already finished.
     pub repeated_tasks: u64,
-    /// Tasks stopped by an order or by the end of a lease.
+    /// Tasks stopped by an order or by an expired lease.
     pub stops: u64,
-    /// Tasks stopped with a checkpoint, by an order.
+    /// Tasks stopped by an order with a checkpoint.
     pub evictions: u64,
-    /// Tasks stopped because a lease ended.
+    /// Tasks stopped by an expired lease.
     pub lease_expiries: u64,
-    /// Workers that were committed beyond what they have.
+    /// Allocations beyond the capacity of a worker.
     pub overcommits: u64,
-    /// Requests that must run at most once and ran again.
+    /// Repeated runs of requests that must run at most once.
     pub repeated_requests: u64,
-    /// Times a backend server had more requests at once than slots.
+    /// Times a backend server received more concurrent requests than it has slots.
     pub slot_overruns: u64,
-    /// Requests that backend servers ran.
+    /// Requests run by backend servers.
     pub requests: u64,
 }
 
 /// How a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// By itself, with success.
+    /// Completed successfully.
     Finished,
-    /// By itself, with failure.
+    /// Failed by itself.
     Failed,
-    /// By an order, with a checkpoint.
+    /// Stopped by an order, with a checkpoint.
     Evicted,
-    /// By an order, or with its box.
+    /// Stopped by an order or by a restart of its box.
     Stopped,
-    /// With its lease.
+    /// Stopped when its lease expired.
     LeaseExpired,
 }
 
@@ -61,24 +61,24 @@
     first_starts: HashMap<Arc<str>, Instant>,
 }
 
-/// Sees everything that the stand-ins do.
+/// Collects the events of all stand-ins.
 #[derive(Clone, Default)]
 pub struct Auditor {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Auditor {
-    /// A witness that has seen nothing.
+    /// Creates an auditor without events.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn totals(&self) -> Totals {
         lock(&self.inner).totals
     }
 
-    /// A task starts on a worker.
+    /// Records the start of a task on a worker.
     pub fn record_start(&self, task: &Task, worker: &Arc<str>) {
         let mut inner = lock(&self.inner);
         inner.totals.starts += 1;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A task ends on a worker.
+    /// Records the end of a task.
     pub fn record_end(&self, task: &Task, end: End) {
         let mut inner = lock(&self.inner);
         inner.running.remove(task);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A task's end was lost with its box before anybody was told of it.
+    /// Takes back the finish of a task: its box was lost before the end was reported.
     pub fn discard_finish(&self, task: &Task) {
         let mut inner = lock(&self.inner);
         if inner.finished.remove(task) {
@@ -132,12 +132,12 @@
         }
     }
 
-    /// A worker was committed beyond what it has.
+    /// Records an allocation beyond the capacity of a worker.
     pub fn record_overcommit(&self) {
         lock(&self.inner).totals.overcommits += 1;
     }
 
-    /// A backend server runs a request; an id is given when it must run at most once.
+    /// Records a request run by a backend server. The id is given if it must run at most once.
     pub fn record_request(&self, id: Option<&str>) {
         let mut inner = lock(&self.inner);
         inner.totals.requests += 1;
@@ -149,22 +149,22 @@
         }
     }
 
-    /// True when a request with this id ran.
+    /// True if a request with this id has run.
     pub fn has_run(&self, id: &str) -> bool {
         lock(&self.inner).request_runs.contains_key(id)
     }
 
-    /// A backend server had more requests at once than slots.
+    /// Records that a backend server received more concurrent requests than it has slots.
     pub fn record_slot_overrun(&self) {
         lock(&self.inner).totals.slot_overruns += 1;
     }
 
-    /// When the first task of a job started.
+    /// Returns when the first task of a job started.
     pub fn first_start(&self, job: &str) -> Option<Instant> {
         lock(&self.inner).first_starts.get(job).copied()
     }
 
-    /// The number of tasks that are running.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         lock(&self.inner).running.len()
     }
--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -1,8 +1,9 @@
-//! A stand-in of a backend server: slots, connections, and answers that prove whose they are.
+//! Stand-in for a backend server with limited slots and connections.
 //!
-//! The answer to a request is its `x-id` header, a colon, and a sum of its body. A request with
-//! `x-once` runs at most once, and the witness counts it. A server without a free slot, and one
-//! that is leaving, refuses with 503 and `x-not-run: 1`, which stands for "not run".
+//! The response body is the `x-id` header of the request, a colon and a checksum of its body, so
+//! that callers can verify that a response is theirs. A request with `x-once` must run at most
+//! once; the auditor counts its runs. A server that is leaving or has no free slot refuses with
+//! 503 and an `x-not-run` header, which states that the request did not run.
 
 use {
     crate::{
@@ -23,26 +24,26 @@
     },
 };
 
-/// Requests that a server runs at at_most_once.
+/// Number of requests that a server runs concurrently.
 pub const SLOTS: usize = 8;
 
-/// Connections that a server takes.
+/// Maximum number of connections to a server.
 pub const MAX_CONNECTIONS: usize = 64;
 
-/// The header by which a server says that it did not run a request.
+/// Response header that states that a request did not run.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// Faults and manners of a server.
+/// Faults and operating state of a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
     /// Refuses new requests.
     pub leaving: bool,
-    /// Service times are this many times longer.
+    /// Factor on service times.
     pub slow: u32,
-    /// Cuts this many answers after running their requests.
+    /// Number of further responses that are cut off after their requests have run.
     pub cut: u32,
-    /// Breaks off this many requests before running them.
+    /// Number of further requests whose connections are closed before they run.
     pub dropped: u32,
 }
 
@@ -65,13 +66,13 @@
     auditor: Auditor,
 }
 
-/// One backend server on a port.
+/// A backend server.
 pub struct Backend {
     inner: Arc<Inner>,
     url: String,
 }
 
-/// The sum that an answer carries of a request's body.
+/// Computes the checksum of a request body that the response carries (64-bit FNV-1a).
 pub fn checksum(body: &[u8]) -> u64 {
     let mut sum = 0xcbf2_9ce4_8422_2325_u64;
     for byte in body {
@@ -80,13 +81,13 @@
     sum
 }
 
-/// The whole answer to a request with this id and body.
+/// Returns the full response body for a request with this id and body.
 pub fn expected_body(id: &str, body: &[u8]) -> String {
     format!("{id}:{:016x}", checksum(body))
 }
 
 impl Backend {
-    /// Opens a server whose mean service time is this long.
+    /// Opens a server with the given mean service time.
     ///
     /// # Errors
     ///
@@ -111,17 +112,17 @@
         Ok(Backend { inner, url })
     }
 
-    /// The base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.url.clone()
     }
 
-    /// Switches faults on or off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.inner.faults) = faults;
     }
 
-    /// Requests that it runs now.
+    /// Returns the number of requests being served.
     pub fn in_flight(&self) -> usize {
         self.inner.in_flight.load(Ordering::Acquire)
     }
@@ -158,7 +159,7 @@
     let id = request.header("x-id");
     inner.auditor.record_request(at_most_once.then_some(id));
     thread::sleep(service_time(inner) * slow);
-    // The slot is free before the answer leaves, since the next request may come at at_most_once.
+    // Frees the slot before the response is sent, since the next request may follow at once.
     inner.in_flight.fetch_sub(1, Ordering::AcqRel);
     if cut {
         return ServerResponse::Disconnect;
@@ -170,7 +171,7 @@
     Reply::text(503, format!("{reason}\n")).with_header(NOT_RUN_HEADER, reason)
 }
 
-/// A service time with an exponential spread around its mean, at most eight times it.
+/// Draws a service time from an exponential distribution, capped at eight times the mean.
 fn service_time(inner: &Inner) -> Duration {
     let uniform = lock(&inner.rng).f64();
     inner.service.mul_f64((-(1.0 - uniform).ln()).min(8.0))
--- a/components/standin/src/boxes.rs
+++ b/components/standin/src/boxes.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the list of boxes, which lags.
+//! Stand-in for the platform list of boxes, which publishes changes after a delay.
 
 use {
     crate::http_server::{self, ServerRequest},
@@ -13,27 +13,27 @@
     },
 };
 
-/// Connections that the port takes.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 4096;
 
 struct Inner {
-    /// What is so.
+    /// Current items, including changes not yet published.
     items: BTreeMap<Arc<str>, Item>,
-    /// What is published.
+    /// The published list.
     published: Arc<List>,
-    /// When the published list takes over what is so.
+    /// When pending changes are published.
     publish_at: Option<Instant>,
     lag: Duration,
 }
 
-/// The list, and what is so behind it.
+/// The list of boxes and its unpublished changes.
 #[derive(Clone)]
 pub struct Registry {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Registry {
-    /// An empty list that lags by this much.
+    /// Creates an empty list that publishes changes after `lag`.
     pub fn new(lag: Duration) -> Self {
         let published = Arc::new(List {
             version: 1,
@@ -58,14 +58,14 @@
         }
     }
 
-    /// Adds a box, or replaces it.
+    /// Adds or replaces a box.
     pub fn put(&self, item: Item) {
         self.change(|items| {
             items.insert(item.name.clone(), item);
         });
     }
 
-    /// Takes a box away.
+    /// Removes a box.
     pub fn remove(&self, name: &str) {
         self.change(|items| {
             items.remove(name);
@@ -81,7 +81,7 @@
         });
     }
 
-    /// The list as it is published now.
+    /// Returns the published list, after publishing changes that are due.
     pub fn published(&self) -> Arc<List> {
         let mut inner = lock(&self.inner);
         if inner
@@ -96,7 +96,7 @@
         inner.published.clone()
     }
 
-    /// Serves the list on a port. Returns its base address.
+    /// Serves the list over HTTP. Returns its base URL.
     ///
     /// # Errors
     ///
@@ -167,10 +167,10 @@
         }
     }
 
-    /// A list of 8,000 boxes has over 1 MB and takes over 2.5 s on its way, longer than a call may wait for its
-    /// answer to begin.
+    /// A list of 8,000 boxes exceeds 1 MB and takes over 2.5 s to transfer at this rate, longer
+    /// than a call may wait for its response to begin.
     #[test]
-    fn list_over_slow_line() {
+    fn list_over_slow_connection() {
         let registry = Registry::new(Duration::ZERO);
         for number in 0..8_000 {
             registry.put(item(number));
--- a/components/standin/src/clock.rs
+++ b/components/standin/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the stand-ins, in milliseconds; tests set it themselves.
+//! Clock of the stand-ins in milliseconds, either real or advanced manually by tests.
 
 use std::{
     sync::{
@@ -8,27 +8,27 @@
     time::Instant,
 };
 
-/// A clock that runs by itself or is set by hand.
+/// A real or manually advanced clock.
 #[derive(Clone)]
 pub enum Clock {
-    /// Runs with the system's steady clock from this moment.
+    /// Follows the monotonic system clock, counted from this instant.
     Real(Instant),
-    /// Shows what was last set.
+    /// Holds the time last set.
     Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// A clock that runs by itself from 0.
+    /// Creates a real clock that starts at 0.
     pub fn real() -> Self {
         Clock::Real(Instant::now())
     }
 
-    /// A clock that stands at 0 until it is set.
+    /// Creates a manual clock at 0.
     pub fn manual() -> Self {
         Clock::Manual(Arc::default())
     }
 
-    /// The time in milliseconds.
+    /// Returns the time in milliseconds.
     pub fn now(&self) -> u64 {
         match self {
             Clock::Real(start) => start.elapsed().as_millis() as u64,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Moves a clock that is set by hand.
+    /// Advances a manual clock. Has no effect on a real one.
     pub fn advance(&self, milliseconds: u64) {
         if let Clock::Manual(time) = self {
             time.fetch_add(milliseconds, Ordering::AcqRel);
--- a/components/standin/src/deploy.rs
+++ b/components/standin/src/deploy.rs
@@ -1,4 +1,4 @@
-//! The users' sizes of today, and a whole platform of stand-ins in one process.
+//! Deployment sizes of the users, and a complete platform of stand-ins in one process.
 
 use {
     crate::{
@@ -16,36 +16,36 @@
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Workers in a rack.
+/// Workers per rack.
 const RACK: usize = 8;
 
-/// How far the list of boxes lags.
+/// Delay with which the list of boxes publishes changes.
 const LAG: Duration = Duration::from_millis(300);
 
-/// One user's sizes.
+/// Deployment size and settings of one user.
 #[derive(Debug, Clone)]
 pub struct Deploy {
-    /// The user.
+    /// User name.
     pub name: &'static str,
-    /// Data halls.
+    /// Number of data halls.
     pub halls: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// What a worker has.
+    /// Capacity of each worker.
     pub size: Size,
-    /// Backend servers.
+    /// Number of backend servers.
     pub backends: usize,
-    /// The class that the backend servers answer.
+    /// Class served by the backend servers.
     pub service: &'static str,
-    /// The mean service time of a request.
+    /// Mean service time of a request.
     pub mean: Duration,
-    /// Entry boxes.
+    /// Number of entry boxes.
     pub entries: usize,
-    /// The operators' table, as a sheet.
+    /// The table of classes, as a sheet.
     pub sheet: &'static str,
 }
 
-/// The classes of Fiscalis Verbond.
+/// Classes of Fiscalis Verbond.
 const FISCALIS: &str = "\
 class,team,kind,priority,weight,max_processors,max_memory_gb,max_accelerators,max_running,\
 generations,target_ms,team_processors
@@ -56,7 +56,7 @@
 watcher,pending,standing,5,50,200,,,,,,
 ";
 
-/// The classes of the Sabarmati Trust.
+/// Classes of the Sabarmati Trust.
 const SABARMATI: &str = "\
 class,team,kind,priority,weight,max_processors,max_memory_gb,max_accelerators,max_running,\
 generations,target_ms,team_processors
@@ -68,7 +68,7 @@
 ";
 
 impl Deploy {
-    /// The sizes of a user; `None` for a name that is neither.
+    /// Returns the deployment of a user, or `None` for an unknown name.
     pub fn named(name: &str) -> Option<Self> {
         match name {
             "fiscalis" => Some(Deploy {
@@ -97,23 +97,23 @@
         }
     }
 
-    /// The data hall of the box at this place.
+    /// Returns the data hall of the box with this index.
     pub fn hall(&self, at: usize) -> Arc<str> {
         Arc::from(format!("h{}", at % self.halls + 1))
     }
 }
 
-/// Where the platform's parts listen; port 0 takes a free one.
+/// Listen addresses of the platform; port 0 selects a free port.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// The list of boxes.
+    /// Address of the list of boxes.
     pub boxes: SocketAddr,
 }
 
 impl Addresses {
-    /// Free ports on loopback.
+    /// Returns free ports on loopback.
     pub fn free() -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Addresses {
@@ -123,29 +123,29 @@
     }
 }
 
-/// A platform of stand-ins.
+/// A running platform of stand-ins.
 pub struct Platform {
     /// The store.
     pub store: Server,
-    /// The list of boxes and what is so.
+    /// The list of boxes.
     pub registry: Registry,
-    /// The list's base address.
+    /// Base URL of the list of boxes.
     pub boxes: String,
     /// The workers.
     pub worker_set: WorkerSet,
     /// The backend servers.
     pub backends: Vec<Backend>,
-    /// What really ran.
+    /// Records what ran.
     pub auditor: Auditor,
     _workers: worker::Server,
 }
 
 impl Platform {
-    /// Starts a platform of a user's sizes.
+    /// Starts a platform with the sizes of a deployment.
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the system has no room for threads.
+    /// An address cannot be bound, or a thread cannot be started.
     pub fn start(deploy: &Deploy, addresses: Addresses, seed: u64) -> io::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let clock = Clock::real();
@@ -224,7 +224,7 @@
     }
 }
 
-/// An entry box for the list, with the base addresses of its services.
+/// Builds the list item of an entry box from the base URLs of its services.
 pub fn entry_item(name: &str, hall: &str, services: &[(&str, String)]) -> Item {
     let mut item = item(
         name.to_owned(),
--- a/components/standin/src/http_server.rs
+++ b/components/standin/src/http_server.rs
@@ -1,5 +1,5 @@
-//! The ports of the stand-ins: blocking handlers, one task for each connection, and answers that
-//! can break off.
+//! HTTP server shared by the stand-ins: blocking handlers, one thread per connection, and
+//! responses that can be cut off on purpose.
 
 use {
     kernel::{
@@ -11,24 +11,24 @@
     std::{io, io::Read, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The time for one read or write of a connection.
+/// Time limit for one read or write on a connection.
 const IO_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One whole request.
+/// A complete HTTP request.
 #[derive(Clone)]
 pub struct ServerRequest {
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// The path without the query.
+    /// Path without the query string.
     pub path: String,
     query: String,
     headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Complete request body.
     pub body: Vec<u8>,
 }
 
 impl ServerRequest {
-    /// A parameter of the query.
+    /// Returns the value of a query parameter.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self
             .query
@@ -40,25 +40,25 @@
             .next()
     }
 
-    /// A parameter that is a number; 0 when there is none.
+    /// Returns a numeric query parameter, or 0 if it is absent or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.parameter(name)
             .and_then(|text| text.parse().ok())
             .unwrap_or(0)
     }
 
-    /// The text of a header; empty when there is none.
+    /// Returns the value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.map_or("", |(_, value)| value.as_str())
     }
 }
 
-/// What a stand-in does with a request.
+/// How a stand-in responds to a request.
 pub enum ServerResponse {
-    /// A whole answer.
+    /// Sends a complete response.
     Reply(Reply),
-    /// A broken connection.
+    /// Closes the connection in the middle of the response.
     Disconnect,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Opens a port, which stays open until the process ends. Returns its base address.
+/// Opens a server that runs until the process ends. Returns its base URL.
 ///
 /// # Errors
 ///
@@ -122,7 +122,7 @@
     builder.body(Body::from(reply.body)).unwrap_or_default()
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn reply(status: u16, body: &Value) -> Reply {
     Reply::bytes(status, "application/json", body.to_string().into_bytes())
 }
--- a/components/standin/src/kv.rs
+++ b/components/standin/src/kv.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the users' metadata store: revisions, conditions, leases and watches.
+//! Stand-in for the users' metadata store: revisions, conditional writes, leases and watches.
 //!
-//! It keeps to the protocol of their platform, whose names therefore stand here too.
+//! It speaks the protocol of the users' platform, so the names on the wire are that platform's.
 
 use {
     crate::http_server::{self, ServerRequest, ServerResponse, reply},
@@ -16,36 +16,38 @@
     },
 };
 
-/// Connections that the port takes.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 1_024;
-/// Items of one page; the users' store gives about 500.
+/// Items per page; the users' store returns about 500.
 const PAGE_ITEMS: usize = 50;
-/// The most entries of a change.
+/// Maximum number of entries in a transaction.
 const MAX_ENTRIES: usize = 32;
-/// The longest pause between two looks at a watch: leases end without a change to wake it.
+/// Longest pause between two checks of a watch. A lease can expire without a write that wakes the
+/// watch.
 const WATCH_INTERVAL: Duration = Duration::from_millis(50);
-/// Keys that only the operators and the workers write.
+/// Key prefixes that only operators and workers may write.
 const RESERVED: [&str; 2] = ["op/", "servers/"];
 
-/// What goes wrong with the store.
+/// Faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every call is answered 503 and does nothing.
+    /// Answers every call with 503 and does nothing.
     pub busy: bool,
-    /// Every connection is cut before anything is done.
+    /// Closes every connection before the call has any effect.
     pub reset: bool,
-    /// The answers of this many changes are lost after they were made.
+    /// Number of further transactions that are applied but whose responses are lost.
     pub lost: u32,
-    /// This many changes are not answered, and made only by [`Kv::apply_deferred`].
+    /// Number of further transactions that get no response and are applied only by
+    /// [`Kv::apply_deferred`].
     pub deferred: u32,
-    /// Watches hear nothing: each waits its time and brings no change.
+    /// Watches deliver no events: each one waits for its full time.
     pub watches_silent: bool,
-    /// Once as many answers were lost or late, the store is busy.
+    /// Sets `busy` once all `lost` and `deferred` transactions have come.
     pub then_busy: bool,
 }
 
 impl Faults {
-    /// Takes one off a count of faults to come. True when there was one.
+    /// Decrements a counter of pending faults. Returns true if it was above zero.
     fn consume(&mut self, count: fn(&mut Faults) -> &mut u32) -> bool {
         let left = count(self);
         if *left == 0 {
@@ -61,16 +63,16 @@
 struct Item {
     value: String,
     revision: u64,
-    /// The revision at which the key came to be.
+    /// Revision at which the key was created.
     created: u64,
-    /// 0 for a key that stays.
+    /// Lease of the key; 0 for none.
     lease: u64,
 }
 
 struct Change {
     revision: u64,
     key: String,
-    /// `None` for a key that was removed.
+    /// `None` for a removed key.
     item: Option<Item>,
 }
 
@@ -78,20 +80,20 @@
 struct Core {
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// When each lease ends, and for how long it is renewed.
+    /// Expiry time and duration of each lease.
     leases: BTreeMap<u64, (Instant, Duration)>,
     history: VecDeque<Change>,
-    /// The history up to this revision is gone.
+    /// The history up to this revision has been compacted.
     compacted_to: u64,
-    /// Changes that wait for [`Kv::apply_deferred`].
+    /// Transactions waiting for [`Kv::apply_deferred`].
     deferred: Vec<Value>,
     calls: u64,
-    /// The keys that some change wanted to write, whatever came of it.
+    /// Keys that any transaction tried to write, whatever its outcome.
     attempted: HashSet<String>,
     faults: Faults,
 }
 
-/// The store.
+/// The metadata store.
 #[derive(Clone, Default)]
 pub struct Kv {
     core: Arc<Mutex<Core>>,
@@ -99,7 +101,7 @@
 }
 
 impl Kv {
-    /// Opens the port and returns its base address.
+    /// Opens the HTTP server and returns its base URL.
     ///
     /// # Errors
     ///
@@ -109,22 +111,22 @@
         http_server::open(address, MAX_CONNECTIONS, move |request| kv.handle(&request))
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
-    /// The calls that came in so far.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> u64 {
         lock(&self.core).calls
     }
 
-    /// True when a change that would write this key has arrived, whatever came of it.
+    /// True if a transaction that would write this key has been received, whatever its outcome.
     pub fn was_write_attempted(&self, key: &str) -> bool {
         lock(&self.core).attempted.contains(key)
     }
 
-    /// Writes a key as the operators or a worker would.
+    /// Writes a key as an operator or a worker would.
     pub fn put(&self, key: &str, value: &str) {
         let mut core = lock(&self.core);
         core.write(key, Some((value.to_owned(), 0)));
@@ -138,27 +140,27 @@
         self.changed.notify_all();
     }
 
-    /// The value of a key, as base64 text.
+    /// Returns the value of a key as base64 text.
     pub fn value(&self, key: &str) -> Option<String> {
         let core = lock(&self.core);
         core.items.get(key).map(|item| item.value.clone())
     }
 
-    /// The keys that start with the prefix.
+    /// Returns the keys that start with the prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let core = lock(&self.core);
         let all = core.items.keys();
         all.filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Forgets the history of changes.
+    /// Discards the change history.
     pub fn compact(&self) {
         let mut core = lock(&self.core);
         core.compacted_to = core.revision;
         core.history.clear();
     }
 
-    /// Makes the changes that were held up, each if its conditions still hold. Returns how many
+    /// Applies the deferred transactions, each only if its conditions still hold. Returns how many
     /// took effect.
     pub fn apply_deferred(&self) -> usize {
         let mut core = lock(&self.core);
@@ -298,7 +300,7 @@
 }
 
 impl Core {
-    /// Notes which keys a change wants to write.
+    /// Records the keys that a transaction would write.
     fn record_attempts(&mut self, request: &ServerRequest) {
         if request.path != "/kv-txn" {
             return;
@@ -310,7 +312,7 @@
         }
     }
 
-    /// Ends leases whose time is over, with their keys.
+    /// Removes expired leases and their keys.
     fn expire_leases(&mut self) {
         let now = Instant::now();
         let over: Vec<u64> = self
@@ -403,7 +405,7 @@
         reply(200, &json!({ "revision": self.revision }))
     }
 
-    /// All entries of one change bear one revision.
+    /// Gives all entries of one transaction the same revision.
     fn assign_one_revision(&mut self, entries: usize) {
         let revision = self.revision;
         for change in self.history.iter_mut().rev().take(entries) {
@@ -428,12 +430,12 @@
     })
 }
 
-/// The text of a value as the store keeps it.
+/// Encodes a value as stored: base64 of its JSON text.
 pub fn encode(value: &Value) -> String {
     STANDARD.encode(value.to_string())
 }
 
-/// The bytes of a value that the store keeps; none where it is not such a text.
+/// Decodes a stored value to its bytes; empty if the text is not valid base64.
 pub fn decode(text: &str) -> Vec<u8> {
     STANDARD.decode(text).unwrap_or_default()
 }
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The rules of one worker: its ledger, its capacity, its lease, its epochs.
+//! State of one simulated worker: task ledger, capacity, lease and epochs.
 
 use {
     crate::{
@@ -14,24 +14,24 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The work between two checkpoints, in milliseconds.
+/// Work between two checkpoints, in milliseconds.
 const CHECKPOINT_INTERVAL: u64 = 1000;
 
-/// The time between two samples of usage, in milliseconds.
+/// Interval between usage samples, in milliseconds.
 const USAGE_INTERVAL: u64 = 5000;
 
-/// The age of a sample of usage, in milliseconds.
+/// Age of a usage sample, in milliseconds.
 const USAGE_LAG: u64 = 3000;
 
 /// Faults of a worker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every task that starts fails at once.
+    /// Every task fails as soon as it starts.
     pub failing: bool,
-    /// Exchanges break off before any effect.
+    /// Exchanges are disconnected before they have any effect.
     pub cut: bool,
-    /// The replies of this many exchanges are lost after their effect.
+    /// Number of further exchanges that take effect but whose replies are lost.
     pub lost: u32,
 }
 
@@ -39,33 +39,33 @@
     record: Record,
     version: u64,
     length: u64,
-    /// Work done, in milliseconds at full speed.
+    /// Completed work, in milliseconds at full speed.
     done: u64,
     percent: u8,
-    /// True once a report reported of the end.
+    /// True once a report has contained the end of the task.
     reported: bool,
 }
 
-/// One worker.
+/// A simulated worker.
 pub struct Ledger {
     name: Arc<str>,
     boot: u64,
     size: Size,
     clock: Clock,
     auditor: Auditor,
-    /// The newest epoch and the last order of it, by cell.
+    /// The newest epoch and its last order number, by cell.
     epochs: BTreeMap<Arc<str>, (u64, u64)>,
     lease: u64,
     version: u64,
     entries: BTreeMap<Task, Entry>,
     advanced: u64,
     sampled: u64,
-    /// Faults that are switched on.
+    /// Active faults.
     pub faults: Faults,
 }
 
 impl Ledger {
-    /// A worker that runs nothing yet.
+    /// Creates a worker without tasks.
     pub fn new(name: Arc<str>, boot: u64, size: Size, clock: Clock, auditor: Auditor) -> Self {
         let advanced = clock.now();
         Ledger {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What the running tasks are committed.
+    /// Returns the capacity allocated to running tasks.
     pub fn committed(&self) -> Size {
         let mut sum = Size::default();
         for entry in self.entries.values() {
@@ -95,7 +95,7 @@
         sum
     }
 
-    /// The number of running tasks.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.entries
             .values()
@@ -103,7 +103,7 @@
             .count()
     }
 
-    /// Lets the time pass: work goes on, tasks finish, the lease may end.
+    /// Advances to the current time: tasks progress and finish, and the lease may expire.
     pub fn advance(&mut self) {
         let now = self.clock.now();
         let elapsed = now.saturating_sub(self.advanced);
@@ -133,13 +133,13 @@
         }
     }
 
-    /// The box restarts: nothing runs any longer and the ledger is empty.
+    /// Restarts the box: all tasks stop and the ledger is cleared.
     pub fn reboot(&mut self) {
         self.advance();
         for entry in self.entries.values() {
             match entry.record.phase {
                 Phase::Running => self.auditor.record_end(&entry.record.task, End::Stopped),
-                // Nobody knows that it finished: its work is lost with the box.
+                // The finish was never reported, so the result is lost with the box.
                 Phase::Finished if !entry.reported => {
                     self.auditor.discard_finish(&entry.record.task)
                 }
@@ -152,11 +152,11 @@
         self.version = 0;
     }
 
-    /// Carries an order out.
+    /// Carries out an order.
     ///
     /// # Errors
     ///
-    /// A newer epoch was seen, or the order was passed.
+    /// A newer epoch has been seen, or the order has been superseded by a later one.
     pub fn exchange(&mut self, order: &Order) -> Result<Report, Failure> {
         self.advance();
         let seen = self.epochs.entry(order.cell.clone()).or_default();
@@ -170,7 +170,7 @@
         *seen = current;
         if let Some(extension) = order.extend {
             let end = extension.from.saturating_add(extension.length);
-            // An extension of another life of the box counts for nothing.
+            // Lease extensions for another incarnation of the box are ignored.
             if order.boot == self.boot {
                 self.lease = self.lease.max(end);
             }
@@ -244,7 +244,7 @@
     fn start(&mut self, start: &Start) -> Result<(), &'static str> {
         if let Some(entry) = self.entries.get(&start.task) {
             if entry.record.attempt >= start.attempt {
-                // The order came again, or late.
+                // The order was repeated or arrived late.
                 return Ok(());
             }
             if entry.record.phase == Phase::Running {
@@ -311,7 +311,7 @@
     }
 }
 
-/// A sample of what a task uses: about four fifths of what is committed.
+/// Returns a usage sample of a task, about four fifths of its allocation.
 fn sample(record: &Record) -> Usage {
     let part = |amount: u32| amount / 5 * 4;
     Usage {
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins of the platform, for tests, the demo and the bench.
+//! Small stand-ins for the platform, for tests, the demo and the load generator.
 //!
-//! Each keeps its rules in a core that is also usable in the same process, and serves it over
-//! HTTP as docs/PLATFORM.md describes the platform. Their faults are switched on by methods, and
-//! over HTTP by `POST /admin/faults`. [`kv`] and [`runner`] stand in for the store and the workers of
-//! the users' platform and speak its protocol.
+//! Each keeps its logic in a core that is also usable in the same process, and serves it over HTTP
+//! as docs/PLATFORM.md describes the platform. Faults are injected by methods, and over HTTP by
+//! `POST /admin/faults`. [`kv`] and [`runner`] stand in for the store and the workers of the
+//! users' platform and speak its protocol.
 
 pub mod auditor;
 pub mod backend;
--- a/components/standin/src/proxy.rs
+++ b/components/standin/src/proxy.rs
@@ -1,7 +1,7 @@
-//! A line between callers and a port: it passes bytes on, until it is told to silence the connections
-//! that are open. These stay open and bring nothing more, as behind a switch that has forgotten them;
-//! new ones work. It may also bring callers only so many bytes a second, as a connection of little bandwidth
-//! does.
+//! TCP proxy with injectable faults, placed between callers and a server. It can drop the traffic
+//! of open connections while they stay open, as a switch does that has lost its state; new
+//! connections still work. It can also delay traffic, limit the bandwidth towards the callers,
+//! reset connections and refuse new ones.
 
 use {
     kernel::{sync::lock, task},
@@ -17,23 +17,23 @@
     },
 };
 
-/// Bytes that are passed on at once.
+/// Maximum number of bytes forwarded at once.
 const BUFFER: usize = 16 * 1024;
 
-/// A direction of a line.
+/// Direction of traffic through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From the callers to the port.
+    /// From the callers to the server.
     Upstream,
-    /// From the port to the callers.
+    /// From the server to the callers.
     Downstream,
 }
 
 /// One open connection.
 struct Connection {
-    /// True once what callers send is lost.
+    /// True once bytes sent by the caller are dropped.
     upstream: AtomicBool,
-    /// True once what the port sends is lost.
+    /// True once bytes sent by the server are dropped.
     downstream: AtomicBool,
     caller: TcpStream,
     port: TcpStream,
@@ -56,35 +56,36 @@
     }
 }
 
-/// The state that the tasks of a line share.
+/// State shared by the threads of a proxy.
 #[derive(Default)]
 struct Shared {
     connections: Mutex<Vec<Weak<Connection>>>,
-    /// New connections are closed at once.
+    /// Closes new connections at once.
     refuses: AtomicBool,
-    /// Each piece is late by so many milliseconds, both ways.
+    /// Delay of each chunk in either direction, in milliseconds.
     delay: AtomicUsize,
     accepted: AtomicUsize,
-    /// Bytes a second that each connection brings its caller; 0 for no limit.
+    /// Bandwidth per connection towards its caller, in bytes per second; 0 for no limit.
     rate: AtomicUsize,
-    /// The first connection that has delivered its caller so many bytes goes silent; 0 for none.
+    /// Total bytes delivered to a caller after which its connection is blackholed, once; 0 to
+    /// disable.
     stall: AtomicUsize,
-    /// Bytes that were delivered to callers.
+    /// Bytes delivered to callers.
     delivered: AtomicUsize,
 }
 
-/// One line.
+/// A TCP proxy.
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Proxy {
-    /// Opens a line to a port of this machine. It lasts until the process ends.
+    /// Opens a proxy to a server on this machine. It runs until the process ends.
     ///
     /// # Errors
     ///
-    /// No port can be connections.
+    /// No port can be opened.
     pub fn open(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
@@ -95,46 +96,46 @@
                 if state.refuses.load(Ordering::Acquire) {
                     continue;
                 }
-                // A port that is closed looks like a reset to the caller.
+                // If the server port is closed, the caller sees a reset connection.
                 let _ = connect(&state, stream, to);
             }
         })?;
         Ok(Proxy { address, shared })
     }
 
-    /// Its address and port.
+    /// Returns the address on which callers reach the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Silences the connections that are open now.
+    /// Drops all further traffic of the connections that are open at this moment.
     pub fn blackhole(&self) {
         self.blackhole_direction(Direction::Upstream);
         self.blackhole_direction(Direction::Downstream);
     }
 
-    /// Silences one direction of the connections that are open now.
+    /// Drops further traffic in one direction of the connections that are open at this moment.
     pub fn blackhole_direction(&self, direction: Direction) {
         for connection in self.open_connections() {
             connection.silence(direction);
         }
     }
 
-    /// Breaks the connections that are open now.
+    /// Closes the connections that are open at this moment.
     pub fn reset(&self) {
         for connection in self.open_connections() {
-            // One that has ended meanwhile needs no end.
+            // Shutting down a connection that has already ended fails harmlessly.
             let _ = connection.caller.shutdown(Shutdown::Both);
             let _ = connection.port.shutdown(Shutdown::Both);
         }
     }
 
-    /// Closes new connections at once, or takes them again.
+    /// Sets whether new connections are closed at once.
     pub fn set_refusing(&self, refuses: bool) {
         self.shared.refuses.store(refuses, Ordering::Release);
     }
 
-    /// Brings each piece so much later, both ways.
+    /// Sets the delay of each chunk in either direction.
     pub fn set_delay(&self, time: Duration) {
         let millis = time.as_millis() as usize;
         self.shared.delay.store(millis, Ordering::Release);
@@ -145,29 +146,30 @@
         connections.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Lets each connection bring its caller at most so many bytes a second.
+    /// Limits the bandwidth per connection towards its caller, in bytes per second; 0 for no
+    /// limit.
     pub fn set_rate(&self, rate: usize) {
         self.shared.rate.store(rate, Ordering::Release);
     }
 
-    /// Silences the first connection that has delivered its caller so many bytes since it was connections, in
-    /// the middle of what it brings. Later ones are spared.
+    /// Blackholes the first connection that has delivered this many bytes to its caller since it
+    /// was opened, in the middle of the transfer. Later connections are not affected.
     pub fn stall_after(&self, bytes: usize) {
         self.shared.stall.store(bytes, Ordering::Release);
     }
 
-    /// How many connections were connections so far.
+    /// Returns the number of connections forwarded so far.
     pub fn connections(&self) -> usize {
         self.shared.accepted.load(Ordering::Acquire)
     }
 
-    /// How many bytes were delivered to callers so far.
+    /// Returns the number of bytes delivered to callers so far.
     pub fn bytes_delivered(&self) -> usize {
         self.shared.delivered.load(Ordering::Acquire)
     }
 }
 
-/// Passes the bytes of one connection on, both ways.
+/// Connects to the server and starts the two forwarding threads of a connection.
 fn connect(shared: &Arc<Shared>, caller: TcpStream, to: SocketAddr) -> io::Result<()> {
     let port = TcpStream::connect(to)?;
     let (from, back) = (caller.try_clone()?, port.try_clone()?);
@@ -206,7 +208,7 @@
 }
 
 impl Shared {
-    /// Takes the time by which each piece is late.
+    /// Sleeps for the configured delay of one chunk.
     fn sleep_delay(&self) {
         let millis = self.delay.load(Ordering::Acquire);
         if millis > 0 {
@@ -214,7 +216,8 @@
         }
     }
 
-    /// Takes the time that these bytes need on their direction to the caller, of so many on this connection.
+    /// Sleeps for the transfer time of `bytes` towards the caller at the configured rate. `total`
+    /// is the number of bytes sent on this connection, including these.
     fn deliver(&self, bytes: usize, total: usize, connection: &Connection) {
         let rate = self.rate.load(Ordering::Acquire);
         if rate > 0 {
@@ -232,8 +235,8 @@
     }
 }
 
-/// Passes bytes on one direction until the connection ends, each piece after `before`. What comes on a silent
-/// one is read and lost.
+/// Forwards bytes in one direction until the connection ends, calling `before` ahead of each
+/// chunk. Bytes of a blackholed connection are read and dropped.
 fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -247,7 +250,7 @@
         }
         let is_silent = connection.is_silent(direction);
         if read == 0 {
-            // The end of a silent connection is not told either.
+            // The end of a blackholed connection is not forwarded either.
             if !is_silent {
                 let _ = to.shutdown(Shutdown::Both);
             }
--- a/components/standin/src/runner.rs
+++ b/components/standin/src/runner.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the users' workers: runs under leases and fences, with ends that are listed until
-//! they are acknowledged. Each has a port of its own.
+//! Stand-in for the users' workers. Tasks run under leases and fencing tokens, and their ends are
+//! reported until acknowledged. Each worker listens on its own port.
 //!
-//! It keeps to the protocol of their platform, whose names therefore stand here too.
+//! It speaks the protocol of the users' platform, so the names on the wire are that platform's.
 
 use {
     crate::{
@@ -22,62 +22,65 @@
 };
 
 thread_local! {
-    /// When the life began to which the connection of this thread leads; 0 before its first call.
+    /// Start time of the worker incarnation to which the connection of this thread was opened; 0
+    /// before its first call.
     static CONNECTED_TO: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Connections that a port takes.
+/// Maximum number of connections of one worker.
 const MAX_CONNECTIONS: usize = 64;
 /// The longest lease, in milliseconds.
 const MAX_LEASE: u64 = 6_000;
-/// Starts are held to a room that has shrunk after this time: 3 s until all are in touch, and a heartbeat.
+/// After a worker has shrunk, starts beyond its new size are recorded as violations only after
+/// this time: 3 s until all schedulers are in contact, and one heartbeat.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_100);
-/// The pause between two looks at a held poll.
+/// Pause between two checks of a long poll.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A specification that begins so makes its tasks fail.
+/// Prefix of a specification whose tasks fail.
 pub const FAILING_PREFIX: &str = "fail";
-/// A specification that begins so names the step and the number, with a dot between them, of a task that crashes its
-/// worker once it has begun.
+/// Prefix of a specification that names a task, as step and task number separated by a dot, which
+/// crashes its worker after it has started.
 pub const CRASHING_PREFIX: &str = "crash=";
-/// From the start of such a task until its worker crashes.
+/// Time from the start of a crashing task until its worker crashes.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
-/// How long a worker is away that has crashed under a task.
+/// How long a worker stays down after it was crashed by a task.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(700);
-/// A specification that begins so names the time of each task in milliseconds.
+/// Prefix of a specification that gives the duration of each task in milliseconds.
 pub const DURATION_PREFIX: &str = "ms=";
 
 /// One run of a task on one worker.
 #[derive(Debug, Clone)]
 pub struct TaskRun {
-    /// The name of the task.
+    /// Task name.
     pub task: Arc<str>,
-    /// The life of the worker.
+    /// Worker incarnation.
     pub worker: Arc<str>,
-    /// When it began.
+    /// Start time.
     pub started: Instant,
-    /// When it ended, to the moment also where nobody looked then, and how.
+    /// End time and cause. The time is exact even if no call was made at that moment.
     pub ended: Option<(Instant, &'static str)>,
-    /// When its end was acknowledged under a lease that had not lapsed since.
+    /// When the end was acknowledged, provided that the lease has not expired since the end.
     pub acknowledged: Option<Instant>,
 }
 
-/// What all workers of a farm saw together.
+/// Events of all workers of a test, recorded together.
 #[derive(Debug, Default)]
 pub struct RunLog {
-    /// Tasks that run now, by name, and how many runs of each there are.
+    /// Number of concurrent runs by task name.
     running: HashMap<String, u32>,
-    /// Starts, by the name of the task.
+    /// Number of starts by task name.
     pub starts: HashMap<String, u32>,
-    /// Tasks that ran twice at the same time.
+    /// Tasks of which two runs were active at the same time.
     pub ran_twice: Vec<String>,
-    /// All runs, in the order of their starts.
+    /// All runs, in order of their starts.
     pub runs: Vec<TaskRun>,
-    /// Starts that were refused for want of room: when, task and worker.
+    /// Starts refused for lack of capacity: time, task and worker.
     pub capacity_refusals: Vec<(Instant, Arc<str>, Arc<str>)>,
 }
 
 impl RunLog {
-    /// Tasks that were started after a run of theirs had ended well and that end was acknowledged.
+    /// Returns the tasks that were started again after a run of them had succeeded and its end had
+    /// been acknowledged.
     pub fn restarted_after_done(&self) -> Vec<Arc<str>> {
         let mut done: HashMap<&str, Instant> = HashMap::new();
         for ran in &self.runs {
@@ -94,20 +97,20 @@
     }
 }
 
-/// What goes wrong with a worker.
+/// Faults of a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Every connection is cut before anything is done.
+    /// Closes every connection before the call has any effect.
     pub reset: bool,
-    /// The answers of this many starts are lost after they were carried out.
+    /// Number of further starts that take effect but whose responses are lost.
     pub lost: u32,
-    /// Every connection is closed after its first answer.
+    /// Closes every connection after its first response.
     pub closes_connections: bool,
-    /// Starts are refused with 503.
+    /// Refuses starts with status 503.
     pub refuses_starts: bool,
-    /// Once as many answers were lost, another life is there.
+    /// Changes to another incarnation once all `lost` responses have been lost.
     pub then_restart: bool,
-    /// Once as many answers were lost, starts are refused so.
+    /// Sets `refuses_starts` once all `lost` responses have been lost.
     pub then_refuses: bool,
 }
 
@@ -116,53 +119,53 @@
     until: Instant,
     fails: bool,
     percent: u64,
-    /// Its log_index among all runs seen.
+    /// Index of the run in [`RunLog::runs`].
     log_index: usize,
 }
 
-/// One end that is listed until it is acknowledged.
+/// The end of a run, reported until acknowledged.
 struct End {
     count: u64,
     name: String,
     run: u64,
     how: &'static str,
     at: Instant,
-    /// Its log_index among all runs seen.
+    /// Index of the run in [`RunLog::runs`].
     log_index: usize,
 }
 
 struct Core {
     id: String,
-    /// Processors, in thousandths of a core.
+    /// Capacity in thousandths of a core.
     size: u64,
-    /// When it last got fewer.
+    /// When the capacity was last reduced.
     shrunk: Option<Instant>,
     clock_start: Instant,
-    /// When this life began, in milliseconds since 1970.
+    /// Start time of this incarnation, in milliseconds since 1970.
     started_at: u64,
-    /// It has crashed and is not back yet.
+    /// True while the worker is down after a crash.
     is_down: bool,
-    /// How often it has crashed under a task.
+    /// Number of crashes caused by tasks.
     crashes: u32,
-    /// The highest fence seen.
+    /// The highest fencing token seen.
     fence: u64,
-    /// Until when tasks may run, on this worker's clock in milliseconds.
+    /// End of the lease, on this worker's clock in milliseconds.
     lease: u64,
-    /// How long each task runs.
+    /// Default duration of a task.
     work: Duration,
     running: BTreeMap<String, Run>,
-    /// The highest run that was stopped or has ended, by task.
+    /// The highest run number that was stopped or has ended, by task name.
     over: HashMap<String, u64>,
     ended: Vec<End>,
-    /// When a lease that had lapsed was last renewed.
+    /// When a lease was last renewed after it had expired.
     lapsed: Option<Instant>,
-    /// The number of the last end.
+    /// Sequence number of the last end.
     count: u64,
     run_log: Arc<Mutex<RunLog>>,
     faults: Faults,
-    /// So many calls more get no answer and are carried out later.
+    /// Number of further calls that get no response and are carried out later.
     deferred_calls: u32,
-    /// Those calls.
+    /// The deferred calls.
     deferred: Vec<ServerRequest>,
 }
 
@@ -170,12 +173,13 @@
 #[derive(Clone)]
 pub struct Runner {
     core: Arc<Mutex<Core>>,
-    /// Where it records itself.
+    /// Store that holds the entry of this worker.
     kv: Kv,
 }
 
 impl Runner {
-    /// Opens a worker of so many cores, whose tasks take this time, and records it in the store.
+    /// Opens a worker with the given number of cores and default task duration, and writes its
+    /// entry to the store.
     ///
     /// # Errors
     ///
@@ -235,13 +239,13 @@
         Ok(runner)
     }
 
-    /// Stands in another data hall than `h1` from now on, as its entry says.
+    /// Moves the worker to a data hall other than `h1` in its store entry.
     pub fn set_hall(&self, hall: &str) {
         let id = self.id();
         self.write_entry(&id, &id, "zone", hall.into());
     }
 
-    /// Records a life, as the entry of one has it but for one field.
+    /// Copies the entry of `former` to `id` with one field replaced.
     fn write_entry(&self, former: &str, id: &str, field: &str, value: Value) {
         let entry = self.kv.value(&format!("servers/{former}"));
         let text = decode(&entry.unwrap_or_default());
@@ -252,20 +256,20 @@
         self.kv.put(&format!("servers/{id}"), &encode(&entry));
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
-    /// Crashes and starts again at once: a new life at the same address, which records itself in the
-    /// store. The entry of the former one stays, unless it has the same name.
+    /// Crashes the worker and restarts it at once as a new incarnation at the same address, with a
+    /// new store entry. The former entry stays unless it has the same name.
     pub fn restart(&self, id: &str) {
         let former = self.id();
         self.restart_without_entry(id);
         self.write_entry(&former, id, "born", self.start_time().into());
     }
 
-    /// The same, but for the entry in the store, which stays as it is.
+    /// Like [`Runner::restart`], but leaves the store entry as it is.
     pub fn restart_without_entry(&self, id: &str) {
         let mut core = lock(&self.core);
         core.end_all();
@@ -281,23 +285,23 @@
         core.is_down = false;
     }
 
-    /// Writes the present life into its entry.
+    /// Updates the start time in the store entry to that of the current incarnation.
     pub fn update_entry(&self) {
         let id = self.id();
         self.write_entry(&id, &id, "born", self.start_time().into());
     }
 
-    /// When the present life began, in milliseconds since 1970.
+    /// Returns the start time of the current incarnation, in milliseconds since 1970.
     pub fn start_time(&self) -> u64 {
         lock(&self.core).started_at
     }
 
-    /// Leaves the next calls, so many, without an answer until [`Runner::run_deferred`].
+    /// Leaves the next `calls` calls without a response until [`Runner::run_deferred`].
     pub fn defer_calls(&self, calls: u32) {
         lock(&self.core).deferred_calls = calls;
     }
 
-    /// Carries out the calls that were held back, whichever life is there by now.
+    /// Carries out the deferred calls, whichever incarnation is current by then.
     pub fn run_deferred(&self) {
         let mut core = lock(&self.core);
         core.deferred_calls = 0;
@@ -321,17 +325,17 @@
         }
     }
 
-    /// The present life.
+    /// Returns the name of the current incarnation.
     pub fn id(&self) -> String {
         lock(&self.core).id.clone()
     }
 
-    /// Its cores.
+    /// Returns the number of cores.
     pub fn cores(&self) -> u64 {
         lock(&self.core).size / 1_000
     }
 
-    /// Gives it another number of cores. Its entry is the caller's to write.
+    /// Changes the number of cores. The caller has to update the store entry.
     pub fn resize(&self, cores: u64) {
         let mut core = lock(&self.core);
         let size = cores * 1_000;
@@ -341,7 +345,7 @@
         core.size = size;
     }
 
-    /// The number of tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         let mut core = lock(&self.core);
         core.advance();
@@ -407,7 +411,8 @@
         answer.into()
     }
 
-    /// Crashes this life of the worker shortly, which comes back as another one at the same address.
+    /// Crashes this incarnation after [`CRASH_AFTER`] and restarts the worker as a new one at the
+    /// same address after [`CRASH_DOWNTIME`].
     fn crash_soon(&self, id: String, started_at: u64) {
         let runner = self.clone();
         thread::spawn(move || {
@@ -428,12 +433,13 @@
         });
     }
 
-    /// How often the worker has crashed under a task.
+    /// Returns the number of crashes caused by tasks.
     pub fn crashes(&self) -> u32 {
         lock(&self.core).crashes
     }
 
-    /// Holds a poll until there is something to tell, or its time is over. A crash cuts it.
+    /// Holds a long poll until there is an end to report or its time is over. A crash disconnects
+    /// it.
     fn hold(&self, body: &Value) -> ServerResponse {
         let until = Instant::now() + Duration::from_millis(number(body, "waitMs"));
         lock(&self.core).renew(body);
@@ -458,7 +464,7 @@
         self.clock_start.elapsed().as_millis() as u64 + 1
     }
 
-    /// Refuses what is meant for another life, or comes from a former owner.
+    /// Refuses calls that are addressed to another incarnation or come from a former owner.
     fn check_caller(&mut self, request: &ServerRequest, body: &Value) -> Option<Reply> {
         self.advance();
         let meant = request.header("expected-instance");
@@ -481,18 +487,19 @@
         reply(200, &json!({ "clockMs": self.clock() }))
     }
 
-    /// True when everybody should know how much room it has: starts are held to less room only after a while.
+    /// True if every scheduler should know the current capacity: starts are checked against a
+    /// reduced capacity only after [`SHRINK_GRACE`].
     fn is_size_known(&self) -> bool {
         self.shrunk.is_none_or(|at| at.elapsed() > SHRINK_GRACE)
     }
 
-    /// True when this very run of the task is going on.
+    /// True if exactly this run of the task is active.
     fn is_running(&self, name: &str, run: u64) -> bool {
         let held = self.running.get(name);
         held.is_some_and(|held| held.number == run)
     }
 
-    /// Forgets the ends that are acknowledged, and extends the lease.
+    /// Removes acknowledged ends and extends the lease.
     fn renew(&mut self, body: &Value) {
         let seen = number(body, "lastSeen");
         if self.clock() > self.lease {
@@ -507,7 +514,7 @@
         self.lease = self.lease.max(number(body, "deadlineMs").min(most));
     }
 
-    /// Notes which ends were acknowledged in time.
+    /// Records which of the removed ends were acknowledged in time.
     fn acknowledge(&self, acked: Vec<End>) {
         let now = Instant::now();
         let mut run_log = lock(&self.run_log);
@@ -518,7 +525,7 @@
         }
     }
 
-    /// Loses what runs: nobody is acked.
+    /// Ends all running tasks without reporting their ends.
     fn end_all(&mut self) {
         self.advance();
         let names: Vec<String> = self.running.keys().cloned().collect();
@@ -528,7 +535,7 @@
         self.ended.clear();
     }
 
-    /// Ends what has run its time, and all of it when the lease is over.
+    /// Ends tasks that have reached their duration, and all tasks once the lease has expired.
     fn advance(&mut self) {
         let now = Instant::now();
         let lapsed = self.clock() > self.lease;
@@ -657,7 +664,8 @@
     }
 }
 
-/// True unless the connection of this thread was opened to an earlier life: a crash ends all connections.
+/// True unless the connection of this thread was opened to an earlier incarnation: a crash ends
+/// all connections.
 fn is_connected_to(started_at: u64) -> bool {
     let connected_to = CONNECTED_TO.get();
     CONNECTED_TO.set(if connected_to == 0 {
@@ -676,7 +684,7 @@
         .is_some_and(|crashing| name.ends_with(&format!(".{crashing}")))
 }
 
-/// The time of each task, where its specification names one.
+/// Returns the task duration given in a specification, if any.
 fn duration_from(text: &str) -> Option<Duration> {
     let millis = text.strip_prefix(DURATION_PREFIX)?.parse().ok()?;
     Some(Duration::from_millis(millis))
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the key-value service.
+//! Stand-in for the key-value store.
 
 mod server;
 
@@ -20,32 +20,32 @@
     },
 };
 
-/// Faults that are switched on.
+/// Active faults.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Breaks off every call before any effect.
+    /// Disconnects every call before it has any effect.
     pub down: bool,
-    /// Delays every call by this many milliseconds.
+    /// Delay of every call in milliseconds.
     pub slow: u64,
-    /// Loses the replies of this many writes after their effect.
+    /// Number of further writes that take effect but whose replies are lost.
     pub lost: u32,
-    /// Drops this many writes before their effect, and their replies.
+    /// Number of further writes that are dropped without effect or reply.
     pub dropped: u32,
 }
 
-/// How many calls of each kind were made.
+/// Number of calls of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads.
     pub get: u64,
     /// Compare-and-swaps.
     pub swap: u64,
-    /// Watches, each waiting one counted once.
+    /// Watches, each counted once however long it waits.
     pub watch: u64,
-    /// Grants and renewals of leases.
+    /// Lease grants and renewals.
     pub lease: u64,
-    /// Calls refused for the rate.
+    /// Calls refused by the rate limit.
     pub refused: u64,
 }
 
@@ -64,14 +64,14 @@
     writes: TokenBucket,
 }
 
-/// The rules of the service, without its port.
+/// The store, without its HTTP server.
 pub struct Core {
     state: Mutex<State>,
     changed: Condvar,
     clock: Clock,
 }
 
-/// How many calls a second the service bears.
+/// Rate limits in calls per second.
 #[derive(Debug, Clone, Copy)]
 pub struct Rates {
     /// Reads and watches.
@@ -90,7 +90,7 @@
 }
 
 impl Core {
-    /// An empty service with these rates.
+    /// Creates an empty store with these rate limits.
     pub fn new(rates: Rates, clock: Clock) -> Self {
         let now = Instant::now();
         let state = State {
@@ -109,27 +109,27 @@
         }
     }
 
-    /// Switches faults on or off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.state).faults = faults;
         self.changed.notify_all();
     }
 
-    /// The faults that are switched on.
+    /// Returns the active faults.
     pub fn faults(&self) -> Faults {
         lock(&self.state).faults.clone()
     }
 
-    /// The calls so far.
+    /// Returns the call counts so far.
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts
     }
 
-    /// Grants a lease of this many milliseconds; keys bound to it go when it lapses.
+    /// Grants a lease of `length` milliseconds. Its keys are removed when it expires.
     ///
     /// # Errors
     ///
-    /// As any call.
+    /// The store is down or its rate limit is reached.
     pub fn grant(&self, length: u64) -> Result<u64, Failure> {
         let mut state = self.admit(true)?;
         state.counts.lease += 1;
@@ -140,11 +140,11 @@
         Ok(id)
     }
 
-    /// Renews a lease. False when it has lapsed.
+    /// Renews a lease. Returns false if it has expired.
     ///
     /// # Errors
     ///
-    /// As any call.
+    /// The store is down or its rate limit is reached.
     pub fn renew(&self, id: u64) -> Result<bool, Failure> {
         let mut state = self.admit(true)?;
         state.counts.lease += 1;
@@ -156,7 +156,7 @@
         Ok(true)
     }
 
-    /// Makes a lease lapse now, with its keys.
+    /// Expires a lease at once and removes its keys.
     pub fn expire_lease(&self, id: u64) {
         if let Some(lease) = lock(&self.state).leases.get_mut(&id) {
             lease.0 = 0;
@@ -164,7 +164,7 @@
         self.remove_expired();
     }
 
-    /// Drops lapsed leases and their keys.
+    /// Removes expired leases and their keys.
     fn remove_expired(&self) {
         let mut state = lock(&self.state);
         let now = self.clock.now();
@@ -173,7 +173,7 @@
         keys.retain(|_, entry| entry.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 
-    /// The faults and rates that meet every call.
+    /// Applies the fault and rate-limit checks that are common to all calls.
     fn admit(&self, write: bool) -> Result<MutexGuard<'_, State>, Failure> {
         let mut state = lock(&self.state);
         if state.faults.down {
@@ -192,11 +192,12 @@
         Ok(state)
     }
 
-    /// A compare-and-swap of a key that goes with a lease, or of a lasting one.
+    /// Compares and swaps a key, bound to a lease if one is given.
     ///
     /// # Errors
     ///
-    /// As any call; `Broken` with `may-have-run` when the reply is lost.
+    /// The store is down, its rate limit is reached or the value is too large; `Broken` with
+    /// `may-have-run` when the reply is lost.
     pub fn swap_leased(
         &self,
         key: &str,
@@ -310,10 +311,11 @@
         assert_eq!((counts.get, counts.swap, counts.watch), (2, 2, 2));
     }
 
-    /// A value of 1 MB takes 2.5 s on its way, longer than a call may wait for its answer to begin.
+    /// At this rate, a value of 1 MB takes 2.5 s to transfer, longer than a call may wait for its
+    /// response to begin.
     #[test_case(|http| http.get("k"); "read")]
     #[test_case(|http| http.watch("k", 0, Duration::from_millis(5)); "watch")]
-    fn large_value_over_slow_line(
+    fn large_value_over_slow_connection(
         call: fn(&store::Http) -> Result<Option<store::Versioned>, Failure>,
     ) {
         let (port, _) = port();
--- a/components/standin/src/store/server.rs
+++ b/components/standin/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The service's port.
+//! HTTP server of the key-value store.
 
 use {
     super::Core,
@@ -8,17 +8,17 @@
     std::{io, net::SocketAddr, sync::Arc, thread, time::Duration},
 };
 
-/// Connections that the port takes.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// The service on a port.
+/// HTTP server of a store.
 pub struct Server {
     core: Arc<Core>,
     url: String,
 }
 
 impl Server {
-    /// Opens the port.
+    /// Opens the server.
     ///
     /// # Errors
     ///
@@ -31,12 +31,12 @@
         Ok(Server { core, url })
     }
 
-    /// The base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.url.clone()
     }
 
-    /// The rules behind the port.
+    /// Returns the store behind the server.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
@@ -72,7 +72,8 @@
     Reply::text(404, "no such path\n").into()
 }
 
-/// Answers with the reply; nothing found is 404; a failure as the service shows it.
+/// Converts a result to a response: 404 for a missing key, and the status of the failure
+/// otherwise.
 fn respond(result: Result<Option<Reply>, Failure>) -> ServerResponse {
     match result {
         Ok(Some(reply)) => reply.into(),
@@ -114,7 +115,7 @@
     respond(result.map(|id| id.map(|id| Reply::text(200, id.to_string()))))
 }
 
-/// Faults and counters over HTTP, for the stand-in as a process.
+/// Handles the fault and counter endpoints.
 fn admin(core: &Core, path: &str, request: &ServerRequest) -> Reply {
     let json = |body: Result<Vec<u8>, serde_json::Error>| {
         Reply::bytes(200, "application/json", body.unwrap_or_default())
--- a/components/standin/src/worker.rs
+++ b/components/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in of workers: many of them behind one port, each under a path of its own.
+//! Stand-in for the workers: many of them behind one HTTP server, each under its own path.
 
 use {
     crate::{
@@ -27,15 +27,16 @@
     },
 };
 
-/// Connections that the port takes.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 16_384;
 
-/// How often the time is let pass on every worker.
+/// Interval at which all workers advance to the current time.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 type Ledgers = BTreeMap<Arc<str>, Mutex<Ledger>>;
 
-/// The workers, without a port. As [`Workers`] it is called by name instead of by address.
+/// The workers, without an HTTP server. Its [`Workers`] implementation takes names instead of
+/// URLs.
 #[derive(Clone)]
 pub struct WorkerSet {
     ledgers: Arc<RwLock<Ledgers>>,
@@ -44,7 +45,7 @@
 }
 
 impl WorkerSet {
-    /// A farm without workers.
+    /// Creates a set without workers.
     pub fn new(clock: Clock, auditor: Auditor) -> Self {
         WorkerSet {
             ledgers: Arc::default(),
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Runs a closure on a worker's ledger. `None` when there is no such worker.
+    /// Runs a closure on the ledger of a worker. Returns `None` if there is no such worker.
     pub fn with<R>(&self, name: &str, run: impl FnOnce(&mut Ledger) -> R) -> Option<R> {
         let ledgers = self.ledgers.read().ok()?;
         let mut ledger = lock(ledgers.get(name)?);
         Some(run(&mut ledger))
     }
 
-    /// Lets the time pass on every worker.
+    /// Advances all workers to the current time.
     pub fn advance(&self) {
         let Ok(ledgers) = self.ledgers.read() else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Opens the port; workers are under `/w/NAME`.
+    /// Opens the HTTP server; workers are under `/w/NAME`.
     ///
     /// # Errors
     ///
@@ -130,7 +131,7 @@
     }
 }
 
-/// The port of the workers.
+/// HTTP server of the workers.
 pub struct Server {
     url: String,
     signal: Signal,
@@ -138,7 +139,7 @@
 }
 
 impl Server {
-    /// The base address of a worker.
+    /// Returns the base URL of a worker.
     pub fn url(&self, name: &str) -> String {
         format!("{}/w/{name}", self.url)
     }
--- a/components/standin/tests/proxy.rs
+++ b/components/standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! What a line does to the connections that pass over it.
+//! Faults that the proxy injects into connections.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -11,69 +11,69 @@
     },
 };
 
-/// Nothing that is to be heard takes so long.
-const FOREVER: Duration = Duration::from_secs(60);
-/// What is lost is not waited for longer.
-const SHORT: Duration = Duration::from_millis(200);
+/// Longer than any expected byte takes to arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a test waits for bytes that must not arrive.
+const NO_DATA_WAIT: Duration = Duration::from_millis(200);
 
-/// A line, and a connection over it: the caller's end and the port's.
+/// Opens a proxy and a connection through it. Returns both ends: caller and server.
 fn connect() -> (Proxy, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let proxy = Proxy::open(listener.local_addr().unwrap()).unwrap();
     let mut caller = TcpStream::connect(proxy.address()).unwrap();
     let (mut port, _) = listener.accept().unwrap();
-    port.set_read_timeout(Some(FOREVER)).unwrap();
-    caller.set_read_timeout(Some(FOREVER)).unwrap();
-    // Once bytes came through both ways, the line knows the connection.
+    port.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    caller.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    // After bytes have passed in both directions, the proxy has registered the connection.
     caller.write_all(b"a").unwrap();
-    assert_eq!(hear(&mut port), Some(b'a'));
+    assert_eq!(read_byte(&mut port), Some(b'a'));
     port.write_all(b"b").unwrap();
-    assert_eq!(hear(&mut caller), Some(b'b'));
+    assert_eq!(read_byte(&mut caller), Some(b'b'));
     (proxy, caller, port)
 }
 
-/// The next byte; `None` at the end or without one in time.
-fn hear(from: &mut TcpStream) -> Option<u8> {
+/// Reads the next byte; `None` at the end of the stream or on a time-out.
+fn read_byte(from: &mut TcpStream) -> Option<u8> {
     let mut byte = [0];
     from.read_exact(&mut byte).ok().map(|()| byte[0])
 }
 
 #[test]
-fn cut_loses_one_way() {
+fn blackhole_direction_one_way() {
     let (proxy, mut caller, mut port) = connect();
     proxy.blackhole_direction(Direction::Upstream);
     caller.write_all(b"c").unwrap();
     port.write_all(b"d").unwrap();
-    assert_eq!(hear(&mut caller), Some(b'd'));
-    port.set_read_timeout(Some(SHORT)).unwrap();
-    assert_eq!(hear(&mut port), None);
+    assert_eq!(read_byte(&mut caller), Some(b'd'));
+    port.set_read_timeout(Some(NO_DATA_WAIT)).unwrap();
+    assert_eq!(read_byte(&mut port), None);
 }
 
 #[test]
-fn silence_loses_both_ways() {
+fn blackhole_both_ways() {
     let (proxy, mut caller, mut port) = connect();
     proxy.blackhole();
     caller.write_all(b"c").unwrap();
     port.write_all(b"d").unwrap();
-    caller.set_read_timeout(Some(SHORT)).unwrap();
-    port.set_read_timeout(Some(SHORT)).unwrap();
-    assert_eq!((hear(&mut caller), hear(&mut port)), (None, None));
+    caller.set_read_timeout(Some(NO_DATA_WAIT)).unwrap();
+    port.set_read_timeout(Some(NO_DATA_WAIT)).unwrap();
+    assert_eq!((read_byte(&mut caller), read_byte(&mut port)), (None, None));
 }
 
 #[test]
-fn reset_ends_what_is_open() {
+fn reset_open_connections() {
     let (proxy, mut caller, mut port) = connect();
     proxy.reset();
-    assert_eq!((hear(&mut caller), hear(&mut port)), (None, None));
+    assert_eq!((read_byte(&mut caller), read_byte(&mut port)), (None, None));
 }
 
 #[test]
-fn refuse_closes_new_ones() {
+fn set_refusing_new_connections() {
     let (proxy, mut open, mut port) = connect();
     proxy.set_refusing(true);
     let mut caller = TcpStream::connect(proxy.address()).unwrap();
-    caller.set_read_timeout(Some(FOREVER)).unwrap();
-    assert_eq!(hear(&mut caller), None);
+    caller.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    assert_eq!(read_byte(&mut caller), None);
     open.write_all(b"c").unwrap();
-    assert_eq!(hear(&mut port), Some(b'c'));
+    assert_eq!(read_byte(&mut port), Some(b'c'));
 }
