--- a/components/trial/examples/fleet.rs
+++ b/components/trial/examples/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in this process: `cargo run -p magpie-trial --example fleet`.
+//! Starts a complete fleet in this process: `cargo run -p magpie-trial --example fleet`.
 
 use {magpie_trial::Fleet, standin::Deploy};
 
--- a/components/trial/src/entry.rs
+++ b/components/trial/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry box: a table, a scheduler and a gate.
+//! One entry box: a table service, a scheduler and a gate in this process.
 
 use {
     gate::choice,
@@ -8,13 +8,13 @@
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The processes of one entry box.
+/// The services of one entry box.
 pub struct Entry {
-    /// The name.
+    /// Box name.
     pub name: Arc<str>,
-    /// The data hall.
+    /// Data hall.
     pub hall: Arc<str>,
-    /// The table.
+    /// Table service.
     pub table: table::service::Service,
     /// The scheduler.
     pub sched: sched::Service,
@@ -23,11 +23,11 @@
 }
 
 impl Entry {
-    /// Starts the processes against a platform at these base addresses.
+    /// Starts the services against a platform at these base URLs.
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the system has no room for threads.
+    /// An address cannot be bound, or a thread cannot be started.
     pub fn start(name: &str, hall: Arc<str>, store_url: &str, boxes_url: &str) -> io::Result<Self> {
         let name: Arc<str> = Arc::from(name);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -74,7 +74,7 @@
         })
     }
 
-    /// The box as the platform's list shows it.
+    /// Returns the list item of the box.
     pub fn item(&self) -> boxes::Item {
         let services = [
             ("gate", self.gate.url()),
@@ -85,20 +85,22 @@
         entry_item(&self.name, &self.hall, &services)
     }
 
-    /// The versions of the table in force in its three processes.
+    /// Returns the table versions in use by the table service, the scheduler and the gate; `None`
+    /// for a service that does not answer.
     pub fn versions(&self) -> [Option<u64>; 3] {
         let sched = self.sched.remote().ask(|sched, _| sched.table_version());
         [self.table.version(), sched, self.gate.version()].map(Result::ok)
     }
 
-    /// True when the scheduler here owns a cell.
+    /// True if the scheduler of this box owns the cell.
     pub fn owns(&self, cell: &Arc<str>) -> bool {
         let cell = cell.clone();
         let owns = self.sched.remote().ask(move |sched, _| sched.owns(&cell));
         owns.unwrap_or(false)
     }
 
-    /// True when every process here has a table and this many cells are known to be held.
+    /// True if every service has a table and the scheduler knows exactly this many cells to be
+    /// owned.
     pub fn is_ready(&self, cells: usize) -> bool {
         let versions = self.versions();
         let summaries = self.sched.remote().ask(|sched, _| sched.summaries(None));
@@ -110,8 +112,8 @@
             && holding == cells
     }
 
-    /// Stops as if the box had lost its power, but for the callers' port, which a process cannot
-    /// close without ending.
+    /// Stops the scheduler and the table service abruptly, as a power failure would. The gate's
+    /// port stays open, since a process cannot close it without ending.
     pub fn kill(&mut self) {
         self.sched.kill();
         self.table.stop();
--- a/components/trial/src/fleet.rs
+++ b/components/trial/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A platform and its entry boxes.
+//! A platform of stand-ins with its entry boxes, and its start-up.
 
 use {
     crate::entry::Entry,
@@ -18,22 +18,22 @@
     },
 };
 
-/// How long the start may take.
+/// Time limit for start-up.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often the start is looked at.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time for one call.
+/// Time-out of one call.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A platform of stand-ins and the entry boxes that work on it.
+/// A platform of stand-ins and the entry boxes running on it.
 pub struct Fleet {
-    /// The sizes.
+    /// Deployment sizes.
     pub deploy: Deploy,
-    /// The stand-ins.
+    /// The platform of stand-ins.
     pub platform: Platform,
-    /// A client for callers and operators.
+    /// HTTP client for callers and operators.
     pub client: Client,
     entries: RwLock<Vec<Entry>>,
 }
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the system has no room for threads.
+    /// An address cannot be bound, or a thread cannot be started.
     pub fn start(deploy: Deploy, seed: u64) -> io::Result<Self> {
         let platform = Platform::start(&deploy, Addresses::free(), seed)?;
         let fleet = Fleet {
@@ -58,7 +58,7 @@
         Ok(fleet)
     }
 
-    /// Starts one more entry box.
+    /// Starts another entry box.
     ///
     /// # Errors
     ///
@@ -70,34 +70,35 @@
         Ok(())
     }
 
-    /// The entry boxes.
+    /// Returns the entry boxes for reading.
     pub fn entries(&self) -> RwLockReadGuard<'_, Vec<Entry>> {
         self.entries.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The entry boxes, to take some away.
+    /// Returns the entry boxes for changes.
     pub fn entries_mut(&self) -> RwLockWriteGuard<'_, Vec<Entry>> {
         self.entries.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the entry box away whose scheduler owns a cell; `None` when there is none.
+    /// Removes and returns the entry box whose scheduler owns the cell, or `None` if there is
+    /// none.
     pub fn take_owner(&self, cell: &Arc<str>) -> Option<Entry> {
         let mut entries = self.entries_mut();
-        let at = entries.iter().position(|entry| entry.owns(cell))?;
-        Some(entries.remove(at))
+        let index = entries.iter().position(|entry| entry.owns(cell))?;
+        Some(entries.remove(index))
     }
 
-    /// The base address of some entry box's scheduler.
+    /// Returns the base URL of the scheduler of a random entry box.
     pub fn any_sched(&self) -> String {
         let entries = self.entries();
         entries[fastrand::usize(..entries.len())].sched.url()
     }
 
-    /// Brings the first table in and waits until every cell has an owner and all know all.
+    /// Submits the first table and waits until every cell has an owner known to all entry boxes.
     ///
     /// # Errors
     ///
-    /// It takes too long, as a sentence.
+    /// Describes the step that did not complete in time.
     pub fn wait_ready(&self) -> Result<(), String> {
         let end = Instant::now() + START_TIMEOUT;
         let entry_count = || {
@@ -107,11 +108,13 @@
                 .of_kind(Kind::Entry)
                 .count()
         };
-        wait_until(end, "the list of boxes did not show all in time", || {
-            entry_count() >= self.deploy.entries
-        })?;
+        wait_until(
+            end,
+            "the list of boxes did not show all entry boxes in time",
+            || entry_count() >= self.deploy.entries,
+        )?;
         self.submit_first_table(end)?;
-        wait_until(end, "the entry boxes were not ready in time", || {
+        wait_until(end, "not all entry boxes were ready in time", || {
             self.entries()
                 .iter()
                 .all(|entry| entry.is_ready(self.deploy.halls))
@@ -119,7 +122,7 @@
     }
 
     fn submit_first_table(&self, end: Instant) -> Result<(), String> {
-        let rows = sheet::parse(self.deploy.sheet).map_err(|faults| faults[0].to_string())?;
+        let rows = sheet::parse(self.deploy.sheet).map_err(|errors| errors[0].to_string())?;
         let rows = rows.into_iter().map(|row| RowEdit {
             class: row.class.clone(),
             revision: 0,
@@ -144,11 +147,11 @@
     }
 }
 
-/// Waits until something is so.
+/// Waits until a condition holds.
 ///
 /// # Errors
 ///
-/// It is not so by the end; the text says what.
+/// Returns `text` if the condition does not hold by `end`.
 pub fn wait_until(end: Instant, text: &str, condition: impl Fn() -> bool) -> Result<(), String> {
     while !condition() {
         if Instant::now() > end {
--- a/components/trial/src/lib.rs
+++ b/components/trial/src/lib.rs
@@ -1,7 +1,7 @@
-//! Whole entry boxes against a platform of stand-ins, in one process over loopback.
+//! Complete entry boxes against a platform of stand-ins, in one process over loopback.
 //!
-//! The demo, the bench and the tests of whole paths start from here. Every part is the one that
-//! the daemons run; only the processes' borders are missing.
+//! Used by the demo, the load generator and the end-to-end tests. The services are the ones that
+//! the daemons run, only not in separate processes.
 
 pub mod entry;
 pub mod fleet;
--- a/components/trial/tests/end_to_end.rs
+++ b/components/trial/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! One edit, one request, one task, one number in a report: from one end to the other.
+//! End-to-end tests of edits, requests and jobs through complete entry boxes.
 
 #![expect(clippy::unwrap_used, reason = "these are tests, helpers included")]
 
@@ -27,7 +27,7 @@
     },
 };
 
-/// A small deployment: 2 halls, 4 workers, 4 backend servers, 2 entry boxes.
+/// Returns a small deployment: 2 halls, 16 workers, 4 backend servers, 2 entry boxes.
 fn small() -> Deploy {
     let fiscalis = Deploy::named("fiscalis").unwrap();
     Deploy {
@@ -46,7 +46,7 @@
     fleet
 }
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(30)
 }
 
@@ -85,35 +85,39 @@
 }
 
 fn wait_ended(fleet: &Fleet, id: &Arc<str>) -> Status {
-    wait_until(soon(), "the job did not end", || {
+    wait_until(deadline(), "the job did not end", || {
         show(fleet, id).is_ok_and(|s| s.ended)
     })
     .unwrap();
     ask_owner(fleet, job::cell_of(id).unwrap(), || show(fleet, id))
 }
 
-/// Asks as a caller does that is told to try again where no owner of the cell is known. Only a
-/// cell that was taken over since its first owner has it may be refused so.
+/// Repeats a call that is refused because the cell has no known owner, as a caller does. Only a
+/// cell that has been taken over since its first owner may be refused so.
 fn ask_owner(fleet: &Fleet, hall: &str, ask: impl Fn() -> Result<Status, Failure>) -> Status {
-    let end = soon();
+    let end = deadline();
     loop {
         let refused = match ask() {
-            Err(failure) if is_ownerless(&failure) && Instant::now() < end => failure,
+            Err(failure) if is_without_owner(&failure) && Instant::now() < end => failure,
             result => return result.unwrap(),
         };
-        assert!(epoch(fleet, hall) > 1, "{hall} was not moved: {refused}");
+        assert!(
+            epoch(fleet, hall) > 1,
+            "{hall} was not taken over: {refused}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn is_ownerless(failure: &Failure) -> bool {
-    let told = failure
+fn is_without_owner(failure: &Failure) -> bool {
+    let is_text = failure
         .text
         .ends_with("has no owner that is known here; try again");
-    failure.is_not_run() && failure.cause == Cause::Busy && told
+    failure.is_not_run() && failure.cause == Cause::Busy && is_text
 }
 
-/// The epoch of a cell in the store, which is raised before anybody gives the cell up for it.
+/// Returns the epoch of a cell in the store. A takeover raises it before the former owner gives up
+/// the cell.
 fn epoch(fleet: &Fleet, hall: &str) -> u64 {
     let store = fleet.platform.store.core();
     let (_, record) = lease::epoch::read(store.as_ref(), hall).unwrap().unwrap();
@@ -121,7 +125,7 @@
 }
 
 #[test]
-fn edit_in_force_in_each_process() {
+fn edit_reaches_each_service() {
     let fleet = fleet();
     let url = fleet.entries()[1].table.url();
     let current: Current = fleet
@@ -151,19 +155,23 @@
             .unwrap()
     };
     assert_eq!(send(), Outcome::Accepted(2));
-    // The same edit again, as after a lost reply, is the same edit.
+    // Repeating the edit, as after a lost reply, has no further effect.
     assert_eq!(send(), Outcome::Accepted(2));
-    wait_until(soon(), "the edit is not in force", || {
-        fleet
-            .entries()
-            .iter()
-            .all(|entry| entry.versions() == [Some(2); 3])
-    })
+    wait_until(
+        deadline(),
+        "the edit is not in use by every service",
+        || {
+            fleet
+                .entries()
+                .iter()
+                .all(|entry| entry.versions() == [Some(2); 3])
+        },
+    )
     .unwrap();
 }
 
 #[test]
-fn request_answered_whole_and_reported() {
+fn request_complete_and_reported() {
     let fleet = fleet();
     let url = format!("{}/x?y=1", fleet.entries()[0].gate.url());
     let body = vec![5; 100_000];
@@ -196,11 +204,11 @@
 }
 
 #[test]
-fn job_runs_once_on_any_box() {
+fn submit_runs_once_on_any_box() {
     let fleet = fleet();
     let send = |hall, key| ask_owner(&fleet, hall, || submit(&fleet, hall, key, 20, 200));
     let first = send("h1", 7);
-    // The same submission again, through some box, is the same job.
+    // Repeating the submission through any box returns the same job.
     assert_eq!(send("h1", 7).id, first.id);
     let other = send("h2", 8);
     assert_eq!(wait_ended(&fleet, &first.id).finished, 20);
@@ -218,7 +226,7 @@
 }
 
 #[test]
-fn job_never_runs_is_told() {
+fn submit_refuses_infeasible_job() {
     let fleet = fleet();
     let mut spec = Spec {
         class: Arc::from("reconciliation"),
@@ -248,8 +256,8 @@
     assert!(send(&spec).text.contains("no row of the table"));
 }
 
-// A cancellation sent to a box that does not own the cell was once answered as done and did
-// nothing.
+// Guards against a cancellation that is acknowledged without effect, because it was sent to a box
+// that does not own the cell.
 #[test]
 fn cancel_through_any_box() {
     let fleet = fleet();
@@ -273,61 +281,61 @@
         assert!(show(&fleet, &job.id).unwrap().cancelled);
         assert!(wait_ended(&fleet, &job.id).finished == 0);
     }
-    wait_until(soon(), "tasks run on", || {
+    wait_until(deadline(), "cancelled tasks are still running", || {
         fleet.platform.auditor.running() == 0
     })
     .unwrap();
 }
 
 #[test]
-fn owner_killed_work_goes_on() {
+fn takeover_after_owner_killed() {
     let fleet = fleet();
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, &cell, 1, 30, 4000).unwrap();
-    wait_until(soon(), "nothing runs", || {
+    wait_until(deadline(), "not all tasks are running", || {
         fleet.platform.auditor.running() == 30
     })
     .unwrap();
     let mut dead = fleet.take_owner(&cell).unwrap();
     dead.kill();
-    let next = submit_until_taken(&fleet, &cell, 2);
+    let next = submit_until_accepted(&fleet, &cell, 2);
     assert_eq!(wait_ended(&fleet, &long.id).finished, 30);
     assert_eq!(wait_ended(&fleet, &next).finished, 5);
     let totals = fleet.platform.auditor.totals();
-    // Every task started once: the new owner adopted what ran.
+    // Every task started once: the new owner adopted the running tasks.
     assert_eq!((totals.starts, totals.finished, totals.stops), (35, 35, 0));
     assert_eq!((totals.concurrent_runs, totals.repeated_tasks), (0, 0));
 }
 
 #[test]
-fn owner_paused_past_its_epoch() {
+fn takeover_while_owner_paused() {
     let fleet = fleet();
     let cell: Arc<str> = Arc::from("h1");
     let long = submit(&fleet, "h1", 1, 30, 6000).unwrap();
-    wait_until(soon(), "nothing runs", || {
+    wait_until(deadline(), "not all tasks are running", || {
         fleet.platform.auditor.running() == 30
     })
     .unwrap();
-    let frozen = fleet.take_owner(&cell).unwrap();
-    // The actor stands still until the test lets it go on.
-    let (thaw, frost) = std::sync::mpsc::channel::<()>();
-    assert!(frozen.sched.remote().tell(move |_, _| {
-        let _ = frost.recv();
+    let paused = fleet.take_owner(&cell).unwrap();
+    // Blocks the actor until the test sends on the channel.
+    let (resume, resumed) = std::sync::mpsc::channel::<()>();
+    assert!(paused.sched.remote().tell(move |_, _| {
+        let _ = resumed.recv();
     }));
-    wait_until(soon(), "nobody took the cell over", || {
+    wait_until(deadline(), "no other box took over the cell", || {
         fleet.entries().iter().any(|entry| entry.owns(&cell))
     })
     .unwrap();
-    thaw.send(()).unwrap();
-    fleet.entries_mut().push(frozen);
+    resume.send(()).unwrap();
+    fleet.entries_mut().push(paused);
     assert_eq!(wait_ended(&fleet, &long.id).finished, 30);
     let totals = fleet.platform.auditor.totals();
     assert_eq!((totals.starts, totals.finished, totals.stops), (30, 30, 0));
     assert_eq!((totals.concurrent_runs, totals.repeated_tasks), (0, 0));
 }
 
-fn submit_until_taken(fleet: &Fleet, cell: &Arc<str>, key: u64) -> Arc<str> {
-    wait_until(soon(), "the job was not taken in", || {
+fn submit_until_accepted(fleet: &Fleet, cell: &Arc<str>, key: u64) -> Arc<str> {
+    wait_until(deadline(), "the job was not accepted", || {
         submit(fleet, cell, key, 5, 200).is_ok()
     })
     .unwrap();
@@ -335,7 +343,7 @@
 }
 
 #[test]
-fn stop_of_gate_cuts_nothing_off() {
+fn gate_stop_completes_requests() {
     let fleet = fleet();
     for backend in &fleet.platform.backends {
         backend.set_faults(backend::Faults {
@@ -365,7 +373,7 @@
             })
             .collect();
         let arrived = || fleet.platform.auditor.totals().requests == 8;
-        wait_until(soon(), "not all calls arrived", arrived).unwrap();
+        wait_until(deadline(), "not all calls arrived", arrived).unwrap();
         assert!(
             entry
                 .gate
@@ -394,9 +402,10 @@
     entry.kill();
 }
 
-// Edits that waited for a store which hangs once took up the whole port of a table.
+// Guards against edits that wait for a hanging store and take up all connections of the table
+// service.
 #[test]
-fn edits_while_store_hangs_leave_port_free() {
+fn edits_limited_while_store_hangs() {
     let fleet = fleet();
     let url = fleet.entries()[0].table.url();
     let core = fleet.platform.store.core();
@@ -426,27 +435,33 @@
         edits.into_iter().map(|edit| edit.join().unwrap()).collect()
     });
     core.set_faults(store::Faults::default());
-    let has_no_room = |outcome: &&Result<Outcome, Failure>| {
-        let told = "too many edits wait for the store; try again";
-        *outcome == &Err(Failure::not_run(Cause::Busy, told))
+    let is_refused = |outcome: &&Result<Outcome, Failure>| {
+        let text = "too many edits wait for the store; try again";
+        *outcome == &Err(Failure::not_run(Cause::Busy, text))
     };
     assert_eq!(
-        outcomes.iter().filter(has_no_room).count(),
+        outcomes.iter().filter(is_refused).count(),
         4,
         "{outcomes:?}"
     );
-    // The others came in, unless the time passed on a store so slow.
-    let had_room = |outcome: &&Result<Outcome, Failure>| match outcome {
+    // The others were accepted, unless they timed out on the slow store.
+    let is_admitted = |outcome: &&Result<Outcome, Failure>| match outcome {
         Ok(outcome) => matches!(outcome, Outcome::Accepted(_)),
         Err(failure) => failure.cause == Cause::Timeout,
     };
-    assert_eq!(outcomes.iter().filter(had_room).count(), 4, "{outcomes:?}");
-    // Sent again, all have come in, and each once.
+    assert_eq!(
+        outcomes.iter().filter(is_admitted).count(),
+        4,
+        "{outcomes:?}"
+    );
+    // When repeated, all edits are accepted, each exactly once.
     let versions = RefCell::new(BTreeSet::new());
     for number in 0..8 {
-        wait_until(soon(), "an edit did not come in", || match send(number) {
-            Ok(Outcome::Accepted(version)) => versions.borrow_mut().insert(version),
-            _ => false,
+        wait_until(deadline(), "an edit was not accepted", || {
+            match send(number) {
+                Ok(Outcome::Accepted(version)) => versions.borrow_mut().insert(version),
+                _ => false,
+            }
         })
         .unwrap();
     }
--- a/programs/demo/src/callers.rs
+++ b/programs/demo/src/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: open-loop requests with a seeded spread, each checked to be its own whole answer.
+//! Open-loop load: requests at random intervals, each checked for its complete own response.
 
 use {
-    crate::world::World,
+    crate::context::Context,
     kernel::{Call, sync::lock},
     standin::backend,
     std::{
@@ -10,52 +10,52 @@
     },
 };
 
-/// Callers' threads.
+/// Number of caller threads.
 pub const THREADS: usize = 32;
 
-/// Requests a second of all callers.
+/// Requests per second of all callers together.
 const RATE: f64 = 800.0;
 
-/// The share of requests that must run at most once.
-const ONCE: f64 = 0.2;
+/// Share of requests that must run at most once.
+const ONCE_SHARE: f64 = 0.2;
 
-/// The largest body, in bytes.
-const BODY: usize = 2000;
+/// Upper bound of the body size in bytes.
+const MAX_BODY: usize = 2000;
 
-/// The deadline that callers name, in milliseconds.
-const DEADLINE: &str = "3000";
+/// Deadline header of each request, in milliseconds.
+const DEADLINE_MS: &str = "3000";
 
-/// Makes requests until the end. A request is timed from when it was meant to start, also when
-/// the one before it was late.
-pub fn run(world: &World, seed: u64, end: Instant) {
+/// Sends requests until `end`. Latency is measured from the scheduled start, also if the previous
+/// request was late.
+pub fn run(context: &Context, seed: u64, end: Instant) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut number = 0_u64;
     let mut due = Instant::now();
     loop {
-        let gap = -(1.0 - rng.f64()).ln() * THREADS as f64 / RATE;
-        due += Duration::from_secs_f64(gap);
+        let interval = -(1.0 - rng.f64()).ln() * THREADS as f64 / RATE;
+        due += Duration::from_secs_f64(interval);
         if due >= end {
             return;
         }
         thread::sleep(due.saturating_duration_since(Instant::now()));
         number += 1;
-        request(world, &mut rng, &format!("{seed:x}-{number}"), due);
+        request(context, &mut rng, &format!("{seed:x}-{number}"), due);
     }
 }
 
-/// A gate, as the platform's balancer would choose it.
-fn gate(world: &World, rng: &mut fastrand::Rng) -> String {
-    let entries = world.fleet.entries();
+/// Picks a random gate, as the platform's load balancer would.
+fn random_gate(context: &Context, rng: &mut fastrand::Rng) -> String {
+    let entries = context.fleet.entries();
     entries[rng.usize(..entries.len())].gate.url()
 }
 
-fn request(world: &World, rng: &mut fastrand::Rng, id: &str, due: Instant) {
-    let once = rng.f64() < ONCE;
-    let body: Vec<u8> = (0..rng.usize(1..BODY)).map(|_| rng.u8(..)).collect();
-    let url = format!("{}/validate", gate(world, rng));
+fn request(context: &Context, rng: &mut fastrand::Rng, id: &str, due: Instant) {
+    let once = rng.f64() < ONCE_SHARE;
+    let body: Vec<u8> = (0..rng.usize(1..MAX_BODY)).map(|_| rng.u8(..)).collect();
+    let url = format!("{}/validate", random_gate(context, rng));
     let mut headers = vec![
-        ("x-magpie-class", world.fleet.deploy.service),
-        ("x-magpie-deadline-ms", DEADLINE),
+        ("x-magpie-class", context.fleet.deploy.service),
+        ("x-magpie-deadline-ms", DEADLINE_MS),
         ("x-id", id),
     ];
     headers.push(if once {
@@ -70,27 +70,29 @@
         body: &body,
         timeout: Duration::from_secs(4).into(),
     };
-    World::count(&world.counts.requests);
-    let answer = world.fleet.client.send(&call);
+    Context::count(&context.counts.requests);
+    let response = context.fleet.client.send(&call);
     let latency = due.elapsed().as_micros() as u64;
-    lock(&world.latency).saturating_record(latency);
-    let Ok(answer) = answer else {
-        return World::count(&world.counts.doubtful);
+    lock(&context.latency).saturating_record(latency);
+    let Ok(response) = response else {
+        return Context::count(&context.counts.may_have_run);
     };
-    match answer.header("x-magpie-verdict") {
+    match response.header("x-magpie-verdict") {
         "ran" => {
-            if answer.status != 200 || answer.body != backend::expected_body(id, &body).as_bytes() {
-                World::count(&world.counts.wrong);
-                world.breach("an answer was not the caller's own whole answer");
+            if response.status != 200
+                || response.body != backend::expected_body(id, &body).as_bytes()
+            {
+                Context::count(&context.counts.wrong_responses);
+                context.breach("a response was incomplete or belonged to another request");
             }
         }
         "not-run" => {
-            World::count(&world.counts.shed);
-            if once && world.fleet.platform.auditor.has_run(id) {
-                world.breach("a request told 'not run' had run");
+            Context::count(&context.counts.shed);
+            if once && context.fleet.platform.auditor.has_run(id) {
+                context.breach("a request with the verdict 'not-run' had run");
             }
         }
-        "may-have-run" => World::count(&world.counts.doubtful),
-        _ => world.breach("an answer had no verdict"),
+        "may-have-run" => Context::count(&context.counts.may_have_run),
+        _ => context.breach("a response had no verdict"),
     }
 }
--- a/programs/demo/src/check.rs
+++ b/programs/demo/src/check.rs
@@ -1,7 +1,7 @@
-//! What must hold at the end.
+//! Invariants that are checked after the load has ended.
 
 use {
-    crate::world::World,
+    crate::context::Context,
     kernel::{Failure, sync::lock},
     sched::{Status, message::JobQuery},
     std::{
@@ -12,37 +12,37 @@
     trial::fleet::TIMEOUT,
 };
 
-/// How long jobs may take to end after the load.
-const END_MOST: Duration = Duration::from_secs(180);
+/// Time limit for jobs to end after the load.
+const END_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// How often jobs are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
+/// Interval between two checks of the jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Waits until every acknowledged job with an end has ended, each task of it exactly once.
-pub fn jobs_ended(world: &World) {
-    let end = Instant::now() + END_MOST;
-    let ids: Vec<Arc<str>> = lock(&world.jobs).keys().cloned().collect();
+/// Waits until every acknowledged job that can end has ended, each of its tasks exactly once.
+pub fn jobs_ended(context: &Context) {
+    let end = Instant::now() + END_TIMEOUT;
+    let ids: Vec<Arc<str>> = lock(&context.jobs).keys().cloned().collect();
     let mut open = ids;
     while !open.is_empty() && Instant::now() < end {
-        open.retain(|id| !is_over(world, id));
-        thread::sleep(LOOK_EVERY);
+        open.retain(|id| !is_checked(context, id));
+        thread::sleep(POLL_INTERVAL);
     }
     for id in open {
-        let known = lock(&world.jobs).get(&id).cloned().unwrap_or_default();
-        world.breach(&format!("an acknowledged job did not end: {known:?}"));
+        let known = lock(&context.jobs).get(&id).cloned().unwrap_or_default();
+        context.breach(&format!("an acknowledged job did not end: {known:?}"));
     }
 }
 
-/// Asks for a job. True when nothing more is to be awaited of it.
-fn is_over(world: &World, id: &Arc<str>) -> bool {
-    let url = format!("{}/jobs/show", world.fleet.any_sched());
-    let named = JobQuery {
+/// Queries a job. Returns true if it needs no further checks.
+fn is_checked(context: &Context, id: &Arc<str>) -> bool {
+    let url = format!("{}/jobs/show", context.fleet.any_sched());
+    let query = JobQuery {
         id: id.clone(),
         passed: false,
     };
-    let shown: Result<Status, Failure> = world.fleet.client.post(&url, &named, TIMEOUT);
+    let shown: Result<Status, Failure> = context.fleet.client.post(&url, &query, TIMEOUT);
     let Ok(status) = shown else { return false };
-    let mut jobs = lock(&world.jobs);
+    let mut jobs = lock(&context.jobs);
     let Some(known) = jobs.get_mut(id) else {
         return true;
     };
@@ -50,36 +50,37 @@
     *known = status.clone();
     if cancelled && !status.cancelled && !status.ended {
         drop(jobs);
-        world.breach("a cancelled job was revived");
+        context.breach("a cancelled job is shown as not cancelled");
         return true;
     }
     drop(jobs);
-    judge(world, &status)
+    check_status(context, &status)
 }
 
-/// True when a job is where it may be left; tells of tasks that did not finish.
-fn judge(world: &World, status: &Status) -> bool {
+/// Returns true if a job has reached its expected final state, and reports tasks that did not
+/// finish.
+fn check_status(context: &Context, status: &Status) -> bool {
     let class = &*status.class;
-    if class == world.fleet.deploy.service || class == "watcher" || class == "route" {
+    if class == context.fleet.deploy.service || class == "watcher" || class == "route" {
         return status.running == status.count;
     }
     if !status.ended {
         return false;
     }
-    let settled = status.finished + status.failed + status.unknown;
-    if !status.cancelled && settled != status.count {
-        world.breach(&format!("a job ended without all of its tasks: {status:?}"));
+    let ended_tasks = status.finished + status.failed + status.unknown;
+    if !status.cancelled && ended_tasks != status.count {
+        context.breach(&format!("a job ended before all of its tasks: {status:?}"));
     }
     let once = class == "submission" || class == "dispatch";
     if status.unknown > 0 && !once {
-        world.breach("a task that may be repeated was given up as unknown");
+        context.breach("a repeatable task ended with an unknown outcome");
     }
     true
 }
 
-/// Looks at what the stand-ins saw.
-pub fn totals(world: &World) {
-    let totals = world.fleet.platform.auditor.totals();
+/// Reports the invariant violations counted by the auditor.
+pub fn totals(context: &Context) {
+    let totals = context.fleet.platform.auditor.totals();
     let counts = [
         (totals.concurrent_runs, "a task ran in two places at once"),
         (
@@ -88,7 +89,7 @@
         ),
         (
             totals.overcommits,
-            "a worker was committed beyond what it has",
+            "a worker was allocated beyond its capacity",
         ),
         (
             totals.repeated_requests,
@@ -101,7 +102,7 @@
     ];
     for (count, text) in counts {
         if count > 0 {
-            world.breach(&format!("{text} ({count} times)"));
+            context.breach(&format!("{text} ({count} times)"));
         }
     }
 }
--- a/programs/demo/src/cli.rs
+++ b/programs/demo/src/cli.rs
@@ -1,27 +1,27 @@
-//! The arguments.
+//! Command-line arguments.
 
 use argh::FromArgs;
 
-/// Runs all of magpiesaddle in one process over loopback, with stand-ins of the platform, load and
-/// trouble, and checks what must always hold. Exits 1 on any breach.
+/// Runs all of magpiesaddle in one process over loopback, with stand-ins for the platform, load
+/// and injected faults, and checks its invariants. Exits with 1 on any breach.
 #[derive(FromArgs)]
 pub struct Arguments {
-    /// whose sizes: fiscalis or sabarmati (default fiscalis)
+    /// user whose sizes are used: fiscalis or sabarmati (default fiscalis)
     #[argh(option, default = "String::from(\"fiscalis\")")]
     pub deploy: String,
-    /// seconds of load (default 20)
+    /// duration of the load in seconds (default 20)
     #[argh(option, default = "20")]
     pub seconds: u64,
     /// seed of the load (default 1)
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// make no trouble
+    /// inject no faults
     #[argh(switch)]
     pub calm: bool,
     /// print the outcome as JSON, as the last line
     #[argh(switch)]
     pub json: bool,
-    /// print the processes' logs on the error output
+    /// print the logs to standard error
     #[argh(switch)]
     pub verbose: bool,
 }
--- a/programs/demo/src/world.rs
+++ b/programs/demo/src/context.rs
@@ -1,4 +1,4 @@
-//! The platform of stand-ins, the entry boxes, and what the parts of the demo share.
+//! State shared by the threads of the demo: the fleet, counters and breaches.
 
 use {
     hdrhistogram::Histogram,
@@ -17,54 +17,54 @@
     trial::Fleet,
 };
 
-/// The longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// Upper bound of the latency histograms, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// How long a gate's stop waits for what is in flight.
-pub const STOP_MOST: Duration = Duration::from_secs(5);
+/// Time limit for the requests in flight when a gate stops.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is told when a gate's stop cuts something off.
-pub const CUT_OFF: &str = "a planned stop of a gate cut requests off";
+/// Breach reported when the stop of a gate aborts requests.
+pub const GATE_ABORT_BREACH: &str = "a graceful stop of a gate aborted requests";
 
-/// Counts of the demo's own.
+/// Counters of the load.
 #[derive(Default)]
 pub struct Counts {
-    /// Callers' requests.
+    /// Requests of callers.
     pub requests: AtomicU64,
-    /// Requests told "not run".
+    /// Requests with the verdict "not run".
     pub shed: AtomicU64,
-    /// Requests told "may have run".
-    pub doubtful: AtomicU64,
-    /// Answers that were not whole or another's.
-    pub wrong: AtomicU64,
+    /// Requests with the verdict "may have run", or without a response.
+    pub may_have_run: AtomicU64,
+    /// Responses that were incomplete or belonged to another request.
+    pub wrong_responses: AtomicU64,
     /// Edits accepted.
     pub edits: AtomicU64,
-    /// Edits refused for a conflict.
+    /// Edits refused because of a conflict.
     pub conflicts: AtomicU64,
-    /// Edits answered neither way.
+    /// Edits that were neither accepted nor refused.
     pub open_edits: AtomicU64,
     /// Jobs acknowledged.
     pub jobs: AtomicU64,
 }
 
-/// Everything that runs.
-pub struct World {
+/// Shared state of the demo.
+pub struct Context {
     /// The platform and the entry boxes.
     pub fleet: Fleet,
-    /// The counts.
+    /// Counters of the load.
     pub counts: Counts,
-    /// Latencies of requests, from their intended start, in microseconds.
+    /// Request latencies from their scheduled start, in microseconds.
     pub latency: Mutex<Histogram<u64>>,
-    /// Times until edits were in force everywhere, in microseconds.
-    pub spread: Mutex<Histogram<u64>>,
-    /// The last that is known of each acknowledged job.
+    /// Times until edits were in use by every service, in microseconds.
+    pub propagation: Mutex<Histogram<u64>>,
+    /// Last known status of each acknowledged job.
     pub jobs: Mutex<BTreeMap<Arc<str>, Status>>,
-    /// When each urgent job was submitted.
+    /// Submission time of each urgent job.
     pub urgent: Mutex<BTreeMap<Arc<str>, Instant>>,
     breaches: Mutex<Vec<String>>,
 }
 
-/// The sizes in a sentence.
+/// Describes the deployment sizes in one line.
 pub fn describe(deploy: &Deploy) -> String {
     let Deploy {
         name,
@@ -83,49 +83,49 @@
     )
 }
 
-fn histogram(most: u64) -> io::Result<Mutex<Histogram<u64>>> {
-    let made = Histogram::new_with_bounds(1, most, 3).map_err(io::Error::other)?;
-    Ok(Mutex::new(made))
+fn histogram(max: u64) -> io::Result<Mutex<Histogram<u64>>> {
+    let histogram = Histogram::new_with_bounds(1, max, 3).map_err(io::Error::other)?;
+    Ok(Mutex::new(histogram))
 }
 
-impl World {
+impl Context {
     /// Starts the platform and the entry boxes.
     pub fn start(deploy: Deploy, seed: u64) -> io::Result<Self> {
-        Ok(World {
+        Ok(Context {
             fleet: Fleet::start(deploy, seed)?,
             counts: Counts::default(),
-            latency: histogram(LONGEST)?,
-            spread: histogram(LONGEST)?,
+            latency: histogram(MAX_LATENCY_US)?,
+            propagation: histogram(MAX_LATENCY_US)?,
             jobs: Mutex::default(),
             urgent: Mutex::default(),
             breaches: Mutex::default(),
         })
     }
 
-    /// Notes that something which must hold was broken.
+    /// Records the breach of an invariant.
     pub fn breach(&self, text: &str) {
         let mut breaches = lock(&self.breaches);
-        // A breach that goes on is told a few times.
+        // A repeated breach is recorded at most five times.
         if breaches.iter().filter(|other| *other == text).count() < 5 {
             breaches.push(text.to_owned());
         }
     }
 
-    /// What was broken.
+    /// Returns the recorded breaches.
     pub fn breaches(&self) -> Vec<String> {
         lock(&self.breaches).clone()
     }
 
-    /// Adds one to a count.
+    /// Increments a counter.
     pub fn count(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Stops all entry boxes; their gates in an orderly way.
+    /// Stops all entry boxes, their gates gracefully.
     pub fn stop(&self) {
         for entry in self.fleet.entries_mut().iter_mut() {
-            if !entry.gate.stop(Duration::ZERO, STOP_MOST) {
-                self.breach(CUT_OFF);
+            if !entry.gate.stop(Duration::ZERO, STOP_TIMEOUT) {
+                self.breach(GATE_ABORT_BREACH);
             }
             entry.kill();
         }
--- a/programs/demo/src/edits.rs
+++ b/programs/demo/src/edits.rs
@@ -1,7 +1,7 @@
-//! Operators: edits one after another, some two at once on the same row.
+//! Operator load: table edits one after another, some of them two at once on the same row.
 
 use {
-    crate::world::World,
+    crate::context::Context,
     kernel::{Failure, sync::lock},
     std::{
         collections::BTreeMap,
@@ -16,45 +16,45 @@
     trial::fleet::TIMEOUT,
 };
 
-/// The time between two edits.
-const EDIT_EVERY: Duration = Duration::from_millis(400);
+/// Interval between two edits.
+const EDIT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Every such edit is made by two operators at once.
+/// Every n-th edit is made by two operators at once.
 const RACE_EVERY: u64 = 4;
 
-/// How long an accepted edit may take to be in force everywhere.
-const SPREAD_MOST: Duration = Duration::from_secs(10);
+/// Time limit for an accepted edit to reach every service.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often versions are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Interval between two checks of the versions.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Edits until the end.
-pub fn run(world: &World, seed: u64, end: Instant) {
+/// Submits edits until `end`.
+pub fn run(context: &Context, seed: u64, end: Instant) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        thread::sleep(EDIT_EVERY);
-        let Some(edit) = next(world, &mut rng) else {
+        thread::sleep(EDIT_INTERVAL);
+        let Some(edit) = random_edit(context, &mut rng) else {
             continue;
         };
         if number % RACE_EVERY == 0 {
-            race(world, &mut rng, &edit);
+            submit_conflicting(context, &mut rng, &edit);
         } else {
-            one(world, &mut rng, &edit);
+            submit_edit(context, &mut rng, &edit);
         }
     }
 }
 
-fn table(world: &World, rng: &mut fastrand::Rng) -> String {
-    let entries = world.fleet.entries();
+fn random_table(context: &Context, rng: &mut fastrand::Rng) -> String {
+    let entries = context.fleet.entries();
     entries[rng.usize(..entries.len())].table.url()
 }
 
-/// An edit of a random row's weight.
-fn next(world: &World, rng: &mut fastrand::Rng) -> Option<Edit> {
-    let url = format!("{}/table/current", table(world, rng));
-    let current: Current = world.fleet.client.post(&url, &(), TIMEOUT).ok()?;
+/// Builds an edit of a random row's weight.
+fn random_edit(context: &Context, rng: &mut fastrand::Rng) -> Option<Edit> {
+    let url = format!("{}/table/current", random_table(context, rng));
+    let current: Current = context.fleet.client.post(&url, &(), TIMEOUT).ok()?;
     let rows: Vec<&Row> = current.table.rows.values().collect();
     let row = (*rows.get(rng.usize(..rows.len().max(1)))?).clone();
     Some(edit(rng, &row))
@@ -77,87 +77,88 @@
     }
 }
 
-fn send(world: &World, url: &str, edit: &Edit) -> Result<Outcome, Failure> {
+fn send(context: &Context, url: &str, edit: &Edit) -> Result<Outcome, Failure> {
     let message = Submit { edit: edit.clone() };
-    world
+    context
         .fleet
         .client
         .post(&format!("{url}/table/edit"), &message, TIMEOUT)
 }
 
-fn one(world: &World, rng: &mut fastrand::Rng, edit: &Edit) {
-    let url = table(world, rng);
+fn submit_edit(context: &Context, rng: &mut fastrand::Rng, edit: &Edit) {
+    let url = random_table(context, rng);
     let started = Instant::now();
-    match send(world, &url, edit) {
+    match send(context, &url, edit) {
         Ok(Outcome::Accepted(version)) => {
-            World::count(&world.counts.edits);
-            wait_in_force(world, version, started);
+            Context::count(&context.counts.edits);
+            wait_propagated(context, version, started);
         }
-        // The row may be older at this box than at the one that was read.
-        Ok(Outcome::Refused(_)) => World::count(&world.counts.conflicts),
+        // The row may be older on this box than on the one it was read from.
+        Ok(Outcome::Refused(_)) => Context::count(&context.counts.conflicts),
         Err(failure) => {
-            World::count(&world.counts.open_edits);
+            Context::count(&context.counts.open_edits);
             if failure.is_not_run() {
-                check_absent(world, rng, edit);
+                check_absent(context, rng, edit);
             }
         }
     }
 }
 
-/// Two operators change the same row at the same moment: one is accepted at most.
-fn race(world: &World, rng: &mut fastrand::Rng, first: &Edit) {
+/// Two operators change the same row concurrently: at most one edit may be accepted.
+fn submit_conflicting(context: &Context, rng: &mut fastrand::Rng, first: &Edit) {
     let Some(row) = first.rows[0].row.clone() else {
         return;
     };
     let second = edit(rng, &row);
-    let urls = [table(world, rng), table(world, rng)];
+    let urls = [random_table(context, rng), random_table(context, rng)];
     let started = Instant::now();
     let outcomes = thread::scope(|scope| {
-        let one = scope.spawn(|| send(world, &urls[0], first));
-        let other = scope.spawn(|| send(world, &urls[1], &second));
+        let one = scope.spawn(|| send(context, &urls[0], first));
+        let other = scope.spawn(|| send(context, &urls[1], &second));
         [one.join(), other.join()]
     });
     let mut versions = Vec::new();
     for outcome in outcomes.into_iter().flatten() {
         match outcome {
             Ok(Outcome::Accepted(version)) => versions.push(version),
-            Ok(Outcome::Refused(_)) => World::count(&world.counts.conflicts),
-            Err(_) => World::count(&world.counts.open_edits),
+            Ok(Outcome::Refused(_)) => Context::count(&context.counts.conflicts),
+            Err(_) => Context::count(&context.counts.open_edits),
         }
     }
     if versions.len() > 1 {
-        world.breach("two edits of the same revision of a row were both accepted");
+        context.breach("two edits of the same revision of a row were both accepted");
     }
     for version in versions {
-        World::count(&world.counts.edits);
-        wait_in_force(world, version, started);
+        Context::count(&context.counts.edits);
+        wait_propagated(context, version, started);
     }
 }
 
-/// Waits until an accepted edit is in force in every process.
-fn wait_in_force(world: &World, version: u64, started: Instant) {
+/// Waits until an accepted edit is in use by every service.
+fn wait_propagated(context: &Context, version: u64, started: Instant) {
     loop {
-        let lagging = lagging(world, version);
+        let lagging = lagging(context, version);
         if lagging.is_empty() {
             break;
         }
-        if started.elapsed() > SPREAD_MOST {
-            let text = "an accepted edit was not in force everywhere within seconds";
-            world.breach(&format!(
+        if started.elapsed() > PROPAGATION_TIMEOUT {
+            let text = "an accepted edit did not reach every service in time";
+            context.breach(&format!(
                 "{text}: version {version}, {}",
                 lagging.join(", ")
             ));
             break;
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
-    lock(&world.spread).saturating_record(started.elapsed().as_micros() as u64);
+    lock(&context.propagation).saturating_record(started.elapsed().as_micros() as u64);
 }
 
-/// The boxes with a process whose table is older, and the versions in table, scheduler and gate.
-fn lagging(world: &World, version: u64) -> Vec<String> {
+/// Returns the boxes with a service whose table is older, with the versions of table, scheduler
+/// and gate.
+fn lagging(context: &Context, version: u64) -> Vec<String> {
     let mut lagging = Vec::new();
-    for entry in world.fleet.entries().iter() {
+    for entry in context.fleet.entries().iter() {
         let versions = entry.versions();
         if versions.iter().any(|v| v.is_some_and(|v| v < version)) {
             lagging.push(format!("{} has {versions:?}", entry.name));
@@ -166,26 +167,26 @@
     lagging
 }
 
-/// An edit that was told "not run" is in no history.
-fn check_absent(world: &World, rng: &mut fastrand::Rng, edit: &Edit) {
-    let url = format!("{}/table/current", table(world, rng));
-    let current: Result<Current, Failure> = world.fleet.client.post(&url, &(), TIMEOUT);
+/// Checks that an edit with the verdict "not run" is absent from the history.
+fn check_absent(context: &Context, rng: &mut fastrand::Rng, edit: &Edit) {
+    let url = format!("{}/table/current", random_table(context, rng));
+    let current: Result<Current, Failure> = context.fleet.client.post(&url, &(), TIMEOUT);
     let Ok(current) = current else { return };
     if current.history.iter().any(|change| change.id == edit.id) {
-        world.breach("an edit told 'not run' was accepted");
+        context.breach("an edit with the verdict 'not run' was accepted");
     }
 }
 
-/// Looks at every process's version again and again: it never goes back.
-pub fn watch_versions(world: &World, end: Instant) {
+/// Polls the table version of every service: it must never decrease.
+pub fn watch_versions(context: &Context, end: Instant) {
     let mut last: BTreeMap<(Arc<str>, usize), u64> = BTreeMap::new();
     while Instant::now() < end {
-        for entry in world.fleet.entries().iter() {
-            for (place, version) in entry.versions().into_iter().enumerate() {
+        for entry in context.fleet.entries().iter() {
+            for (service, version) in entry.versions().into_iter().enumerate() {
                 let Some(version) = version else { continue };
-                let known = last.entry((entry.name.clone(), place)).or_default();
+                let known = last.entry((entry.name.clone(), service)).or_default();
                 if version < *known {
-                    world.breach("a table's version went back");
+                    context.breach("a table version decreased");
                 }
                 *known = version;
             }
--- a/programs/demo/src/jobs.rs
+++ b/programs/demo/src/jobs.rs
@@ -1,7 +1,8 @@
-//! Jobs: services and standing tasks at the start, then batch work with bursts and urgent jobs.
+//! Job load: services and standing tasks at the start, then batch work with bursts and urgent
+//! jobs.
 
 use {
-    crate::world::World,
+    crate::context::Context,
     infra::Size,
     kernel::{Failure, sync::lock},
     sched::{
@@ -16,37 +17,37 @@
     trial::fleet::TIMEOUT,
 };
 
-/// Threads that submit batch jobs.
+/// Number of threads that submit batch jobs.
 pub const SUBMITTERS: u32 = 6;
 
-/// The time between two batch jobs of all submitters, on average.
-const JOB_EVERY: Duration = Duration::from_millis(250);
+/// Mean interval between two batch jobs of all submitters.
+const JOB_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The share of the fleet's processors that batch work asks for, beside services and standing
-/// tasks; together more than all, so that urgent work has to make room.
+/// Share of the fleet's processors that batch work requests. Together with services and standing
+/// tasks this exceeds the capacity, so that urgent work has to preempt.
 const BATCH_SHARE: f64 = 0.7;
 
-/// The share of jobs that are urgent.
-const URGENT: f64 = 0.08;
+/// Share of urgent jobs.
+const URGENT_SHARE: f64 = 0.08;
 
-/// The share of jobs that must run at most once.
-const ONCE: f64 = 0.08;
+/// Share of jobs that must run at most once.
+const ONCE_SHARE: f64 = 0.08;
 
-/// The share of jobs that are cancelled soon after.
-const CANCELLED: f64 = 0.05;
+/// Share of jobs that are cancelled soon after submission.
+const CANCEL_SHARE: f64 = 0.05;
 
-/// How often a submission whose reply was lost is sent again.
-const TRIES: u32 = 20;
+/// Maximum attempts of a submission whose reply is lost.
+const MAX_ATTEMPTS: u32 = 20;
 
-/// The classes of a user, by what they are for.
+/// Names of the classes of a user, by purpose.
 struct Classes {
     batch: &'static str,
     once: &'static str,
     standing: &'static str,
 }
 
-fn classes(world: &World) -> Classes {
-    match world.fleet.deploy.name {
+fn classes(context: &Context) -> Classes {
+    match context.fleet.deploy.name {
         "fiscalis" => Classes {
             batch: "reconciliation",
             once: "submission",
@@ -61,70 +62,70 @@
 }
 
 /// Submits the services and the standing tasks.
-pub fn start(world: &World, seed: u64) {
+pub fn start(context: &Context, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let classes = classes(world);
-    let scale = scale(world);
+    let classes = classes(context);
+    let scale = scale(context);
     let service = Size::new(3000 * scale, 8000, 0);
     let standing = Size::new(500 * scale, 1000, 0);
-    for hall in 0..world.fleet.deploy.halls {
-        let hall = world.fleet.deploy.hall(hall);
-        let share = (world.fleet.deploy.workers / world.fleet.deploy.halls) as u32;
+    for hall in 0..context.fleet.deploy.halls {
+        let hall = context.fleet.deploy.hall(hall);
+        let share = (context.fleet.deploy.workers / context.fleet.deploy.halls) as u32;
         submit(
-            world,
+            context,
             &mut rng,
-            world.fleet.deploy.service,
+            context.fleet.deploy.service,
             &hall,
             share,
             service,
             0,
         );
-        submit(world, &mut rng, classes.standing, &hall, 10, standing, 0);
+        submit(context, &mut rng, classes.standing, &hall, 10, standing, 0);
     }
 }
 
-/// How many times a worker is larger than one of Fiscalis.
-fn scale(world: &World) -> u32 {
-    world.fleet.deploy.size.cpu / 16_000
+/// Returns the size of a worker relative to one of Fiscalis.
+fn scale(context: &Context) -> u32 {
+    context.fleet.deploy.size.cpu / 16_000
 }
 
-/// Submits batch jobs until the end, as one of the submitters.
-pub fn run(world: &World, seed: u64, end: Instant) {
+/// Submits batch jobs until `end`, as one of the submitters.
+pub fn run(context: &Context, seed: u64, end: Instant) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let classes = classes(world);
+    let classes = classes(context);
     let mut due = Instant::now();
     while due < end {
-        // A submission waits for its write; the next comes when it is due all the same.
-        due += (JOB_EVERY * SUBMITTERS).mul_f64(rng.f64() * 2.0);
+        // A submission waits for its write, but the schedule of the next one does not shift.
+        due += (JOB_INTERVAL * SUBMITTERS).mul_f64(rng.f64() * 2.0);
         thread::sleep(due.min(end).saturating_duration_since(Instant::now()));
-        batch(world, &mut rng, &classes, scale(world));
+        batch(context, &mut rng, &classes, scale(context));
     }
 }
 
-/// Submits one batch job of a random shape.
-fn batch(world: &World, rng: &mut fastrand::Rng, classes: &Classes, scale: u32) {
-    let hall = world
+/// Submits one batch job of random size.
+fn batch(context: &Context, rng: &mut fastrand::Rng, classes: &Classes, scale: u32) {
+    let hall = context
         .fleet
         .deploy
-        .hall(rng.usize(..world.fleet.deploy.halls));
+        .hall(rng.usize(..context.fleet.deploy.halls));
     let kind = rng.f64();
-    if kind < URGENT {
+    if kind < URGENT_SHARE {
         let size = Size::new(4000 * scale, 4000, 0);
-        submit(world, rng, "urgent", &hall, 2, size, 500);
+        submit(context, rng, "urgent", &hall, 2, size, 500);
         return;
     }
     let length = rng.u64(300..2500);
     let cpu = rng.u32(500..3000) * scale;
     let size = Size::new(cpu, rng.u32(500..6000), 0);
-    if kind < URGENT + ONCE {
-        submit(world, rng, classes.once, &hall, 5, size, length);
+    if kind < URGENT_SHARE + ONCE_SHARE {
+        submit(context, rng, classes.once, &hall, 5, size, length);
         return;
     }
-    let fleet = world.fleet.deploy.workers as f64 * f64::from(world.fleet.deploy.size.cpu);
-    let wanted = fleet * BATCH_SHARE * JOB_EVERY.as_millis() as f64;
-    let count = wanted / f64::from(cpu) / length as f64 * rng.f64() * 2.0;
+    let fleet = context.fleet.deploy.workers as f64 * f64::from(context.fleet.deploy.size.cpu);
+    let demand = fleet * BATCH_SHARE * JOB_INTERVAL.as_millis() as f64;
+    let count = demand / f64::from(cpu) / length as f64 * rng.f64() * 2.0;
     let id = submit(
-        world,
+        context,
         rng,
         classes.batch,
         &hall,
@@ -133,16 +134,16 @@
         length,
     );
     if let Some(id) = id
-        && rng.f64() < CANCELLED
+        && rng.f64() < CANCEL_SHARE
     {
-        cancel(world, id);
+        cancel(context, id);
     }
 }
 
-/// Submits a job and sends it again, with its id, until it is known to be taken in. `None` when it
-/// was refused or never acknowledged.
+/// Submits a job, and repeats it with the same id until it is acknowledged. Returns `None` if no
+/// attempt was acknowledged.
 fn submit(
-    world: &World,
+    context: &Context,
     rng: &mut fastrand::Rng,
     class: &str,
     hall: &Arc<str>,
@@ -161,25 +162,26 @@
     };
     let key = rng.u64(..);
     let submitted = Instant::now();
-    // With a chosen cell the job has its id before it is sent, so that it can be sent again.
+    // With the cell given, the id is known before the job is sent, so that the submission can be
+    // repeated.
     let id = job::id(hall, key);
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let message = Submit {
             id: Some(id.clone()),
             key,
             spec: spec.clone(),
             passed: false,
         };
-        let url = format!("{}/jobs/submit", world.fleet.any_sched());
-        let sent: Result<Status, Failure> = world.fleet.client.post(&url, &message, TIMEOUT);
+        let url = format!("{}/jobs/submit", context.fleet.any_sched());
+        let sent: Result<Status, Failure> = context.fleet.client.post(&url, &message, TIMEOUT);
         match sent {
             Ok(status) => {
-                World::count(&world.counts.jobs);
+                Context::count(&context.counts.jobs);
                 let id = status.id.clone();
                 if class == "urgent" {
-                    lock(&world.urgent).insert(id.clone(), submitted);
+                    lock(&context.urgent).insert(id.clone(), submitted);
                 }
-                lock(&world.jobs).insert(id.clone(), status);
+                lock(&context.jobs).insert(id.clone(), status);
                 return Some(id);
             }
             Err(_) => thread::sleep(Duration::from_millis(100)),
@@ -188,15 +190,15 @@
     None
 }
 
-fn cancel(world: &World, id: Arc<str>) {
-    let url = format!("{}/jobs/cancel", world.fleet.any_sched());
+fn cancel(context: &Context, id: Arc<str>) {
+    let url = format!("{}/jobs/cancel", context.fleet.any_sched());
     let message = Cancel {
         ids: vec![id.clone()],
         passed: false,
     };
-    let cancelled: Result<u64, Failure> = world.fleet.client.post(&url, &message, TIMEOUT);
+    let cancelled: Result<u64, Failure> = context.fleet.client.post(&url, &message, TIMEOUT);
     if cancelled.is_ok()
-        && let Some(status) = lock(&world.jobs).get_mut(&id)
+        && let Some(status) = lock(&context.jobs).get_mut(&id)
     {
         status.cancelled = true;
     }
--- a/programs/demo/src/main.rs
+++ b/programs/demo/src/main.rs
@@ -1,16 +1,17 @@
-//! All of magpiesaddle in one process over loopback: a newcomer's first minute, and a check of
-//! what must always hold.
+//! Demo of magpiesaddle: the complete system in one process over loopback, with load, injected
+//! faults and invariant checks.
 
 mod callers;
 mod check;
 mod cli;
+mod context;
 mod edits;
+mod faults;
 mod jobs;
 mod outcome;
-mod trouble;
-mod world;
 
 use {
+    context::Context,
     kernel::{daemon, logs, settings, task},
     standin::Deploy,
     std::{
@@ -19,17 +20,16 @@
         thread::JoinHandle,
         time::{Duration, Instant},
     },
-    world::World,
 };
 
-/// Exit code when something that must hold was broken.
+/// Exit code when an invariant was breached.
 const EXIT_BREACH: i32 = 1;
 
 fn main() {
     let arguments: cli::Arguments = daemon::parse_arguments();
     let Some(deploy) = Deploy::named(&arguments.deploy) else {
         let text = &arguments.deploy;
-        eprintln!("--deploy: '{text}' is wrong; right is fiscalis or sabarmati");
+        eprintln!("--deploy: '{text}' is invalid; expected fiscalis or sabarmati");
         process::exit(settings::EXIT_SETTINGS)
     };
     let level = if arguments.verbose {
@@ -38,20 +38,20 @@
         log::LevelFilter::Off
     };
     daemon::started_or_exit(logs::start(level));
-    say(
+    print_status(
         &arguments,
-        &format!("Starting {}.", world::describe(&deploy)),
+        &format!("Starting {}.", context::describe(&deploy)),
     );
-    let world = Arc::new(daemon::started_or_exit(World::start(
+    let context = Arc::new(daemon::started_or_exit(Context::start(
         deploy,
         arguments.seed,
     )));
-    daemon::started_or_exit(world.fleet.wait_ready());
-    jobs::start(&world, arguments.seed);
+    daemon::started_or_exit(context.fleet.wait_ready());
+    jobs::start(&context, arguments.seed);
     let time = Duration::from_secs(arguments.seconds.max(1));
-    say(&arguments, &format!("Running for {} s.", time.as_secs()));
-    let outcome = run(&world, &arguments, time);
-    world.stop();
+    print_status(&arguments, &format!("Running for {} s.", time.as_secs()));
+    let outcome = run(&context, &arguments, time);
+    context.stop();
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
     } else {
@@ -62,51 +62,54 @@
     }
 }
 
-/// Runs load and trouble for a time, lets the jobs end, and checks what came of it.
-fn run(world: &Arc<World>, arguments: &cli::Arguments, time: Duration) -> outcome::Outcome {
+/// Runs load and faults for `time`, waits for the jobs to end, and checks the invariants.
+fn run(context: &Arc<Context>, arguments: &cli::Arguments, time: Duration) -> outcome::Outcome {
     let started = Instant::now();
-    let before = world.fleet.platform.store.core().counts();
+    let before = context.fleet.platform.store.core().counts();
     let end = started + time;
     let mut threads: Vec<JoinHandle<()>> = Vec::new();
     let mut start = |name: &str, run: Box<dyn FnOnce() + Send>| {
         threads.push(daemon::started_or_exit(task::spawn(name, run)));
     };
     for number in 0..callers::THREADS {
-        let (world, seed) = (world.clone(), arguments.seed ^ (number as u64) << 32);
-        start("callers", Box::new(move || callers::run(&world, seed, end)));
+        let (context, seed) = (context.clone(), arguments.seed ^ (number as u64) << 32);
+        start(
+            "callers",
+            Box::new(move || callers::run(&context, seed, end)),
+        );
     }
     for number in 0..jobs::SUBMITTERS {
-        let (theirs, seed) = (world.clone(), arguments.seed ^ (u64::from(number) << 40));
-        start("jobs", Box::new(move || jobs::run(&theirs, seed, end)));
+        let (shared, seed) = (context.clone(), arguments.seed ^ (u64::from(number) << 40));
+        start("jobs", Box::new(move || jobs::run(&shared, seed, end)));
     }
-    let (theirs, seed) = (world.clone(), arguments.seed);
-    start("edits", Box::new(move || edits::run(&theirs, seed, end)));
-    let theirs = world.clone();
+    let (shared, seed) = (context.clone(), arguments.seed);
+    start("edits", Box::new(move || edits::run(&shared, seed, end)));
+    let shared = context.clone();
     start(
         "versions",
-        Box::new(move || edits::watch_versions(&theirs, end)),
+        Box::new(move || edits::watch_versions(&shared, end)),
     );
     if !arguments.calm {
-        let (theirs, json) = (world.clone(), arguments.json);
+        let (shared, json) = (context.clone(), arguments.json);
         start(
             "trouble",
-            Box::new(move || trouble::run(&theirs, started, time, json)),
+            Box::new(move || faults::run(&shared, started, time, json)),
         );
     }
     for thread in threads {
         if thread.join().is_err() {
-            world.breach("a part of the demo itself failed");
+            context.breach("a thread of the demo panicked");
         }
     }
-    let after = world.fleet.platform.store.core().counts();
-    let took = started.elapsed();
-    say(arguments, "Letting the jobs end.");
-    check::jobs_ended(world);
-    check::totals(world);
-    outcome::build(world, (before, after), took)
+    let after = context.fleet.platform.store.core().counts();
+    let elapsed = started.elapsed();
+    print_status(arguments, "Waiting for the jobs to end.");
+    check::jobs_ended(context);
+    check::totals(context);
+    outcome::build(context, (before, after), elapsed)
 }
 
-fn say(arguments: &cli::Arguments, text: &str) {
+fn print_status(arguments: &cli::Arguments, text: &str) {
     if !arguments.json {
         println!("{text}");
     }
--- a/programs/demo/src/outcome.rs
+++ b/programs/demo/src/outcome.rs
@@ -1,7 +1,7 @@
-//! What came of the demo.
+//! Results of a demo run and their output.
 
 use {
-    crate::world::World,
+    crate::context::Context,
     kernel::sync::lock,
     serde::Serialize,
     standin::store::Counts,
@@ -11,30 +11,30 @@
     },
 };
 
-/// The outcome; with `--json` the last line.
+/// Results of a run; with `--json` printed as the last line.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
-    /// The user whose sizes were taken.
+    /// User whose deployment sizes were used.
     pub deploy: &'static str,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Callers' requests.
+    /// Requests of callers.
     pub requests: u64,
-    /// Requests told "not run".
+    /// Requests with the verdict "not run".
     pub shed: u64,
-    /// Requests told "may have run".
+    /// Requests with the verdict "may have run", or without a response.
     pub may_have_run: u64,
-    /// Answers that were not whole or another's.
+    /// Responses that were incomplete or belonged to another request.
     pub wrong_answers: u64,
-    /// The median latency from the intended start, in milliseconds.
+    /// Median latency from the scheduled start, in milliseconds.
     pub p50_ms: f64,
-    /// The latency that 99 of 100 requests stay below, in milliseconds.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
     /// Jobs acknowledged.
     pub jobs: u64,
-    /// The time in which half of the urgent jobs started, from their submission, in milliseconds.
+    /// Median time from submission to first start of urgent jobs, in milliseconds.
     pub urgent_p50_ms: f64,
-    /// The longest such time, in milliseconds.
+    /// Maximum of that time, in milliseconds.
     pub urgent_most_ms: f64,
     /// Tasks started.
     pub starts: u64,
@@ -42,51 +42,51 @@
     pub finished: u64,
     /// Tasks evicted.
     pub evictions: u64,
-    /// Tasks that ran in two places at once, or again after their end.
+    /// Tasks that ran in two places at once, or again after they had finished.
     pub double_runs: u64,
-    /// Workers committed beyond what they have.
+    /// Allocations beyond the capacity of a worker.
     pub overcommits: u64,
     /// Edits accepted.
     pub edits: u64,
-    /// Edits refused for a conflict.
+    /// Edits refused because of a conflict.
     pub conflicts: u64,
-    /// Edits that the store's trouble left open or refused.
+    /// Edits whose outcome is unknown or that were refused because of store faults.
     pub open_edits: u64,
-    /// The time in which 99 of 100 edits were in force everywhere, in milliseconds.
+    /// 99th percentile of the time until an edit was in use everywhere, in milliseconds.
     pub edit_p99_ms: f64,
-    /// Reads and watches of the store a second.
+    /// Reads and watches of the store per second.
     pub store_reads_per_s: f64,
-    /// Writes to the store a second.
+    /// Writes to the store per second.
     pub store_writes_per_s: f64,
-    /// How many things that must hold were broken.
+    /// Number of breached invariants.
     pub breaches: usize,
-    /// What they were.
+    /// Descriptions of the breaches.
     pub breach_texts: Vec<String>,
 }
 
-/// Gathers the outcome.
-pub fn build(world: &World, (before, after): (Counts, Counts), took: Duration) -> Outcome {
-    let totals = world.fleet.platform.auditor.totals();
+/// Builds the results from the counters.
+pub fn build(context: &Context, (before, after): (Counts, Counts), elapsed: Duration) -> Outcome {
+    let totals = context.fleet.platform.auditor.totals();
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    let counts = &world.counts;
+    let counts = &context.counts;
     let reads = after.get + after.watch - before.get - before.watch;
     let writes = after.swap - before.swap;
-    let latency = lock(&world.latency);
+    let latency = lock(&context.latency);
     let milliseconds = |value: u64| value as f64 / 1000.0;
-    let texts = world.breaches();
-    let urgent = urgent_times(world);
+    let texts = context.breaches();
+    let urgent = urgent_times(context);
     Outcome {
-        deploy: world.fleet.deploy.name,
-        seconds: took.as_secs_f64(),
+        deploy: context.fleet.deploy.name,
+        seconds: elapsed.as_secs_f64(),
         requests: count(&counts.requests),
         shed: count(&counts.shed),
-        may_have_run: count(&counts.doubtful),
-        wrong_answers: count(&counts.wrong),
+        may_have_run: count(&counts.may_have_run),
+        wrong_answers: count(&counts.wrong_responses),
         p50_ms: milliseconds(latency.value_at_quantile(0.5)),
         p99_ms: milliseconds(latency.value_at_quantile(0.99)),
         jobs: count(&counts.jobs),
-        urgent_p50_ms: at(&urgent, 50),
-        urgent_most_ms: at(&urgent, 100),
+        urgent_p50_ms: percentile(&urgent, 50),
+        urgent_most_ms: percentile(&urgent, 100),
         starts: totals.starts,
         finished: totals.finished,
         evictions: totals.evictions,
@@ -95,35 +95,35 @@
         edits: count(&counts.edits),
         conflicts: count(&counts.conflicts),
         open_edits: count(&counts.open_edits),
-        edit_p99_ms: milliseconds(lock(&world.spread).value_at_quantile(0.99)),
-        store_reads_per_s: reads as f64 / took.as_secs_f64(),
-        store_writes_per_s: writes as f64 / took.as_secs_f64(),
+        edit_p99_ms: milliseconds(lock(&context.propagation).value_at_quantile(0.99)),
+        store_reads_per_s: reads as f64 / elapsed.as_secs_f64(),
+        store_writes_per_s: writes as f64 / elapsed.as_secs_f64(),
         breaches: texts.len(),
         breach_texts: texts,
     }
 }
 
-/// The times from urgent jobs' submissions to their first starts, in milliseconds, in order.
-fn urgent_times(world: &World) -> Vec<f64> {
+/// Returns the sorted times from submission to first start of urgent jobs, in milliseconds.
+fn urgent_times(context: &Context) -> Vec<f64> {
     let mut times = Vec::new();
-    for (id, submitted) in lock(&world.urgent).iter() {
-        let Some(begun) = world.fleet.platform.auditor.first_start(id) else {
+    for (id, submitted) in lock(&context.urgent).iter() {
+        let Some(started) = context.fleet.platform.auditor.first_start(id) else {
             continue;
         };
-        times.push(begun.saturating_duration_since(*submitted).as_secs_f64() * 1e3);
+        times.push(started.saturating_duration_since(*submitted).as_secs_f64() * 1e3);
     }
     times.sort_by(f64::total_cmp);
     times
 }
 
-/// The value that this many of a hundred stay below or at; 0 when there is none.
-fn at(sorted: &[f64], percent: usize) -> f64 {
-    let place = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
-    sorted.get(place).copied().unwrap_or(0.0)
+/// Returns a percentile by nearest rank; 0 for an empty slice.
+fn percentile(sorted: &[f64], percent: usize) -> f64 {
+    let index = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
+    sorted.get(index).copied().unwrap_or(0.0)
 }
 
 impl Outcome {
-    /// Prints the outcome for a person.
+    /// Prints the results as text.
     pub fn print(&self) {
         println!(
             "Requests   {} in {:.0} s, p50 {:.1} ms, p99 {:.1} ms, {} shed, {} may have run, \
--- a/programs/standin/src/backend.rs
+++ b/programs/standin/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server. `POST /admin/faults` switches its faults.
+//! Subcommand `backend`: one backend server. `POST /admin/faults` sets its faults.
 
 use {
     crate::cli,
--- a/programs/standin/src/boxes.rs
+++ b/programs/standin/src/boxes.rs
@@ -1,5 +1,5 @@
-//! The list of boxes alone. `POST /admin/put` takes boxes as JSON, `/admin/leave?name=` and
-//! `/admin/remove?name=` change them.
+//! Subcommand `boxes`: the list of boxes. `POST /admin/put` adds boxes given as JSON,
+//! `/admin/leave?name=` and `/admin/remove?name=` change them.
 
 use {crate::cli, kernel::daemon, standin::Registry, std::time::Duration};
 
--- a/programs/standin/src/cli.rs
+++ b/programs/standin/src/cli.rs
@@ -1,15 +1,15 @@
-//! The arguments.
+//! Command-line arguments.
 
 use {argh::FromArgs, std::net::SocketAddr};
 
-/// Small stand-ins of the platform. They listen on loopback and keep nothing.
+/// Small stand-ins for the platform. They listen on loopback and store nothing.
 #[derive(FromArgs)]
 pub struct Arguments {
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// Which stand-in.
+/// Stand-in to run.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -20,11 +20,11 @@
     Backend(Backend),
 }
 
-/// A whole platform of a user's sizes: store, list of boxes, workers, backend servers.
+/// A complete platform with the sizes of a user: store, list of boxes, workers, backend servers.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 pub struct Platform {
-    /// whose sizes: fiscalis or sabarmati (default fiscalis)
+    /// user whose sizes are used: fiscalis or sabarmati (default fiscalis)
     #[argh(option, default = "String::from(\"fiscalis\")")]
     pub deploy: String,
     /// address of the store (default 127.0.0.1:7100)
@@ -33,10 +33,10 @@
     /// address of the list of boxes (default 127.0.0.1:7101)
     #[argh(option, default = "([127, 0, 0, 1], 7101).into()")]
     pub boxes: SocketAddr,
-    /// workers instead of the user's number
+    /// number of workers (default the user's)
     #[argh(option)]
     pub workers: Option<usize>,
-    /// data halls instead of the user's number
+    /// number of data halls (default the user's)
     #[argh(option)]
     pub halls: Option<usize>,
     /// an entry box, NAME,HALL,GATE,GATE-OPS,SCHED,TABLE with ports on loopback; may be repeated
@@ -44,7 +44,7 @@
     pub entry: Vec<String>,
 }
 
-/// The store alone.
+/// The key-value store.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 pub struct Store {
@@ -53,14 +53,14 @@
     pub listen: SocketAddr,
 }
 
-/// The list of boxes alone.
+/// The list of boxes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "boxes")]
 pub struct Boxes {
     /// address (default 127.0.0.1:7101)
     #[argh(option, default = "([127, 0, 0, 1], 7101).into()")]
     pub listen: SocketAddr,
-    /// milliseconds by which the list lags (default 300)
+    /// delay in milliseconds until the list shows a change (default 300)
     #[argh(option, default = "300")]
     pub lag_ms: u64,
 }
@@ -72,24 +72,24 @@
     /// address (default 127.0.0.1:7102)
     #[argh(option, default = "([127, 0, 0, 1], 7102).into()")]
     pub listen: SocketAddr,
-    /// how many (default 1)
+    /// number of workers (default 1)
     #[argh(option, default = "1")]
     pub count: u32,
-    /// beginning of their names (default w)
+    /// prefix of their names (default w)
     #[argh(option, default = "String::from(\"w\")")]
     pub prefix: String,
-    /// processors of each (default 16)
+    /// processors of each worker (default 16)
     #[argh(option, default = "16")]
     pub processors: u32,
-    /// gigabytes of memory of each (default 60)
+    /// memory of each worker in gigabytes (default 60)
     #[argh(option, default = "60")]
     pub memory_gb: u32,
-    /// accelerators of each (default 0)
+    /// accelerators of each worker (default 0)
     #[argh(option, default = "0")]
     pub accelerators: u32,
 }
 
-/// One backend server of 8 slots.
+/// One backend server with 8 slots.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "backend")]
 pub struct Backend {
--- a/programs/standin/src/main.rs
+++ b/programs/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform as processes, for trials on one machine.
+//! Runs stand-ins for the platform as separate processes, for tests on one machine.
 
 mod backend;
 mod boxes;
--- a/programs/standin/src/platform.rs
+++ b/programs/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A whole platform of a user's sizes.
+//! Subcommand `platform`: a complete platform with the deployment sizes of a user.
 
 use {
     crate::cli,
@@ -11,14 +11,14 @@
     std::process,
 };
 
-/// The services of an entry box, in the order in which their ports are given.
+/// Services of an entry box, in the order of their ports in the argument.
 const SERVICES: [&str; 4] = ["gate", "gate-ops", "sched", "table"];
 
 /// Serves the platform until the process is asked to stop.
 pub fn run(command: &cli::Platform) {
     let Some(mut deploy) = Deploy::named(&command.deploy) else {
         eprintln!(
-            "--deploy: '{}' is wrong; right is fiscalis or sabarmati",
+            "--deploy: '{}' is invalid; expected fiscalis or sabarmati",
             command.deploy
         );
         process::exit(settings::EXIT_SETTINGS)
@@ -27,8 +27,8 @@
     deploy.halls = command.halls.unwrap_or(deploy.halls).max(1);
     let mut entries = Vec::new();
     for text in &command.entry {
-        let Some(item) = entry(text) else {
-            eprintln!("--entry: '{text}' is wrong; right is NAME,HALL and four ports");
+        let Some(item) = parse_entry(text) else {
+            eprintln!("--entry: '{text}' is invalid; expected NAME,HALL and four ports");
             process::exit(settings::EXIT_SETTINGS)
         };
         entries.push(item);
@@ -49,8 +49,8 @@
     daemon::wait_for_shutdown();
 }
 
-/// Reads an entry box; `None` when it is wrong.
-fn entry(text: &str) -> Option<Item> {
+/// Parses the `--entry` argument; `None` if it is invalid.
+fn parse_entry(text: &str) -> Option<Item> {
     let parts: Vec<&str> = text.split(',').collect();
     let (names, ports) = parts.split_at_checked(2)?;
     if ports.len() != SERVICES.len() || !names.iter().all(|name| settings::is_name(name)) {
--- a/programs/standin/src/store.rs
+++ b/programs/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The store alone.
+//! Subcommand `store`: the key-value store.
 
 use {
     crate::cli,
--- a/programs/standin/src/worker.rs
+++ b/programs/standin/src/worker.rs
@@ -1,5 +1,5 @@
-//! Workers alone, each under a path of its own. `POST /w/NAME/faults` switches faults,
-//! `POST /w/NAME/reboot` restarts one.
+//! Subcommand `worker`: workers, each under its own path. `POST /w/NAME/faults` sets faults, `POST
+//! /w/NAME/reboot` restarts a worker.
 
 use {
     crate::cli,
