--- a/components/standin/src/kv.rs
+++ b/components/standin/src/kv.rs
@@ -164,8 +164,8 @@
     /// took effect.
     pub fn apply_deferred(&self) -> usize {
         let mut core = lock(&self.core);
-        let held = std::mem::take(&mut core.deferred);
-        let done = held
+        let deferred = std::mem::take(&mut core.deferred);
+        let done = deferred
             .iter()
             .filter(|change| core.apply(change).status == 200);
         let done = done.count();
@@ -191,7 +191,7 @@
             ("GET", "/kv-key") => self.get(request).into(),
             ("GET", "/kv-range") => self.range(request).into(),
             ("GET", "/kv-watch") => self.watch(request).into(),
-            ("POST", "/kv-txn") => self.change(request),
+            ("POST", "/kv-txn") => self.transact(request),
             ("POST", "/kv-lease") => self.grant(request).into(),
             ("POST", path) if path.starts_with("/kv-keep/") => self.renew(path).into(),
             _ => reply(404, &json!({})).into(),
@@ -258,7 +258,7 @@
         }
     }
 
-    fn change(&self, request: &ServerRequest) -> ServerResponse {
+    fn transact(&self, request: &ServerRequest) -> ServerResponse {
         let Ok(change) = serde_json::from_slice::<Value>(&request.body) else {
             return reply(400, &json!({})).into();
         };
@@ -315,13 +315,13 @@
     /// Removes expired leases and their keys.
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (until, _))| *until <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys = self.items.iter();
             let keys = keys.filter(|(_, item)| item.lease == lease);
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -392,8 +392,8 @@
         assert_eq!(ledger.running(), 0);
     }
 
-    #[test_case(vec![start(0, 1000, 0), start(0, 1000, 0)], 1, 0; "a start that comes twice")]
-    #[test_case(vec![start(0, 3000, 0), start(1, 3000, 0)], 1, 1; "no room for the second")]
+    #[test_case(vec![start(0, 1000, 0), start(0, 1000, 0)], 1, 0; "a repeated start")]
+    #[test_case(vec![start(0, 3000, 0), start(1, 3000, 0)], 1, 1; "capacity exceeded by the second")]
     fn exchange_starts(starts: Vec<Start>, running: usize, refused: usize) {
         let (clock, auditor) = (Clock::manual(), Auditor::new());
         let mut ledger = ledger(&clock, &auditor);
--- a/components/standin/src/proxy.rs
+++ b/components/standin/src/proxy.rs
@@ -47,11 +47,11 @@
         }
     }
 
-    fn is_silent(&self, direction: Direction) -> bool {
+    fn drops_traffic(&self, direction: Direction) -> bool {
         self.flag(direction).load(Ordering::Acquire)
     }
 
-    fn silence(&self, direction: Direction) {
+    fn drop_traffic(&self, direction: Direction) {
         self.flag(direction).store(true, Ordering::Release);
     }
 }
@@ -61,7 +61,7 @@
 struct Shared {
     connections: Mutex<Vec<Weak<Connection>>>,
     /// Closes new connections at once.
-    refuses: AtomicBool,
+    refusing: AtomicBool,
     /// Delay of each chunk in either direction, in milliseconds.
     delay: AtomicUsize,
     accepted: AtomicUsize,
@@ -69,7 +69,7 @@
     rate: AtomicUsize,
     /// Total bytes delivered to a caller after which its connection is blackholed, once; 0 to
     /// disable.
-    stall: AtomicUsize,
+    stall_bytes: AtomicUsize,
     /// Bytes delivered to callers.
     delivered: AtomicUsize,
 }
@@ -86,18 +86,18 @@
     /// # Errors
     ///
     /// No port can be opened.
-    pub fn open(to: SocketAddr) -> io::Result<Self> {
+    pub fn open(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
         let state = shared.clone();
         task::spawn("line", move || {
             for stream in listener.incoming().flatten() {
-                if state.refuses.load(Ordering::Acquire) {
+                if state.refusing.load(Ordering::Acquire) {
                     continue;
                 }
                 // If the server port is closed, the caller sees a reset connection.
-                let _ = connect(&state, stream, to);
+                let _ = connect(&state, stream, server);
             }
         })?;
         Ok(Proxy { address, shared })
@@ -117,7 +117,7 @@
     /// Drops further traffic in one direction of the connections that are open at this moment.
     pub fn blackhole_direction(&self, direction: Direction) {
         for connection in self.open_connections() {
-            connection.silence(direction);
+            connection.drop_traffic(direction);
         }
     }
 
@@ -131,8 +131,8 @@
     }
 
     /// Sets whether new connections are closed at once.
-    pub fn set_refusing(&self, refuses: bool) {
-        self.shared.refuses.store(refuses, Ordering::Release);
+    pub fn set_refusing(&self, refusing: bool) {
+        self.shared.refusing.store(refusing, Ordering::Release);
     }
 
     /// Sets the delay of each chunk in either direction.
@@ -155,7 +155,7 @@
     /// Blackholes the first connection that has delivered this many bytes to its caller since it
     /// was opened, in the middle of the transfer. Later connections are not affected.
     pub fn stall_after(&self, bytes: usize) {
-        self.shared.stall.store(bytes, Ordering::Release);
+        self.shared.stall_bytes.store(bytes, Ordering::Release);
     }
 
     /// Returns the number of connections forwarded so far.
@@ -170,8 +170,8 @@
 }
 
 /// Connects to the server and starts the two forwarding threads of a connection.
-fn connect(shared: &Arc<Shared>, caller: TcpStream, to: SocketAddr) -> io::Result<()> {
-    let port = TcpStream::connect(to)?;
+fn connect(shared: &Arc<Shared>, caller: TcpStream, server: SocketAddr) -> io::Result<()> {
+    let port = TcpStream::connect(server)?;
     let (from, back) = (caller.try_clone()?, port.try_clone()?);
     let connection = Arc::new(Connection {
         upstream: AtomicBool::new(false),
@@ -223,13 +223,13 @@
         if rate > 0 {
             thread::sleep(Duration::from_secs_f64(bytes as f64 / rate as f64));
         }
-        let stall = self.stall.load(Ordering::Acquire);
+        let stall = self.stall_bytes.load(Ordering::Acquire);
         if stall > 0 && total >= stall {
-            self.stall.store(0, Ordering::Release);
-            connection.silence(Direction::Upstream);
-            connection.silence(Direction::Downstream);
+            self.stall_bytes.store(0, Ordering::Release);
+            connection.drop_traffic(Direction::Upstream);
+            connection.drop_traffic(Direction::Downstream);
         }
-        if !connection.is_silent(Direction::Downstream) {
+        if !connection.drops_traffic(Direction::Downstream) {
             self.delivered.fetch_add(bytes, Ordering::AcqRel);
         }
     }
@@ -248,15 +248,15 @@
         if read > 0 {
             before(read);
         }
-        let is_silent = connection.is_silent(direction);
+        let drops_traffic = connection.drops_traffic(direction);
         if read == 0 {
             // The end of a blackholed connection is not forwarded either.
-            if !is_silent {
+            if !drops_traffic {
                 let _ = to.shutdown(Shutdown::Both);
             }
             return;
         }
-        if !is_silent && to.write_all(&buffer[..read]).is_err() {
+        if !drops_traffic && to.write_all(&buffer[..read]).is_err() {
             return;
         }
     }
--- a/components/standin/src/runner.rs
+++ b/components/standin/src/runner.rs
@@ -155,10 +155,10 @@
     work: Duration,
     running: BTreeMap<String, Run>,
     /// The highest run number that was stopped or has ended, by task name.
-    over: HashMap<String, u64>,
+    max_ended: HashMap<String, u64>,
     ended: Vec<End>,
     /// When a lease was last renewed after it had expired.
-    lapsed: Option<Instant>,
+    renewed_late: Option<Instant>,
     /// Sequence number of the last end.
     count: u64,
     run_log: Arc<Mutex<RunLog>>,
@@ -205,9 +205,9 @@
                 lease: 0,
                 work,
                 running: BTreeMap::new(),
-                over: HashMap::new(),
+                max_ended: HashMap::new(),
                 ended: Vec::new(),
-                lapsed: None,
+                renewed_late: None,
                 count: 0,
                 run_log: run_log.clone(),
                 faults: Faults::default(),
@@ -278,9 +278,9 @@
         core.started_at = wall_clock::millis().max(core.started_at + 1);
         core.fence = 0;
         core.lease = 0;
-        core.over.clear();
+        core.max_ended.clear();
         core.ended.clear();
-        core.lapsed = None;
+        core.renewed_late = None;
         core.count = 0;
         core.is_down = false;
     }
@@ -305,9 +305,9 @@
     pub fn run_deferred(&self) {
         let mut core = lock(&self.core);
         core.deferred_calls = 0;
-        let held = std::mem::take(&mut core.deferred);
+        let deferred = std::mem::take(&mut core.deferred);
         drop(core);
-        for request in held {
+        for request in deferred {
             let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
                 continue;
             };
@@ -353,16 +353,16 @@
     }
 
     fn handle(&self, request: &ServerRequest) -> ServerResponse {
-        let mut acked = self.answer(request);
-        if let ServerResponse::Reply(reply) = &mut acked
+        let mut response = self.dispatch(request);
+        if let ServerResponse::Reply(reply) = &mut response
             && lock(&self.core).faults.closes_connections
         {
             reply.headers.push(("connection", "close".to_owned()));
         }
-        acked
+        response
     }
 
-    fn answer(&self, request: &ServerRequest) -> ServerResponse {
+    fn dispatch(&self, request: &ServerRequest) -> ServerResponse {
         let mut core = lock(&self.core);
         let (faults, is_down, started_at) = (core.faults, core.is_down, core.started_at);
         if faults.reset || is_down || !is_connected_to(started_at) {
@@ -495,23 +495,23 @@
 
     /// True if exactly this run of the task is active.
     fn is_running(&self, name: &str, run: u64) -> bool {
-        let held = self.running.get(name);
-        held.is_some_and(|held| held.number == run)
+        let active = self.running.get(name);
+        active.is_some_and(|active| active.number == run)
     }
 
     /// Removes acknowledged ends and extends the lease.
     fn renew(&mut self, body: &Value) {
         let seen = number(body, "lastSeen");
         if self.clock() > self.lease {
-            self.lapsed = Some(Instant::now());
+            self.renewed_late = Some(Instant::now());
         }
-        let (acked, kept) = std::mem::take(&mut self.ended)
+        let (acked, pending) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| end.count <= seen);
-        self.ended = kept;
+        self.ended = pending;
         self.acknowledge(acked);
-        let most = self.clock() + MAX_LEASE;
-        self.lease = self.lease.max(number(body, "deadlineMs").min(most));
+        let max_end = self.clock() + MAX_LEASE;
+        self.lease = self.lease.max(number(body, "deadlineMs").min(max_end));
     }
 
     /// Records which of the removed ends were acknowledged in time.
@@ -519,7 +519,7 @@
         let now = Instant::now();
         let mut run_log = lock(&self.run_log);
         for end in acked {
-            if self.lapsed.is_none_or(|lapsed| lapsed < end.at) {
+            if self.renewed_late.is_none_or(|renewed| renewed < end.at) {
                 run_log.runs[end.log_index].acknowledged = Some(now);
             }
         }
@@ -538,14 +538,14 @@
     /// Ends tasks that have reached their duration, and all tasks once the lease has expired.
     fn advance(&mut self) {
         let now = Instant::now();
-        let lapsed = self.clock() > self.lease;
-        let over = self.clock_start + Duration::from_millis(self.lease);
+        let expired = self.clock() > self.lease;
+        let lease_end = self.clock_start + Duration::from_millis(self.lease);
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names {
             let run = &self.running[&name];
             let until = run.until;
-            if lapsed {
-                self.end(&name, "lapsed", over.min(until));
+            if expired {
+                self.end(&name, "lapsed", lease_end.min(until));
             } else if now >= until {
                 let how = if run.fails { "failed" } else { "done" };
                 self.end(&name, how, until);
@@ -558,7 +558,7 @@
             return;
         };
         self.count += 1;
-        self.over.insert(name.to_owned(), run.number);
+        self.max_ended.insert(name.to_owned(), run.number);
         self.ended.push(End {
             count: self.count,
             name: name.to_owned(),
@@ -581,7 +581,8 @@
         if self.is_running(&name, run) {
             return self.accepted();
         }
-        if self.running.contains_key(&name) || self.over.get(&name).is_some_and(|&over| run <= over)
+        if self.running.contains_key(&name)
+            || self.max_ended.get(&name).is_some_and(|&ended| run <= ended)
         {
             return self.refuse("old");
         }
@@ -590,8 +591,8 @@
         }
         if (self.running.len() as u64 + 1) * 1_000 > self.size {
             if self.is_size_known() {
-                let over = (Instant::now(), name.into(), self.id.as_str().into());
-                lock(&self.run_log).capacity_refusals.push(over);
+                let refusal = (Instant::now(), name.into(), self.id.as_str().into());
+                lock(&self.run_log).capacity_refusals.push(refusal);
             }
             return self.refuse("room");
         }
@@ -630,8 +631,8 @@
         if self.is_running(&name, run) {
             self.end(&name, "stopped", Instant::now());
         }
-        let over = self.over.entry(name).or_default();
-        *over = run.max(*over);
+        let ended = self.max_ended.entry(name).or_default();
+        *ended = run.max(*ended);
         self.accepted()
     }
 
--- a/programs/standin/src/worker.rs
+++ b/programs/standin/src/worker.rs
@@ -1,5 +1,5 @@
-//! Subcommand `worker`: workers, each under its own path. `POST /w/NAME/faults` sets faults, `POST
-//! /w/NAME/reboot` restarts a worker.
+//! Subcommand `worker`: workers, each under its own path. `POST /w/NAME/faults` sets faults,
+//! `POST /w/NAME/reboot` restarts a worker.
 
 use {
     crate::cli,
