--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -1,13 +1,14 @@
-//! A stand-in of a backend server: slots, connections, and answers that prove whose they are.
+//! Stand-in for a backend server with limited slots and connections.
 //!
-//! The answer to a request is its `x-id` header, a colon, and a sum of its body. A request with
-//! `x-once` runs at most once, and the witness counts it. A server without a free slot, and one
-//! that is leaving, refuses with 503 and `x-not-run: 1`, which stands for "not run".
+//! The response body is the `x-id` header of the request, a colon and a checksum of its body, so
+//! that callers can verify that a response is theirs. A request with `x-once` must run at most
+//! once; the auditor counts its runs. A server that is leaving or has no free slot refuses with
+//! 503 and an `x-not-run` header, which states that the request did not run.
 
 use {
     crate::{
-        port::{self, Asked, Told},
-        witness::Witness,
+        auditor::Auditor,
+        http_server::{self, ServerRequest, ServerResponse},
     },
     kernel::{Reply, sync::lock},
     serde::{Deserialize, Serialize},
@@ -23,26 +24,26 @@
     },
 };
 
-/// Requests that a server runs at once.
+/// Number of requests that a server runs concurrently.
 pub const SLOTS: usize = 8;
 
-/// Connections that a server takes.
-pub const CONNECTIONS: usize = 64;
+/// Maximum number of connections to a server.
+pub const MAX_CONNECTIONS: usize = 64;
 
-/// The header by which a server says that it did not run a request.
+/// Response header that states that a request did not run.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// Faults and manners of a server.
+/// Faults and operating state of a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
     /// Refuses new requests.
     pub leaving: bool,
-    /// Service times are this many times longer.
+    /// Factor on service times.
     pub slow: u32,
-    /// Cuts this many answers after running their requests.
+    /// Number of further responses that are cut off after their requests have run.
     pub cut: u32,
-    /// Breaks off this many requests before running them.
+    /// Number of further requests whose connections are closed before they run.
     pub dropped: u32,
 }
 
@@ -59,20 +60,20 @@
 
 struct Inner {
     faults: Mutex<Faults>,
-    busy: AtomicUsize,
+    in_flight: AtomicUsize,
     service: Duration,
     rng: Mutex<fastrand::Rng>,
-    witness: Witness,
+    auditor: Auditor,
 }
 
-/// One backend server on a port.
+/// A backend server.
 pub struct Backend {
     inner: Arc<Inner>,
     url: String,
 }
 
-/// The sum that an answer carries of a request's body.
-pub fn sum(body: &[u8]) -> u64 {
+/// Computes the checksum of a request body that the response carries (64-bit FNV-1a).
+pub fn checksum(body: &[u8]) -> u64 {
     let mut sum = 0xcbf2_9ce4_8422_2325_u64;
     for byte in body {
         sum = (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -80,13 +81,13 @@
     sum
 }
 
-/// The whole answer to a request with this id and body.
-pub fn expected(id: &str, body: &[u8]) -> String {
-    format!("{id}:{:016x}", sum(body))
+/// Returns the full response body for a request with this id and body.
+pub fn expected_body(id: &str, body: &[u8]) -> String {
+    format!("{id}:{:016x}", checksum(body))
 }
 
 impl Backend {
-    /// Opens a server whose mean service time is this long.
+    /// Opens a server with the given mean service time.
     ///
     /// # Errors
     ///
@@ -95,39 +96,41 @@
         address: SocketAddr,
         service: Duration,
         seed: u64,
-        witness: Witness,
+        auditor: Auditor,
     ) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             faults: Mutex::default(),
-            busy: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             service,
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
-            witness,
+            auditor,
         });
-        let theirs = inner.clone();
-        let url = port::open(address, CONNECTIONS, move |asked| handle(&theirs, &asked))?;
+        let shared = inner.clone();
+        let url = http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&shared, &request)
+        })?;
         Ok(Backend { inner, url })
     }
 
-    /// The base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.url.clone()
     }
 
-    /// Switches faults on or off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.inner.faults) = faults;
     }
 
-    /// Requests that it runs now.
-    pub fn busy(&self) -> usize {
-        self.inner.busy.load(Ordering::Acquire)
+    /// Returns the number of requests being served.
+    pub fn in_flight(&self) -> usize {
+        self.inner.in_flight.load(Ordering::Acquire)
     }
 }
 
-fn handle(inner: &Inner, asked: &Asked) -> Told {
-    if asked.path == "/admin/faults" {
-        return match serde_json::from_slice(&asked.body) {
+fn handle(inner: &Inner, request: &ServerRequest) -> ServerResponse {
+    if request.path == "/admin/faults" {
+        return match serde_json::from_slice(&request.body) {
             Ok(faults) => {
                 *lock(&inner.faults) = faults;
                 Reply::text(200, "set\n").into()
@@ -138,7 +141,7 @@
     let mut faults = lock(&inner.faults);
     if faults.dropped > 0 {
         faults.dropped -= 1;
-        return Told::Cut;
+        return ServerResponse::Disconnect;
     }
     if faults.leaving {
         return refusal("leaving").into();
@@ -147,28 +150,28 @@
     faults.cut = faults.cut.saturating_sub(1);
     let slow = faults.slow;
     drop(faults);
-    if inner.busy.fetch_add(1, Ordering::AcqRel) >= SLOTS {
-        inner.busy.fetch_sub(1, Ordering::AcqRel);
-        inner.witness.overslots();
+    if inner.in_flight.fetch_add(1, Ordering::AcqRel) >= SLOTS {
+        inner.in_flight.fetch_sub(1, Ordering::AcqRel);
+        inner.auditor.record_slot_overrun();
         return refusal("slots").into();
     }
-    let once = !asked.header("x-once").is_empty();
-    let id = asked.header("x-id");
-    inner.witness.request(once.then_some(id));
+    let at_most_once = !request.header("x-once").is_empty();
+    let id = request.header("x-id");
+    inner.auditor.record_request(at_most_once.then_some(id));
     thread::sleep(service_time(inner) * slow);
-    // The slot is free before the answer leaves, since the next request may come at once.
-    inner.busy.fetch_sub(1, Ordering::AcqRel);
+    // Frees the slot before the response is sent, since the next request may follow at once.
+    inner.in_flight.fetch_sub(1, Ordering::AcqRel);
     if cut {
-        return Told::Cut;
+        return ServerResponse::Disconnect;
     }
-    Reply::text(200, expected(id, &asked.body)).into()
+    Reply::text(200, expected_body(id, &request.body)).into()
 }
 
 fn refusal(reason: &str) -> Reply {
     Reply::text(503, format!("{reason}\n")).with_header(NOT_RUN_HEADER, reason)
 }
 
-/// A service time with an exponential spread around its mean, at most eight times it.
+/// Draws a service time from an exponential distribution, capped at eight times the mean.
 fn service_time(inner: &Inner) -> Duration {
     let uniform = lock(&inner.rng).f64();
     inner.service.mul_f64((-(1.0 - uniform).ln()).min(8.0))
--- a/components/standin/src/boxes.rs
+++ b/components/standin/src/boxes.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the list of boxes, which lags.
+//! Stand-in for the platform list of boxes, which publishes changes after a delay.
 
 use {
-    crate::port::{self, Asked},
+    crate::http_server::{self, ServerRequest},
     infra::boxes::{Boxes, Item, List, State},
     kernel::{Failure, Reply, sync::lock},
     std::{
@@ -13,36 +13,36 @@
     },
 };
 
-/// Connections that the port takes.
-const CONNECTIONS: usize = 4096;
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 4096;
 
 struct Inner {
-    /// What is so.
+    /// Current items, including changes not yet published.
     items: BTreeMap<Arc<str>, Item>,
-    /// What is shown.
-    shown: Arc<List>,
-    /// When the shown list takes over what is so.
-    due: Option<Instant>,
+    /// The published list.
+    published: Arc<List>,
+    /// When pending changes are published.
+    publish_at: Option<Instant>,
     lag: Duration,
 }
 
-/// The list, and what is so behind it.
+/// The list of boxes and its unpublished changes.
 #[derive(Clone)]
 pub struct Registry {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Registry {
-    /// An empty list that lags by this much.
+    /// Creates an empty list that publishes changes after `lag`.
     pub fn new(lag: Duration) -> Self {
-        let shown = Arc::new(List {
+        let published = Arc::new(List {
             version: 1,
             items: Vec::new(),
         });
         let inner = Inner {
             items: BTreeMap::new(),
-            shown,
-            due: None,
+            published,
+            publish_at: None,
             lag,
         };
         Registry {
@@ -53,19 +53,19 @@
     fn change(&self, change: impl FnOnce(&mut BTreeMap<Arc<str>, Item>)) {
         let mut inner = lock(&self.inner);
         change(&mut inner.items);
-        if inner.due.is_none() {
-            inner.due = Some(Instant::now() + inner.lag);
+        if inner.publish_at.is_none() {
+            inner.publish_at = Some(Instant::now() + inner.lag);
         }
     }
 
-    /// Adds a box, or replaces it.
+    /// Adds or replaces a box.
     pub fn put(&self, item: Item) {
         self.change(|items| {
             items.insert(item.name.clone(), item);
         });
     }
 
-    /// Takes a box away.
+    /// Removes a box.
     pub fn remove(&self, name: &str) {
         self.change(|items| {
             items.remove(name);
@@ -73,7 +73,7 @@
     }
 
     /// Marks a box as leaving.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         self.change(|items| {
             if let Some(item) = items.get_mut(name) {
                 item.state = State::Leaving;
@@ -81,51 +81,54 @@
         });
     }
 
-    /// The list as it is shown now.
-    pub fn shown(&self) -> Arc<List> {
+    /// Returns the published list, after publishing changes that are due.
+    pub fn published(&self) -> Arc<List> {
         let mut inner = lock(&self.inner);
-        if inner.due.is_some_and(|due| Instant::now() >= due) {
-            inner.due = None;
-            let version = inner.shown.version + 1;
+        if inner
+            .publish_at
+            .is_some_and(|publish_at| Instant::now() >= publish_at)
+        {
+            inner.publish_at = None;
+            let version = inner.published.version + 1;
             let items = inner.items.values().cloned().collect();
-            inner.shown = Arc::new(List { version, items });
+            inner.published = Arc::new(List { version, items });
         }
-        inner.shown.clone()
+        inner.published.clone()
     }
 
-    /// Serves the list on a port. Returns its base address.
+    /// Serves the list over HTTP. Returns its base URL.
     ///
     /// # Errors
     ///
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<String> {
         let registry = self.clone();
-        port::open(address, CONNECTIONS, move |asked| {
-            handle(&registry, &asked).into()
+        http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&registry, &request).into()
         })
     }
 }
 
 impl Boxes for Registry {
     fn list(&self, after: u64) -> Result<Option<List>, Failure> {
-        let shown = self.shown();
-        Ok((shown.version != after).then(|| (*shown).clone()))
+        let published = self.published();
+        Ok((published.version != after).then(|| (*published).clone()))
     }
 }
 
-fn handle(registry: &Registry, asked: &Asked) -> Reply {
-    let after = asked.number("after");
-    match (asked.method.as_str(), asked.path.as_str()) {
+fn handle(registry: &Registry, request: &ServerRequest) -> Reply {
+    let after = request.number("after");
+    match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/v1/boxes") => {
-            let shown = registry.shown();
-            if shown.version == after {
+            let published = registry.published();
+            if published.version == after {
                 Reply::text(304, "")
             } else {
-                let body = serde_json::to_vec(&*shown).unwrap_or_default();
+                let body = serde_json::to_vec(&*published).unwrap_or_default();
                 Reply::bytes(200, "application/json", body)
             }
         }
-        ("POST", "/admin/put") => match serde_json::from_slice::<Vec<Item>>(&asked.body) {
+        ("POST", "/admin/put") => match serde_json::from_slice::<Vec<Item>>(&request.body) {
             Ok(items) => {
                 for item in items {
                     registry.put(item);
@@ -135,11 +138,11 @@
             Err(e) => Reply::text(400, e.to_string()),
         },
         ("POST", "/admin/leave") => {
-            registry.leave(asked.parameter("name").unwrap_or_default());
+            registry.mark_leaving(request.parameter("name").unwrap_or_default());
             Reply::text(200, "leaving\n")
         }
         ("POST", "/admin/remove") => {
-            registry.remove(asked.parameter("name").unwrap_or_default());
+            registry.remove(request.parameter("name").unwrap_or_default());
             Reply::text(200, "removed\n")
         }
         _ => Reply::text(404, "no such path\n"),
@@ -148,7 +151,7 @@
 
 #[cfg(test)]
 mod tests {
-    use {super::*, crate::line::Line, infra::boxes, kernel::Client};
+    use {super::*, crate::proxy::Proxy, infra::boxes, kernel::Client};
 
     fn item(number: usize) -> Item {
         Item {
@@ -164,20 +167,20 @@
         }
     }
 
-    /// A list of 8,000 boxes has over 1 MB and takes over 2.5 s on its way, longer than a call may wait for its
-    /// answer to begin.
+    /// A list of 8,000 boxes exceeds 1 MB and takes over 2.5 s to transfer at this rate, longer
+    /// than a call may wait for its response to begin.
     #[test]
-    fn list_over_slow_line() {
+    fn list_over_slow_connection() {
         let registry = Registry::new(Duration::ZERO);
         for number in 0..8_000 {
             registry.put(item(number));
         }
         let url = registry.open(([127, 0, 0, 1], 0).into()).unwrap();
-        let line = Line::open(url.trim_start_matches("http://").parse().unwrap()).unwrap();
-        line.limit(400_000);
-        let http = boxes::Http::new(&format!("http://{}", line.address()), Client::new(None));
+        let proxy = Proxy::open(url.trim_start_matches("http://").parse().unwrap()).unwrap();
+        proxy.set_rate(400_000);
+        let http = boxes::Http::new(&format!("http://{}", proxy.address()), Client::new(None));
         assert_eq!(http.list(0).unwrap().unwrap().items.len(), 8_000);
-        assert!(line.brought() > 1_000_000);
+        assert!(proxy.bytes_delivered() > 1_000_000);
     }
 
     #[test]
--- a/components/standin/src/port.rs
+++ b/components/standin/src/http_server.rs
@@ -1,5 +1,5 @@
-//! The ports of the stand-ins: blocking handlers, one task for each connection, and answers that
-//! can break off.
+//! HTTP server shared by the stand-ins: blocking handlers, one thread per connection, and
+//! responses that can be cut off on purpose.
 
 use {
     kernel::{
@@ -11,24 +11,24 @@
     std::{io, io::Read, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The time for one read or write of a connection.
-const STEP: Duration = Duration::from_secs(60);
+/// Time limit for one read or write on a connection.
+const IO_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One whole request.
+/// A complete HTTP request.
 #[derive(Clone)]
-pub struct Asked {
-    /// The method.
+pub struct ServerRequest {
+    /// HTTP method.
     pub method: String,
-    /// The path without the query.
+    /// Path without the query string.
     pub path: String,
     query: String,
     headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Complete request body.
     pub body: Vec<u8>,
 }
 
-impl Asked {
-    /// A parameter of the query.
+impl ServerRequest {
+    /// Returns the value of a query parameter.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self
             .query
@@ -40,35 +40,35 @@
             .next()
     }
 
-    /// A parameter that is a number; 0 when there is none.
+    /// Returns a numeric query parameter, or 0 if it is absent or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.parameter(name)
             .and_then(|text| text.parse().ok())
             .unwrap_or(0)
     }
 
-    /// The text of a header; empty when there is none.
+    /// Returns the value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.map_or("", |(_, value)| value.as_str())
     }
 }
 
-/// What a stand-in does with a request.
-pub enum Told {
-    /// A whole answer.
+/// How a stand-in responds to a request.
+pub enum ServerResponse {
+    /// Sends a complete response.
     Reply(Reply),
-    /// A broken connection.
-    Cut,
+    /// Closes the connection in the middle of the response.
+    Disconnect,
 }
 
-impl From<Reply> for Told {
+impl From<Reply> for ServerResponse {
     fn from(reply: Reply) -> Self {
-        Told::Reply(reply)
+        ServerResponse::Reply(reply)
     }
 }
 
-/// Opens a port, which stays open until the process ends. Returns its base address.
+/// Opens a server that runs until the process ends. Returns its base URL.
 ///
 /// # Errors
 ///
@@ -76,16 +76,16 @@
 pub fn open(
     address: SocketAddr,
     connections: usize,
-    handler: impl Fn(Asked) -> Told + Send + Sync + 'static,
+    handler: impl Fn(ServerRequest) -> ServerResponse + Send + Sync + 'static,
 ) -> io::Result<String> {
     let handler = Arc::new(handler);
     let bounds = Bounds {
         connections,
-        io_timeout: STEP,
+        io_timeout: IO_TIMEOUT,
     };
-    let run = move |request: &mut Request<Body>| match read(request) {
-        Ok(asked) => respond(handler(asked)),
-        Err(_) => respond(Told::Cut),
+    let run = move |request: &mut Request<Body>| match read_request(request) {
+        Ok(request) => respond(handler(request)),
+        Err(_) => respond(ServerResponse::Disconnect),
     };
     Ok(format!(
         "http://{}",
@@ -93,12 +93,12 @@
     ))
 }
 
-fn read(request: &mut Request<Body>) -> io::Result<Asked> {
+fn read_request(request: &mut Request<Body>) -> io::Result<ServerRequest> {
     let mut body = Vec::new();
     request.body_mut().read_to_end(&mut body)?;
     let text = |value: &oxhttp::model::HeaderValue| value.to_str().unwrap_or_default().to_owned();
     let headers = request.headers().iter();
-    Ok(Asked {
+    Ok(ServerRequest {
         method: request.method().to_string(),
         path: request.uri().path().to_owned(),
         query: request.uri().query().unwrap_or_default().to_owned(),
@@ -109,8 +109,8 @@
     })
 }
 
-fn respond(told: Told) -> Response<Body> {
-    let Told::Reply(reply) = told else {
+fn respond(response: ServerResponse) -> Response<Body> {
+    let ServerResponse::Reply(reply) = response else {
         return Response::new(public_server::truncated_body(Vec::new()));
     };
     let mut builder = Response::builder()
@@ -122,7 +122,7 @@
     builder.body(Body::from(reply.body)).unwrap_or_default()
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn reply(status: u16, body: &Value) -> Reply {
     Reply::bytes(status, "application/json", body.to_string().into_bytes())
 }
--- a/components/standin/src/kv.rs
+++ b/components/standin/src/kv.rs
@@ -1,9 +1,9 @@
-//! A stand-in of the users' metadata store: revisions, conditions, leases and watches.
+//! Stand-in for the users' metadata store: revisions, conditional writes, leases and watches.
 //!
-//! It keeps to the protocol of their platform, whose names therefore stand here too.
+//! It speaks the protocol of the users' platform, so the names on the wire are that platform's.
 
 use {
-    crate::port::{self, Asked, Told, reply},
+    crate::http_server::{self, ServerRequest, ServerResponse, reply},
     base64::{Engine, engine::general_purpose::STANDARD},
     kernel::{Reply, sync::lock},
     serde_json::{Value, json},
@@ -16,43 +16,45 @@
     },
 };
 
-/// Connections that the port takes.
-const CONNECTIONS: usize = 1_024;
-/// Items of one page; the users' store gives about 500.
-const PAGE: usize = 50;
-/// The most entries of a change.
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 1_024;
+/// Items per page; the users' store returns about 500.
+const PAGE_ITEMS: usize = 50;
+/// Maximum number of entries in a transaction.
 const MAX_ENTRIES: usize = 32;
-/// The longest pause between two looks at a watch: leases end without a change to wake it.
-const LOOK: Duration = Duration::from_millis(50);
-/// Keys that only the operators and the workers write.
+/// Longest pause between two checks of a watch. A lease can expire without a write that wakes the
+/// watch.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Key prefixes that only operators and workers may write.
 const RESERVED: [&str; 2] = ["op/", "servers/"];
 
-/// What goes wrong with the store.
+/// Faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every call is answered 503 and does nothing.
+    /// Answers every call with 503 and does nothing.
     pub busy: bool,
-    /// Every connection is cut before anything is done.
+    /// Closes every connection before the call has any effect.
     pub reset: bool,
-    /// The answers of this many changes are lost after they were made.
+    /// Number of further transactions that are applied but whose responses are lost.
     pub lost: u32,
-    /// This many changes are not answered, and made only by [`Kv::carry_out`].
-    pub late: u32,
-    /// Watches hear nothing: each waits its time and brings no change.
-    pub deaf: bool,
-    /// Once as many answers were lost or late, the store is busy.
+    /// Number of further transactions that get no response and are applied only by
+    /// [`Kv::apply_deferred`].
+    pub deferred: u32,
+    /// Watches deliver no events: each one waits for its full time.
+    pub watches_silent: bool,
+    /// Sets `busy` once all `lost` and `deferred` transactions have come.
     pub then_busy: bool,
 }
 
 impl Faults {
-    /// Takes one off a count of faults to come. True when there was one.
-    fn strike(&mut self, count: fn(&mut Faults) -> &mut u32) -> bool {
+    /// Decrements a counter of pending faults. Returns true if it was above zero.
+    fn consume(&mut self, count: fn(&mut Faults) -> &mut u32) -> bool {
         let left = count(self);
         if *left == 0 {
             return false;
         }
         *left -= 1;
-        self.busy |= self.then_busy && self.lost == 0 && self.late == 0;
+        self.busy |= self.then_busy && self.lost == 0 && self.deferred == 0;
         true
     }
 }
@@ -61,16 +63,16 @@
 struct Item {
     value: String,
     revision: u64,
-    /// The revision at which the key came to be.
-    made: u64,
-    /// 0 for a key that stays.
+    /// Revision at which the key was created.
+    created: u64,
+    /// Lease of the key; 0 for none.
     lease: u64,
 }
 
 struct Change {
     revision: u64,
     key: String,
-    /// `None` for a key that was removed.
+    /// `None` for a removed key.
     item: Option<Item>,
 }
 
@@ -78,20 +80,20 @@
 struct Core {
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// When each lease ends, and for how long it is renewed.
+    /// Expiry time and duration of each lease.
     leases: BTreeMap<u64, (Instant, Duration)>,
     history: VecDeque<Change>,
-    /// The history up to this revision is gone.
-    forgotten: u64,
-    /// Changes that wait for [`Kv::carry_out`].
-    held: Vec<Value>,
+    /// The history up to this revision has been compacted.
+    compacted_to: u64,
+    /// Transactions waiting for [`Kv::apply_deferred`].
+    deferred: Vec<Value>,
     calls: u64,
-    /// The keys that some change wanted to write, whatever came of it.
-    tried: HashSet<String>,
+    /// Keys that any transaction tried to write, whatever its outcome.
+    attempted: HashSet<String>,
     faults: Faults,
 }
 
-/// The store.
+/// The metadata store.
 #[derive(Clone, Default)]
 pub struct Kv {
     core: Arc<Mutex<Core>>,
@@ -99,32 +101,32 @@
 }
 
 impl Kv {
-    /// Opens the port and returns its base address.
+    /// Opens the HTTP server and returns its base URL.
     ///
     /// # Errors
     ///
     /// The address cannot be bound.
     pub fn open(&self, address: SocketAddr) -> io::Result<String> {
         let kv = self.clone();
-        port::open(address, CONNECTIONS, move |asked| kv.handle(&asked))
+        http_server::open(address, MAX_CONNECTIONS, move |request| kv.handle(&request))
     }
 
-    /// Sets what goes wrong.
-    pub fn fail(&self, faults: Faults) {
+    /// Replaces the injected faults.
+    pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
-    /// The calls that came in so far.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> u64 {
         lock(&self.core).calls
     }
 
-    /// True when a change that would write this key has arrived, whatever came of it.
-    pub fn was_tried(&self, key: &str) -> bool {
-        lock(&self.core).tried.contains(key)
+    /// True if a transaction that would write this key has been received, whatever its outcome.
+    pub fn was_write_attempted(&self, key: &str) -> bool {
+        lock(&self.core).attempted.contains(key)
     }
 
-    /// Writes a key as the operators or a worker would.
+    /// Writes a key as an operator or a worker would.
     pub fn put(&self, key: &str, value: &str) {
         let mut core = lock(&self.core);
         core.write(key, Some((value.to_owned(), 0)));
@@ -138,32 +140,32 @@
         self.changed.notify_all();
     }
 
-    /// The value of a key, as base64 text.
+    /// Returns the value of a key as base64 text.
     pub fn value(&self, key: &str) -> Option<String> {
         let core = lock(&self.core);
         core.items.get(key).map(|item| item.value.clone())
     }
 
-    /// The keys that start with the prefix.
+    /// Returns the keys that start with the prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let core = lock(&self.core);
         let all = core.items.keys();
         all.filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Forgets the history of changes.
+    /// Discards the change history.
     pub fn compact(&self) {
         let mut core = lock(&self.core);
-        core.forgotten = core.revision;
+        core.compacted_to = core.revision;
         core.history.clear();
     }
 
-    /// Makes the changes that were held up, each if its conditions still hold. Returns how many
+    /// Applies the deferred transactions, each only if its conditions still hold. Returns how many
     /// took effect.
-    pub fn carry_out(&self) -> usize {
+    pub fn apply_deferred(&self) -> usize {
         let mut core = lock(&self.core);
-        let held = std::mem::take(&mut core.held);
-        let done = held
+        let deferred = std::mem::take(&mut core.deferred);
+        let done = deferred
             .iter()
             .filter(|change| core.apply(change).status == 200);
         let done = done.count();
@@ -171,110 +173,110 @@
         done
     }
 
-    fn handle(&self, asked: &Asked) -> Told {
+    fn handle(&self, request: &ServerRequest) -> ServerResponse {
         let faults = {
             let mut core = lock(&self.core);
             core.calls += 1;
-            core.note(asked);
-            core.lapse();
+            core.record_attempts(request);
+            core.expire_leases();
             core.faults
         };
         if faults.reset {
-            return Told::Cut;
+            return ServerResponse::Disconnect;
         }
         if faults.busy {
             return reply(503, &json!({})).into();
         }
-        match (asked.method.as_str(), asked.path.as_str()) {
-            ("GET", "/kv-key") => self.get(asked).into(),
-            ("GET", "/kv-range") => self.range(asked).into(),
-            ("GET", "/kv-watch") => self.watch(asked).into(),
-            ("POST", "/kv-txn") => self.change(asked),
-            ("POST", "/kv-lease") => self.grant(asked).into(),
-            ("POST", path) if path.starts_with("/kv-keep/") => self.keep(path).into(),
+        match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/kv-key") => self.get(request).into(),
+            ("GET", "/kv-range") => self.range(request).into(),
+            ("GET", "/kv-watch") => self.watch(request).into(),
+            ("POST", "/kv-txn") => self.transact(request),
+            ("POST", "/kv-lease") => self.grant(request).into(),
+            ("POST", path) if path.starts_with("/kv-keep/") => self.renew(path).into(),
             _ => reply(404, &json!({})).into(),
         }
     }
 
-    fn get(&self, asked: &Asked) -> Reply {
+    fn get(&self, request: &ServerRequest) -> Reply {
         let core = lock(&self.core);
-        let key = asked.parameter("privateKey").unwrap_or_default();
+        let key = request.parameter("privateKey").unwrap_or_default();
         match core.items.get(key) {
             Some(item) => {
-                let mut shown = show(key, item);
-                shown["at"] = core.revision.into();
-                reply(200, &shown)
+                let mut found = item_json(key, item);
+                found["at"] = core.revision.into();
+                reply(200, &found)
             }
             None => reply(404, &json!({ "at": core.revision })),
         }
     }
 
-    fn range(&self, asked: &Asked) -> Reply {
+    fn range(&self, request: &ServerRequest) -> Reply {
         let core = lock(&self.core);
-        let prefix = asked.parameter("pathPrefix").unwrap_or_default();
-        let after = asked.parameter("after").unwrap_or_default();
+        let prefix = request.parameter("pathPrefix").unwrap_or_default();
+        let after = request.parameter("after").unwrap_or_default();
         let found = core.items.iter();
         let found = found.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let mut items: Vec<Value> = found
-            .take(PAGE + 1)
-            .map(|(key, item)| show(key, item))
+            .take(PAGE_ITEMS + 1)
+            .map(|(key, item)| item_json(key, item))
             .collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let more = items.len() > PAGE_ITEMS;
+        items.truncate(PAGE_ITEMS);
         reply(
             200,
             &json!({ "items": items, "more": more, "at": core.revision }),
         )
     }
 
-    fn watch(&self, asked: &Asked) -> Reply {
-        let prefix = asked.parameter("pathPrefix").unwrap_or_default();
-        let after = asked.number("after");
-        let until = Instant::now() + Duration::from_millis(asked.number("waitMs"));
+    fn watch(&self, request: &ServerRequest) -> Reply {
+        let prefix = request.parameter("pathPrefix").unwrap_or_default();
+        let after = request.number("after");
+        let until = Instant::now() + Duration::from_millis(request.number("waitMs"));
         let mut core = lock(&self.core);
         loop {
-            core.lapse();
-            if after < core.forgotten {
+            core.expire_leases();
+            if after < core.compacted_to {
                 return reply(410, &json!({}));
             }
-            let events = match core.faults.deaf {
+            let events = match core.faults.watches_silent {
                 true => Vec::new(),
                 false => core.events(prefix, after),
             };
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() || core.faults.busy {
-                let at = if core.faults.deaf {
+                let at = if core.faults.watches_silent {
                     after
                 } else {
                     core.revision
                 };
                 return reply(200, &json!({ "events": events, "at": at }));
             }
-            let step = left.min(LOOK);
+            let step = left.min(WATCH_INTERVAL);
             let waited = self.changed.wait_timeout(core, step);
             core = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    fn change(&self, asked: &Asked) -> Told {
-        let Ok(change) = serde_json::from_slice::<Value>(&asked.body) else {
+    fn transact(&self, request: &ServerRequest) -> ServerResponse {
+        let Ok(change) = serde_json::from_slice::<Value>(&request.body) else {
             return reply(400, &json!({})).into();
         };
         let mut core = lock(&self.core);
-        if core.faults.strike(|faults| &mut faults.late) {
-            core.held.push(change);
-            return Told::Cut;
+        if core.faults.consume(|faults| &mut faults.deferred) {
+            core.deferred.push(change);
+            return ServerResponse::Disconnect;
         }
         let answer = core.apply(&change);
         self.changed.notify_all();
-        if core.faults.strike(|faults| &mut faults.lost) {
-            return Told::Cut;
+        if core.faults.consume(|faults| &mut faults.lost) {
+            return ServerResponse::Disconnect;
         }
         answer.into()
     }
 
-    fn grant(&self, asked: &Asked) -> Reply {
-        let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+    fn grant(&self, request: &ServerRequest) -> Reply {
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(1_000));
         let mut core = lock(&self.core);
         core.revision += 1;
@@ -286,7 +288,7 @@
         )
     }
 
-    fn keep(&self, path: &str) -> Reply {
+    fn renew(&self, path: &str) -> Reply {
         let lease = path.rsplit('/').next().and_then(|text| text.parse().ok());
         let mut core = lock(&self.core);
         let Some((until, ttl)) = lease.and_then(|lease: u64| core.leases.get_mut(&lease)) else {
@@ -298,28 +300,28 @@
 }
 
 impl Core {
-    /// Notes which keys a change wants to write.
-    fn note(&mut self, asked: &Asked) {
-        if asked.path != "/kv-txn" {
+    /// Records the keys that a transaction would write.
+    fn record_attempts(&mut self, request: &ServerRequest) {
+        if request.path != "/kv-txn" {
             return;
         }
-        let change: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+        let change: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         for entry in change["put"].as_array().into_iter().flatten() {
             let key = entry["privateKey"].as_str().unwrap_or_default();
-            self.tried.insert(key.to_owned());
+            self.attempted.insert(key.to_owned());
         }
     }
 
-    /// Ends leases whose time is over, with their keys.
-    fn lapse(&mut self) {
+    /// Removes expired leases and their keys.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (until, _))| *until <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys = self.items.iter();
             let keys = keys.filter(|(_, item)| item.lease == lease);
@@ -333,11 +335,11 @@
     fn write(&mut self, key: &str, value: Option<(String, u64)>) {
         self.revision += 1;
         let revision = self.revision;
-        let made = self.items.get(key).map_or(revision, |item| item.made);
+        let created = self.items.get(key).map_or(revision, |item| item.created);
         let item = value.map(|(value, lease)| Item {
             value,
             revision,
-            made,
+            created,
             lease,
         });
         match &item {
@@ -356,7 +358,7 @@
         let new = self.history.iter();
         let new = new.filter(|change| change.revision > after && change.key.starts_with(prefix));
         new.map(|change| match &change.item {
-            Some(item) => show(&change.key, item),
+            Some(item) => item_json(&change.key, item),
             None => json!({ "privateKey": change.key, "revision": change.revision, "gone": true }),
         })
         .collect()
@@ -381,7 +383,8 @@
         };
         if !expect.iter().all(holds) {
             let keys = expect.iter().map(key_of);
-            let found = keys.filter_map(|key| self.items.get(&key).map(|item| show(&key, item)));
+            let found =
+                keys.filter_map(|key| self.items.get(&key).map(|item| item_json(&key, item)));
             let items: Vec<Value> = found.collect();
             return reply(412, &json!({ "items": items }));
         }
@@ -398,12 +401,12 @@
         for key in &remove {
             self.write(&text(key), None);
         }
-        self.unify(put.len() + remove.len());
+        self.assign_one_revision(put.len() + remove.len());
         reply(200, &json!({ "revision": self.revision }))
     }
 
-    /// All entries of one change bear one revision.
-    fn unify(&mut self, entries: usize) {
+    /// Gives all entries of one transaction the same revision.
+    fn assign_one_revision(&mut self, entries: usize) {
         let revision = self.revision;
         for change in self.history.iter_mut().rev().take(entries) {
             change.revision = revision;
@@ -417,22 +420,22 @@
     }
 }
 
-fn show(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({
         "privateKey": key,
         "value": item.value,
         "revision": item.revision,
-        "made": item.made,
+        "made": item.created,
         "lease": item.lease,
     })
 }
 
-/// The text of a value as the store keeps it.
+/// Encodes a value as stored: base64 of its JSON text.
 pub fn encode(value: &Value) -> String {
     STANDARD.encode(value.to_string())
 }
 
-/// The bytes of a value that the store keeps; none where it is not such a text.
+/// Decodes a stored value to its bytes; empty if the text is not valid base64.
 pub fn decode(text: &str) -> Vec<u8> {
     STANDARD.decode(text).unwrap_or_default()
 }
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The rules of one worker: its ledger, its capacity, its lease, its epochs.
+//! State of one simulated worker: task ledger, capacity, lease and epochs.
 
 use {
     crate::{
+        auditor::{Auditor, End},
         clock::Clock,
-        witness::{End, Witness},
     },
     infra::{
         Size,
@@ -14,24 +14,24 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The work between two checkpoints, in milliseconds.
-const CHECKPOINT_EVERY: u64 = 1000;
+/// Work between two checkpoints, in milliseconds.
+const CHECKPOINT_INTERVAL: u64 = 1000;
 
-/// The time between two samples of usage, in milliseconds.
-const USAGE_EVERY: u64 = 5000;
+/// Interval between usage samples, in milliseconds.
+const USAGE_INTERVAL: u64 = 5000;
 
-/// The age of a sample of usage, in milliseconds.
+/// Age of a usage sample, in milliseconds.
 const USAGE_LAG: u64 = 3000;
 
 /// Faults of a worker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every task that starts fails at once.
+    /// Every task fails as soon as it starts.
     pub failing: bool,
-    /// Exchanges break off before any effect.
+    /// Exchanges are disconnected before they have any effect.
     pub cut: bool,
-    /// The replies of this many exchanges are lost after their effect.
+    /// Number of further exchanges that take effect but whose replies are lost.
     pub lost: u32,
 }
 
@@ -39,41 +39,41 @@
     record: Record,
     version: u64,
     length: u64,
-    /// Work done, in milliseconds at full speed.
+    /// Completed work, in milliseconds at full speed.
     done: u64,
     percent: u8,
-    /// True once a report told of the end.
-    told: bool,
+    /// True once a report has contained the end of the task.
+    reported: bool,
 }
 
-/// One worker.
+/// A simulated worker.
 pub struct Ledger {
     name: Arc<str>,
     boot: u64,
     size: Size,
     clock: Clock,
-    witness: Witness,
-    /// The newest epoch and the last order of it, by cell.
+    auditor: Auditor,
+    /// The newest epoch and its last order number, by cell.
     epochs: BTreeMap<Arc<str>, (u64, u64)>,
     lease: u64,
     version: u64,
     entries: BTreeMap<Task, Entry>,
     advanced: u64,
     sampled: u64,
-    /// Faults that are switched on.
+    /// Active faults.
     pub faults: Faults,
 }
 
 impl Ledger {
-    /// A worker that runs nothing yet.
-    pub fn new(name: Arc<str>, boot: u64, size: Size, clock: Clock, witness: Witness) -> Self {
+    /// Creates a worker without tasks.
+    pub fn new(name: Arc<str>, boot: u64, size: Size, clock: Clock, auditor: Auditor) -> Self {
         let advanced = clock.now();
         Ledger {
             name,
             boot,
             size,
             clock,
-            witness,
+            auditor,
             epochs: BTreeMap::new(),
             lease: 0,
             version: 0,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What the running tasks are committed.
+    /// Returns the capacity allocated to running tasks.
     pub fn committed(&self) -> Size {
         let mut sum = Size::default();
         for entry in self.entries.values() {
@@ -95,7 +95,7 @@
         sum
     }
 
-    /// The number of running tasks.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.entries
             .values()
@@ -103,40 +103,46 @@
             .count()
     }
 
-    /// Lets the time pass: work goes on, tasks finish, the lease may end.
+    /// Advances to the current time: tasks progress and finish, and the lease may expire.
     pub fn advance(&mut self) {
         let now = self.clock.now();
-        let passed = now.saturating_sub(self.advanced);
+        let elapsed = now.saturating_sub(self.advanced);
         self.advanced = now;
-        let lapsed = now > self.lease;
+        let expired = now > self.lease;
         for entry in self.entries.values_mut() {
             if entry.record.phase != Phase::Running {
                 continue;
             }
-            entry.done += passed * u64::from(entry.percent) / 100;
-            entry.record.checkpoint = entry.done / CHECKPOINT_EVERY * CHECKPOINT_EVERY;
+            entry.done += elapsed * u64::from(entry.percent) / 100;
+            entry.record.checkpoint = entry.done / CHECKPOINT_INTERVAL * CHECKPOINT_INTERVAL;
             let phase = match entry.length {
                 length if length > 0 && entry.done >= length => Phase::Finished,
-                _ if lapsed => Phase::Stopped,
+                _ if expired => Phase::Stopped,
                 _ => continue,
             };
             self.version += 1;
             entry.version = self.version;
             entry.record.phase = phase;
             let finished = phase == Phase::Finished;
-            let end = if finished { End::Finished } else { End::Lapsed };
-            self.witness.end(&entry.record.task, end);
+            let end = if finished {
+                End::Finished
+            } else {
+                End::LeaseExpired
+            };
+            self.auditor.record_end(&entry.record.task, end);
         }
     }
 
-    /// The box restarts: nothing runs any longer and the ledger is empty.
+    /// Restarts the box: all tasks stop and the ledger is cleared.
     pub fn reboot(&mut self) {
         self.advance();
         for entry in self.entries.values() {
             match entry.record.phase {
-                Phase::Running => self.witness.end(&entry.record.task, End::Stopped),
-                // Nobody knows that it finished: its work is lost with the box.
-                Phase::Finished if !entry.told => self.witness.lost(&entry.record.task),
+                Phase::Running => self.auditor.record_end(&entry.record.task, End::Stopped),
+                // The finish was never reported, so the result is lost with the box.
+                Phase::Finished if !entry.reported => {
+                    self.auditor.discard_finish(&entry.record.task)
+                }
                 _ => {}
             }
         }
@@ -146,31 +152,31 @@
         self.version = 0;
     }
 
-    /// Carries an order out.
+    /// Carries out an order.
     ///
     /// # Errors
     ///
-    /// A newer epoch was seen, or the order was passed.
+    /// A newer epoch has been seen, or the order has been superseded by a later one.
     pub fn exchange(&mut self, order: &Order) -> Result<Report, Failure> {
         self.advance();
         let seen = self.epochs.entry(order.cell.clone()).or_default();
         if order.epoch < seen.0 {
             return Err(worker::fenced());
         }
-        let this = (order.epoch, order.number);
-        if this <= *seen {
+        let current = (order.epoch, order.number);
+        if current <= *seen {
             return Err(worker::stale());
         }
-        *seen = this;
+        *seen = current;
         if let Some(extension) = order.extend {
             let end = extension.from.saturating_add(extension.length);
-            // An extension of another life of the box counts for nothing.
+            // Lease extensions for another incarnation of the box are ignored.
             if order.boot == self.boot {
                 self.lease = self.lease.max(end);
             }
         }
         for (task, attempt) in &order.forget {
-            self.forget(task, *attempt);
+            self.remove_ended(task, *attempt);
         }
         for stop in &order.stops {
             self.stop(stop);
@@ -201,7 +207,7 @@
             0
         };
         let clock = self.clock.now();
-        let sampling = clock >= self.sampled + USAGE_EVERY;
+        let sampling = clock >= self.sampled + USAGE_INTERVAL;
         if sampling {
             self.sampled = clock;
         }
@@ -209,7 +215,7 @@
         let mut usage = Vec::new();
         for entry in self.entries.values_mut() {
             if entry.version > seen {
-                entry.told = entry.record.phase != Phase::Running;
+                entry.reported = entry.record.phase != Phase::Running;
                 records.push(entry.record.clone());
             }
             if sampling && entry.record.phase == Phase::Running {
@@ -227,7 +233,7 @@
         }
     }
 
-    fn forget(&mut self, task: &Task, attempt: u64) {
+    fn remove_ended(&mut self, task: &Task, attempt: u64) {
         let ended =
             |entry: &Entry| entry.record.attempt == attempt && entry.record.phase != Phase::Running;
         if self.entries.get(task).is_some_and(ended) {
@@ -238,7 +244,7 @@
     fn start(&mut self, start: &Start) -> Result<(), &'static str> {
         if let Some(entry) = self.entries.get(&start.task) {
             if entry.record.attempt >= start.attempt {
-                // The order came again, or late.
+                // The order was repeated or arrived late.
                 return Ok(());
             }
             if entry.record.phase == Phase::Running {
@@ -266,9 +272,9 @@
             phase,
             checkpoint: start.resume,
         };
-        self.witness.start(&start.task, &self.name);
+        self.auditor.record_start(&start.task, &self.name);
         if phase == Phase::Failed {
-            self.witness.end(&start.task, End::Failed);
+            self.auditor.record_end(&start.task, End::Failed);
         }
         let (version, length) = (self.version, start.length);
         let entry = Entry {
@@ -277,11 +283,11 @@
             length,
             done: start.resume,
             percent: 100,
-            told: false,
+            reported: false,
         };
         self.entries.insert(start.task.clone(), entry);
         if !self.committed().fits(self.size) {
-            self.witness.overfull();
+            self.auditor.record_overcommit();
         }
         Ok(())
     }
@@ -301,11 +307,11 @@
         entry.record.phase = Phase::Stopped;
         let evicted = stop.manner == StopMode::Checkpoint;
         let end = if evicted { End::Evicted } else { End::Stopped };
-        self.witness.end(&stop.task, end);
+        self.auditor.record_end(&stop.task, end);
     }
 }
 
-/// A sample of what a task uses: about four fifths of what is committed.
+/// Returns a usage sample of a task, about four fifths of its allocation.
 fn sample(record: &Record) -> Usage {
     let part = |amount: u32| amount / 5 * 4;
     Usage {
@@ -320,9 +326,9 @@
 mod tests {
     use {super::*, infra::worker::Extension, test_case::test_case};
 
-    fn ledger(clock: &Clock, witness: &Witness) -> Ledger {
+    fn ledger(clock: &Clock, auditor: &Auditor) -> Ledger {
         let size = Size::new(4000, 4000, 0);
-        Ledger::new(Arc::from("w1"), 7, size, clock.clone(), witness.clone())
+        Ledger::new(Arc::from("w1"), 7, size, clock.clone(), auditor.clone())
     }
 
     fn task(index: u32) -> Task {
@@ -363,52 +369,55 @@
 
     #[test]
     fn exchange_runs_and_finishes() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 1), vec![start(0, 1000, 500)]))
             .unwrap();
         clock.advance(501);
         let report = ledger.exchange(&order((1, 2), vec![])).unwrap();
         assert_eq!(report.records[0].phase, Phase::Finished);
-        assert_eq!(witness.totals().finished, 1);
+        assert_eq!(auditor.totals().finished, 1);
     }
 
     #[test]
     fn exchange_refuses_old_epoch() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         assert!(ledger.exchange(&order((2, 1), vec![])).is_ok());
         let late = ledger.exchange(&order((1, 2), vec![start(0, 1000, 500)]));
         assert_eq!(late, Err(worker::fenced()));
-        let passed = ledger.exchange(&order((2, 1), vec![start(0, 1000, 500)]));
-        assert_eq!(passed, Err(worker::stale()));
+        let stale = ledger.exchange(&order((2, 1), vec![start(0, 1000, 500)]));
+        assert_eq!(stale, Err(worker::stale()));
         assert_eq!(ledger.running(), 0);
     }
 
-    #[test_case(vec![start(0, 1000, 0), start(0, 1000, 0)], 1, 0; "a start that comes twice")]
-    #[test_case(vec![start(0, 3000, 0), start(1, 3000, 0)], 1, 1; "no room for the second")]
+    #[test_case(vec![start(0, 1000, 0), start(0, 1000, 0)], 1, 0; "a repeated start")]
+    #[test_case(vec![start(0, 3000, 0), start(1, 3000, 0)], 1, 1; "capacity exceeded by the second")]
     fn exchange_starts(starts: Vec<Start>, running: usize, refused: usize) {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         let report = ledger.exchange(&order((1, 4), starts)).unwrap();
         assert_eq!(
             (ledger.running(), report.refusals.len()),
             (running, refused)
         );
-        assert_eq!(witness.totals().overfull + witness.totals().doubles, 0);
+        assert_eq!(
+            auditor.totals().overcommits + auditor.totals().concurrent_runs,
+            0
+        );
     }
 
     #[test]
     fn advance_ends_lease() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 5), vec![start(0, 1000, 0)]))
             .unwrap();
         clock.advance(10_001);
         ledger.advance();
-        assert_eq!((ledger.running(), witness.totals().lapses), (0, 1));
+        assert_eq!((ledger.running(), auditor.totals().lease_expiries), (0, 1));
         let report = ledger
             .exchange(&order((1, 6), vec![start(1, 1000, 0)]))
             .unwrap();
@@ -417,8 +426,8 @@
 
     #[test]
     fn stop_writes_checkpoint() {
-        let (clock, witness) = (Clock::manual(), Witness::new());
-        let mut ledger = ledger(&clock, &witness);
+        let (clock, auditor) = (Clock::manual(), Auditor::new());
+        let mut ledger = ledger(&clock, &auditor);
         ledger
             .exchange(&order((1, 7), vec![start(0, 1000, 5000)]))
             .unwrap();
