--- a/programs/soak/src/callers.rs
+++ b/programs/soak/src/callers.rs
@@ -1,8 +1,8 @@
-//! Callers: they hand jobs in, ask for states, cancel, and ask for queues.
+//! Callers: they submit jobs, query states and queues, and cancel jobs.
 
 use {
     crate::{
-        history::{Asked, Job, NEVER, Said},
+        history::{Exchange, Job, NEVER, RequestKind},
         versions::{ALWAYS, KEPT},
         world::{World, send},
     },
@@ -12,228 +12,231 @@
     std::{thread, time::Duration},
 };
 
-/// The pause between two things that a caller does, in milliseconds.
+/// The pause between two actions of a caller, in milliseconds.
 const PAUSE: std::ops::Range<u64> = 30..200;
-/// The pause before another try.
-const AGAIN: Duration = Duration::from_millis(250);
-/// The time of the longest tasks that end, in milliseconds: some outlast a lease of their worker (4.5 s).
-const LONG: std::ops::Range<u64> = 2_000..8_000;
-/// One job in so many of one caller crashes its workers.
-const ODD_ONE_IN: u64 = 12;
-/// Lasting jobs that a caller keeps.
-const LASTING: usize = 2;
-/// The time of a task that lasts, in milliseconds: longer than any run.
-const LASTS: u64 = 3_600_000;
+/// The pause before a retry.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Duration of the longest tasks that end by themselves, in milliseconds: some outlast a lease of
+/// their worker (4.5 s).
+const LONG_TASK: std::ops::Range<u64> = 2_000..8_000;
+/// One job in this many of the first caller crashes its workers.
+const CRASHING_ONE_IN: u64 = 12;
+/// Maximum number of long-running jobs per caller.
+const MAX_LONG_RUNNING: usize = 2;
+/// Duration of a long-running task, in milliseconds: longer than any run.
+const LONG_RUNNING_MS: u64 = 3_600_000;
 
-/// One caller, with connections that it keeps.
+/// One caller with persistent connections.
 pub struct Caller<'a> {
     world: &'a World,
     client: Client,
     rng: Rng,
-    /// Decides on jobs that crash workers; what the other does stays as it was when a seed was kept.
-    odd: Rng,
+    /// Draws the jobs that crash workers. A generator of its own keeps the other actions of a known
+    /// seed unchanged.
+    crash_rng: Rng,
     number: u64,
     count: u64,
-    /// The jobs that it handed in, the last ones last.
-    own: Vec<String>,
-    lasting: Vec<String>,
+    /// The submitted jobs, latest last.
+    submitted: Vec<String>,
+    long_running: Vec<String>,
 }
 
 impl<'a> Caller<'a> {
-    /// A caller; the seed decides what it does.
+    /// Creates a caller whose actions derive from the seed.
     pub fn new(world: &'a World, seed: u64, number: u64) -> Self {
         Caller {
             world,
             client: Client::new(None),
             rng: Rng::with_seed(seed ^ (number + 1) << 40),
-            odd: Rng::with_seed(seed ^ (number + 1) << 20),
+            crash_rng: Rng::with_seed(seed ^ (number + 1) << 20),
             number,
             count: 0,
-            own: Vec::new(),
-            lasting: Vec::new(),
+            submitted: Vec::new(),
+            long_running: Vec::new(),
         }
     }
 
-    /// Does what callers do until the signal says stop.
+    /// Performs random actions until the signal is set.
     pub fn run(&mut self, until: &Signal) {
         while !until.is_stopped() {
             match self.rng.u64(0..100) {
-                0..35 => self.hand_in(until),
-                35..60 => self.look(),
+                0..35 => self.submit(until),
+                35..60 => self.query_state(),
                 60..72 => self.cancel(until),
-                _ => self.ask_queue(),
+                _ => self.query_queue(),
             }
             thread::sleep(Duration::from_millis(self.rng.u64(PAUSE)));
         }
     }
 
-    /// A box whose process is there; any, where none is.
+    /// Draws a box whose process is running, or any box if none is.
     fn target(&mut self) -> usize {
-        let there = |number: &usize| lock(&self.world.boxes[*number]).is_there();
-        let all: Vec<usize> = (0..self.world.boxes.len()).filter(there).collect();
+        let is_running = |number: &usize| lock(&self.world.boxes[*number]).is_running();
+        let all: Vec<usize> = (0..self.world.boxes.len()).filter(is_running).collect();
         let any = self.rng.usize(0..self.world.boxes.len());
         self.rng.choice(all).unwrap_or(any)
     }
 
-    /// Hands a job in. Without an answer, or an unsure one, it is sent again until the answer is sure;
-    /// when it is refused, some callers give up.
-    fn hand_in(&mut self, until: &Signal) {
-        let (job, body) = self.draw_any();
+    /// Submits a job. Retries until the outcome is known or the signal is set; after a refusal,
+    /// some submissions are abandoned.
+    fn submit(&mut self, until: &Signal) {
+        let (job, body) = self.draw_job();
         let id = job.id.clone();
-        let gives_up = self.rng.bool();
+        let abandons_on_refusal = self.rng.bool();
         lock(&self.world.jobs).insert(id.clone(), job);
         loop {
             let to = self.target();
-            let status = ask(
+            let status = send_request(
                 self.world,
                 &self.client,
                 to,
                 &id,
-                Asked::Submit,
+                RequestKind::Submit,
                 Some(&body),
             );
             let is_refused = matches!(status, 429 | 503);
-            if status == 200 || is_refused && gives_up || until.is_stopped() {
+            if status == 200 || is_refused && abandons_on_refusal || until.is_stopped() {
                 break;
             }
-            thread::sleep(AGAIN);
+            thread::sleep(RETRY_PAUSE);
         }
-        self.own.push(id);
+        self.submitted.push(id);
     }
 
-    /// Draws a job, now and then one with a task that crashes its workers.
-    fn draw_any(&mut self) -> (Job, Value) {
-        let (mut job, mut body) = self.draw();
-        let is_odd = self.odd.u64(0..ODD_ONE_IN) == 0 && self.number == 0;
-        if is_odd && !job.lasting {
-            let step = self.odd.usize(0..job.steps.len());
-            let index = self.odd.u32(0..job.steps[step]);
+    /// Draws a job, sometimes with a task that crashes its workers.
+    fn draw_job(&mut self) -> (Job, Value) {
+        let (mut job, mut body) = self.draw_ordinary();
+        let is_crashing = self.crash_rng.u64(0..CRASHING_ONE_IN) == 0 && self.number == 0;
+        if is_crashing && !job.long_running {
+            let step = self.crash_rng.usize(0..job.steps.len());
+            let index = self.crash_rng.u32(0..job.steps[step]);
             body["specification"] = format!("crash={step}.{index}").into();
             job.crashing = Some((step, index));
         }
         (job, body)
     }
 
-    /// Draws a job: quick tasks, longer ones step by step, or lasting ones.
-    fn draw(&mut self) -> (Job, Value) {
+    /// Draws a job with short tasks, longer tasks in dependent steps, or long-running tasks.
+    fn draw_ordinary(&mut self) -> (Job, Value) {
         self.count += 1;
         let id = format!("{:08x}{:08x}", self.number + 1, self.count);
-        let lasting = self.lasting.len() < LASTING && self.rng.u64(0..12) == 0;
+        let long_running = self.long_running.len() < MAX_LONG_RUNNING && self.rng.u64(0..12) == 0;
         let (steps, millis) = match self.rng.u64(0..12) {
-            _ if lasting => (vec![self.rng.u32(1..3)], LASTS),
-            0 => (vec![self.rng.u32(1..3)], self.rng.u64(LONG)),
+            _ if long_running => (vec![self.rng.u32(1..3)], LONG_RUNNING_MS),
+            0 => (vec![self.rng.u32(1..3)], self.rng.u64(LONG_TASK)),
             1..5 => (
                 vec![self.rng.u32(1..5), self.rng.u32(1..4), 1],
                 self.rng.u64(200..1_200),
             ),
             _ => (vec![self.rng.u32(1..4)], self.rng.u64(10..400)),
         };
-        if lasting {
-            self.lasting.push(id.clone());
+        if long_running {
+            self.long_running.push(id.clone());
         }
-        let mut told = Vec::new();
-        for (place, count) in steps.iter().enumerate() {
-            let after: Vec<usize> = place.checked_sub(1).into_iter().collect();
-            told.push(json!({
+        let mut steps_json = Vec::new();
+        for (index, count) in steps.iter().enumerate() {
+            let after: Vec<usize> = index.checked_sub(1).into_iter().collect();
+            steps_json.push(json!({
                 "count": count, "cpu": 1000, "memMb": 10, "estimatedMs": millis,
-                "after": after, "longRunning": lasting,
+                "after": after, "longRunning": long_running,
             }));
         }
-        let body = json!({ "specification": format!("ms={millis}"), "steps": told });
+        let body = json!({ "specification": format!("ms={millis}"), "steps": steps_json });
         let job = Job {
             id,
             steps,
-            lasting,
+            long_running,
             crashing: None,
-            said: Vec::new(),
+            exchanges: Vec::new(),
         };
         (job, body)
     }
 
-    /// Asks for the state of one of its last jobs.
-    fn look(&mut self) {
-        let last = self.own.len().saturating_sub(12);
-        let Some(id) = self.rng.choice(&self.own[last..]).cloned() else {
+    /// Queries the state of a recent job.
+    fn query_state(&mut self) {
+        let last = self.submitted.len().saturating_sub(12);
+        let Some(id) = self.rng.choice(&self.submitted[last..]).cloned() else {
             return;
         };
         let to = self.target();
-        ask(self.world, &self.client, to, &id, Asked::State, None);
+        send_request(self.world, &self.client, to, &id, RequestKind::State, None);
     }
 
-    /// Cancels one of its last jobs, or a lasting one.
+    /// Cancels a recent job or a long-running one.
     fn cancel(&mut self, until: &Signal) {
-        let last = self.own.len().saturating_sub(4);
-        let lasting = self.rng.bool().then(|| self.lasting.pop()).flatten();
-        let any = self.rng.choice(&self.own[last..]).cloned();
-        let Some(id) = lasting.or(any) else {
+        let last = self.submitted.len().saturating_sub(4);
+        let long_running = self.rng.bool().then(|| self.long_running.pop()).flatten();
+        let any = self.rng.choice(&self.submitted[last..]).cloned();
+        let Some(id) = long_running.or(any) else {
             return;
         };
-        self.lasting.retain(|own| *own != id);
+        self.long_running.retain(|submitted| *submitted != id);
         loop {
             let to = self.target();
-            let status = ask(self.world, &self.client, to, &id, Asked::Cancel, None);
+            let status = send_request(self.world, &self.client, to, &id, RequestKind::Cancel, None);
             if matches!(status, 200 | 410) || until.is_stopped() {
                 return;
             }
-            thread::sleep(AGAIN);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 
-    /// Asks a box for a queue that some version near the latest one has.
-    fn ask_queue(&mut self) {
+    /// Queries a queue of a version near the latest one.
+    fn query_queue(&mut self) {
         let latest = self.world.latest();
         let queue = (latest + 1).saturating_sub(self.rng.u64(0..KEPT + 3));
         let to = self.target();
-        self.world.ask_queue(&self.client, to, queue.max(1));
+        self.world.query_queue(&self.client, to, queue.max(1));
     }
 }
 
-/// Makes a request about a job and notes all of it. Returns the status; 0 without an answer.
-pub fn ask(
+/// Sends a request about a job and records it with its response. Returns the status; 0 without a
+/// response.
+pub fn send_request(
     world: &World,
     client: &Client,
     to: usize,
     id: &str,
-    asked: Asked,
+    kind: RequestKind,
     body: Option<&Value>,
 ) -> u16 {
-    let port = lock(&world.boxes[to]).callers;
-    let mut said = Said {
-        asked,
+    let port = lock(&world.boxes[to]).caller_port;
+    let mut exchange = Exchange {
+        kind,
         to,
         sent: world.now(),
-        heard: NEVER,
+        answered: NEVER,
         status: 0,
         state: String::new(),
-        calm: false,
+        fault_free: false,
     };
-    let place = note(world, id, said.clone());
-    let method = match asked {
-        Asked::Submit => "POST",
-        Asked::Cancel => "DELETE",
-        Asked::State => "GET",
+    let index = record_request(world, id, exchange.clone());
+    let method = match kind {
+        RequestKind::Submit => "POST",
+        RequestKind::Cancel => "DELETE",
+        RequestKind::State => "GET",
     };
     let answer = send(client, port, method, &format!("{ALWAYS}{id}"), body);
-    said.heard = world.now();
-    said.calm = world.is_calm(to, said.sent, said.heard);
+    exchange.answered = world.now();
+    exchange.fault_free = world.is_fault_free(to, exchange.sent, exchange.answered);
     if let Some(answer) = answer {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        said.status = answer.status;
-        said.state = body["state"].as_str().unwrap_or_default().to_owned();
+        exchange.status = answer.status;
+        exchange.state = body["state"].as_str().unwrap_or_default().to_owned();
     }
-    let status = said.status;
+    let status = exchange.status;
     if let Some(job) = lock(&world.jobs).get_mut(id) {
-        job.said[place] = said;
+        job.exchanges[index] = exchange;
     }
     status
 }
 
-/// Notes a request that is on its way. Returns its place.
-fn note(world: &World, id: &str, said: Said) -> usize {
+/// Records a request that is in flight. Returns its index.
+fn record_request(world: &World, id: &str, exchange: Exchange) -> usize {
     let mut jobs = lock(&world.jobs);
     let Some(job) = jobs.get_mut(id) else {
         return 0;
     };
-    job.said.push(said);
-    job.said.len() - 1
+    job.exchanges.push(exchange);
+    job.exchanges.len() - 1
 }
--- a/programs/soak/src/cli.rs
+++ b/programs/soak/src/cli.rs
@@ -1,49 +1,51 @@
-//! The arguments.
+//! Command-line arguments.
 
 use {argh::FromArgs, std::path::PathBuf};
 
-/// Runs real boxes against stand-ins of the store and the workers, injects faults that the seed alone
-/// decides, and checks what callers and workers see. Exits 1 on any breach.
+/// Runs real boxes against a simulated store and workers, injects faults derived from the seed
+/// alone, and checks what callers and workers observe. Exits with 1 on any breach.
 #[derive(FromArgs, Clone)]
 pub struct Arguments {
-    /// seed of the plan and of the load (default 1)
+    /// seed of the fault plan and of the load (default 1)
     #[argh(option, default = "1")]
     pub seed: u64,
     /// seconds of load and faults (default 20)
     #[argh(option, default = "20")]
     pub seconds: u64,
-    /// boxes, from 1 on (default 3)
+    /// number of boxes, at least 1 (default 3)
     #[argh(option, default = "3")]
     pub boxes: usize,
-    /// workers, from 1 on (default 6)
+    /// number of workers, at least 1 (default 6)
     #[argh(option, default = "6")]
     pub workers: usize,
-    /// workers that the owner talks to itself (default: 2 for odd seeds, so that others help it; else 70)
+    /// workers that the owner polls directly (default: 2 for odd seeds, so that relays poll the
+    /// others; else 70)
     #[argh(option)]
     pub own_workers: Option<usize>,
-    /// what the links of the boxes carry, in Mbit/s: it is what they are told, and what each connection to the store
-    /// brings (default: no limit)
+    /// bandwidth of the boxes' links in Mbit/s: passed to the boxes as a setting, and the limit of
+    /// each connection to the store (default: no limit)
     #[argh(option)]
     pub link: Option<u32>,
-    /// workers start again under their names, so many milliseconds apart at the most (default: none does)
+    /// workers restart under their former ids, at most this many milliseconds apart (default: no
+    /// such restarts)
     #[argh(option)]
     pub reborn: Option<u64>,
-    /// the program of a box (default: magpie-box beside this program)
+    /// the box executable (default: magpie-box beside this program)
     #[argh(option, long = "box")]
     pub program: Option<PathBuf>,
-    /// directory of the boxes' logs (default: a new one among the temporary files)
+    /// directory for the boxes' logs (default: a new directory below the temporary directory)
     #[argh(option)]
     pub logs: Option<PathBuf>,
     /// keep the logs also without a breach
     #[argh(switch)]
     pub keep: bool,
-    /// judge no bounds of time, and wait long at the end: for a machine of unknown speed
+    /// check no time bounds, and wait longer at the end: for a machine of unknown speed
     #[argh(switch)]
     pub untimed: bool,
-    /// print the plan and end
+    /// print the fault plan and exit
     #[argh(switch)]
     pub plan: bool,
-    /// be the process that ends the boxes when the soak is cut off
+    /// run as the guard process, which kills the boxes when the soak dies
     #[argh(switch, hidden_help)]
     pub guard: bool,
 }
--- a/programs/soak/src/fault.rs
+++ b/programs/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Plays the plan: begins and ends faults, and keeps boxes running that no fault holds down.
+//! Applies the fault plan, and restarts boxes that no fault keeps down.
 
 use {
     crate::{
@@ -15,28 +15,29 @@
     },
 };
 
-/// The pause between two looks at the plan.
-const TICK: Duration = Duration::from_millis(10);
-/// The pause between two looks at whether a box is ready.
-const LOOK: Duration = Duration::from_millis(50);
-/// A look that comes so late shows that the stand-ins themselves stood still: that is trouble for all.
-const STALLED: Duration = Duration::from_millis(400);
+/// The interval between two steps of the plan.
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
+/// The interval between two readiness probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+/// A step delayed by more than this shows that the soak process itself, with the simulated
+/// services, was stalled: that counts as a fault for all boxes.
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// Plays a plan.
+/// Applies a fault plan.
 pub struct Player<'a> {
     world: &'a World,
     plan: &'a [Event],
-    /// Events that have begun and not ended, by place in the plan.
+    /// Active events, by index in the plan.
     active: Vec<usize>,
     next: usize,
-    /// The entry that stays after a crash, by place in the plan.
+    /// The incarnation whose entry stays after a crash, by index in the plan.
     stale: HashMap<usize, String>,
-    /// How often the stand-ins stood still.
+    /// How often the soak process stalled.
     pub stalls: u32,
 }
 
 impl<'a> Player<'a> {
-    /// A player at the start of the plan.
+    /// Creates a player at the start of the plan.
     pub fn new(world: &'a World, plan: &'a [Event]) -> Self {
         Player {
             world,
@@ -48,52 +49,52 @@
         }
     }
 
-    /// Plays until the signal says stop. `begun` is the time 0 of the plan.
+    /// Applies the plan until the signal is set. `started` is the time 0 of the plan.
     ///
     /// # Errors
     ///
     /// A box cannot be started.
-    pub fn run(&mut self, begun: Instant, until: &Signal) -> Result<()> {
+    pub fn run(&mut self, started: Instant, until: &Signal) -> Result<()> {
         let mut last = Instant::now();
         while !until.is_stopped() {
-            self.step(begun.elapsed().as_millis() as u64)?;
-            if last.elapsed() > STALLED {
+            self.step(started.elapsed().as_millis() as u64)?;
+            if last.elapsed() > STALL_THRESHOLD {
                 self.stalls += 1;
                 for number in 0..self.world.boxes.len() {
-                    self.world.note_trouble(Some(number));
+                    self.world.record_fault(Some(number));
                 }
             }
             last = Instant::now();
-            thread::sleep(TICK);
+            thread::sleep(STEP_INTERVAL);
         }
         Ok(())
     }
 
     fn step(&mut self, now: u64) -> Result<()> {
-        let mut begins = Vec::new();
+        let mut started = Vec::new();
         while let Some(event) = self.plan.get(self.next) {
             if event.at > now {
                 break;
             }
-            begins.push(self.next);
+            started.push(self.next);
             self.active.push(self.next);
             self.next += 1;
         }
-        self.note_trouble();
-        for &place in &begins {
-            self.begin(place);
+        self.record_fault();
+        for &index in &started {
+            self.start_fault(index);
         }
         let plan = self.plan;
-        let is_over = |place: &usize| plan[*place].at + plan[*place].lasts <= now;
-        let ends: Vec<usize> = self.active.iter().copied().filter(is_over).collect();
-        self.active.retain(|place| !ends.contains(place));
-        for &place in &ends {
-            self.end(place);
+        let is_over = |index: &usize| plan[*index].at + plan[*index].duration <= now;
+        let ended: Vec<usize> = self.active.iter().copied().filter(is_over).collect();
+        self.active.retain(|index| !ended.contains(index));
+        for &index in &ended {
+            self.end_fault(index);
         }
-        if !begins.is_empty() || !ends.is_empty() {
-            self.set_states();
+        if !started.is_empty() || !ended.is_empty() {
+            self.set_conditions();
         }
-        self.keep_boxes()?;
+        self.restart_boxes()?;
         for worker in &self.world.workers {
             worker.runner.running();
         }
@@ -101,69 +102,76 @@
     }
 
     fn faults(&self) -> impl Iterator<Item = Fault> {
-        self.active.iter().map(|&place| self.plan[place].fault)
+        self.active.iter().map(|&index| self.plan[index].fault)
     }
 
-    fn note_trouble(&self) {
-        if self.faults().any(|fault| !fault.is_change()) {
-            self.world.note_trouble(None);
+    fn record_fault(&self) {
+        if self.faults().any(|fault| !fault.is_config_change()) {
+            self.world.record_fault(None);
         }
         for (number, process) in self.world.boxes.iter().enumerate() {
             let process = lock(process);
-            let is_down = !process.is_ready || !process.is_wanted();
+            let is_down = !process.is_ready || !process.is_expected();
             drop(process);
-            if is_down || self.faults().any(|fault| fault.troubles(number)) {
-                self.world.note_trouble(Some(number));
+            if is_down || self.faults().any(|fault| fault.affects_box(number)) {
+                self.world.record_fault(Some(number));
             }
         }
     }
 
-    fn begin(&mut self, place: usize) {
+    fn start_fault(&mut self, index: usize) {
         let world = self.world;
-        match self.plan[place].fault {
+        match self.plan[index].fault {
             Fault::Kill(number) => lock(&world.boxes[number]).kill(),
-            Fault::KillAll => world.boxes.iter().for_each(|own| lock(own).kill()),
-            Fault::Term(number) => lock(&world.boxes[number]).ask_to_end(),
-            Fault::TermAll => world.boxes.iter().for_each(|own| lock(own).ask_to_end()),
-            Fault::StoreSilent(number) => world.lines[number].silence(),
-            Fault::StoreOneWay(number, way) => world.lines[number].cut(way_of(way)),
-            Fault::StoreReset(number) => world.lines[number].reset(),
+            Fault::KillAll => world.boxes.iter().for_each(|process| lock(process).kill()),
+            Fault::Term(number) => lock(&world.boxes[number]).terminate(),
+            Fault::TermAll => world
+                .boxes
+                .iter()
+                .for_each(|process| lock(process).terminate()),
+            Fault::StoreSilent(number) => world.proxies[number].silence(),
+            Fault::StoreOneWay(number, is_request) => {
+                world.proxies[number].cut(direction_of(is_request))
+            }
+            Fault::StoreReset(number) => world.proxies[number].reset(),
             Fault::Compact => world.kv.compact(),
-            Fault::WorkerSilent(number) => world.workers[number].line.silence(),
-            Fault::WorkerOneWay(number, way) => world.workers[number].line.cut(way_of(way)),
-            Fault::WorkerReset(number) => world.workers[number].line.reset(),
+            Fault::WorkerSilent(number) => world.workers[number].proxy.silence(),
+            Fault::WorkerOneWay(number, is_request) => {
+                world.workers[number].proxy.cut(direction_of(is_request))
+            }
+            Fault::WorkerReset(number) => world.workers[number].proxy.reset(),
             Fault::Crash(number) => {
-                self.stale.insert(place, world.crash(number));
+                self.stale.insert(index, world.crash(number));
             }
-            Fault::Reborn(number, is_behind) => world.reborn(number, is_behind),
+            Fault::Reborn(number, is_entry_late) => world.restart_same_id(number, is_entry_late),
             Fault::CallsLate(number, count) => world.workers[number].runner.hold_back(count),
-            Fault::Unlisted(number) => world.unlist(&world.life(number)),
-            Fault::Shut(hall) => world.shut(hall),
+            Fault::Unlisted(number) => world.remove_entry(&world.incarnation(number)),
+            Fault::Shut(hall) => world.close_hall(hall),
             Fault::Version => world.write_version(),
             Fault::OldVersion => world.write_older(),
             Fault::Shrunk(number, cores) => world.resize(number, cores),
-            Fault::Garbled(number) => world.garble(number),
-            Fault::Foreign(kind) => world.list_foreign(kind),
+            Fault::Garbled(number) => world.corrupt_entry(number),
+            Fault::Foreign(kind) => world.add_foreign(kind),
             _ => {}
         }
     }
 
-    fn end(&mut self, place: usize) {
-        match self.plan[place].fault {
+    fn end_fault(&mut self, index: usize) {
+        match self.plan[index].fault {
             Fault::Late(_) => {
                 self.world.kv.carry_out();
             }
             Fault::Crash(_) => {
-                if let Some(life) = self.stale.remove(&place) {
-                    self.world.unlist(&life);
+                if let Some(incarnation) = self.stale.remove(&index) {
+                    self.world.remove_entry(&incarnation);
                 }
             }
             Fault::Unlisted(number) | Fault::Garbled(number) | Fault::Reborn(number, _) => {
-                self.world.list(number);
+                self.world.write_entry(number);
             }
             Fault::CallsLate(number, _) => self.world.workers[number].runner.carry_out(),
             Fault::Shrunk(number, _) => self.world.resize(number, CORES),
-            Fault::Foreign(kind) => self.world.unlist_foreign(kind),
+            Fault::Foreign(kind) => self.world.remove_foreign(kind),
             Fault::Shut(hall) => {
                 let is_other = |fault| fault == Fault::Shut(hall);
                 if !self.faults().any(is_other) {
@@ -175,8 +183,8 @@
         }
     }
 
-    /// Sets what lasts, by all faults that are active.
-    fn set_states(&self) {
+    /// Sets the conditions that last, from all active faults.
+    fn set_conditions(&self) {
         let world = self.world;
         let mut faults = kv::Faults::default();
         for fault in self.faults() {
@@ -190,28 +198,28 @@
             }
         }
         world.kv.fail(faults);
-        for (number, line) in world.lines.iter().enumerate() {
+        for (number, proxy) in world.proxies.iter().enumerate() {
             let is_away = |fault| fault == Fault::StoreAway(number);
             let away = self.faults().any(is_away);
-            line.refuse(away);
+            proxy.refuse(away);
             if away {
-                line.reset();
+                proxy.reset();
             }
-            line.delay(self.delay(|fault| match fault {
+            proxy.delay(self.delay(|fault| match fault {
                 Fault::StoreSlow(at, millis) if at == number => Some(millis),
                 _ => None,
             }));
         }
-        for (number, own) in world.boxes.iter().enumerate() {
+        for (number, process) in world.boxes.iter().enumerate() {
             let is_pause = |fault| fault == Fault::Pause(number) || fault == Fault::PauseAll;
-            lock(own).pause(self.faults().any(is_pause));
+            lock(process).pause(self.faults().any(is_pause));
         }
         for number in 0..world.workers.len() {
-            self.set_worker(number);
+            self.set_worker_faults(number);
         }
     }
 
-    fn set_worker(&self, number: usize) {
+    fn set_worker_faults(&self, number: usize) {
         let worker = &self.world.workers[number];
         let mut faults = runner::Faults::default();
         for fault in self.faults() {
@@ -223,7 +231,7 @@
             }
         }
         worker.runner.fail(faults);
-        worker.line.delay(self.delay(|fault| match fault {
+        worker.proxy.delay(self.delay(|fault| match fault {
             Fault::WorkerSlow(at, millis) if at == number => Some(millis),
             _ => None,
         }));
@@ -233,14 +241,14 @@
         Duration::from_millis(self.faults().filter_map(of).max().unwrap_or(0))
     }
 
-    /// Starts boxes that are not there and that no fault holds down.
-    fn keep_boxes(&self) -> Result<()> {
-        for (number, own) in self.world.boxes.iter().enumerate() {
-            let mut process = lock(own);
-            if let Some(text) = process.look()? {
-                self.world.break_rule("end", &format!("b{number}"), text);
+    /// Starts boxes that are not running and that no fault keeps down.
+    fn restart_boxes(&self) -> Result<()> {
+        for (number, process) in self.world.boxes.iter().enumerate() {
+            let mut process = lock(process);
+            if let Some(text) = process.poll_exit()? {
+                self.world.report_breach("end", &format!("b{number}"), text);
             }
-            if !self.faults().any(|fault| fault.holds_down(number)) {
+            if !self.faults().any(|fault| fault.keeps_down(number)) {
                 process.start()?;
             }
         }
@@ -248,28 +256,30 @@
     }
 }
 
-fn way_of(is_there: bool) -> Way {
-    if is_there { Way::There } else { Way::Back }
+fn direction_of(is_request: bool) -> Way {
+    if is_request { Way::There } else { Way::Back }
 }
 
-/// Notes which boxes have become ready, until the signal says stop.
+/// Probes boxes and records their readiness, until the signal is set.
 pub fn watch_ready(world: &World, until: &Signal) {
     let client = Client::new(None);
     while !until.is_stopped() {
-        for own in &world.boxes {
-            let process = lock(own);
-            let (port, life) = (process.ready, process.life);
-            let is_open = process.is_wanted() && !process.is_ready;
+        for shared in &world.boxes {
+            let process = lock(shared);
+            let (port, incarnation) = (process.ready_port, process.incarnation);
+            let is_starting = process.is_expected() && !process.is_ready;
             drop(process);
-            if !is_open {
+            if !is_starting {
                 continue;
             }
             let answer = send(&client, port, "GET", "/readiness", None);
-            let mut process = lock(own);
-            if process.life == life && answer.is_some_and(|answer| answer.status == 200) {
+            let mut process = lock(shared);
+            if process.incarnation == incarnation
+                && answer.is_some_and(|answer| answer.status == 200)
+            {
                 process.is_ready = true;
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(PROBE_INTERVAL);
     }
 }
--- a/programs/soak/src/guard.rs
+++ b/programs/soak/src/guard.rs
@@ -1,5 +1,5 @@
-//! A second process that ends the boxes when the soak itself is cut off: it hears which boxes there are,
-//! and kills those that are left once it hears the end.
+//! A guard process that kills the boxes when the soak dies: it reads the process ids of the boxes
+//! from a pipe, and kills the remaining boxes when the pipe is closed.
 
 use {
     anyhow::{Context, Result},
@@ -15,16 +15,17 @@
     },
 };
 
-/// The guard, as the soak sees it.
+/// Handle of the guard process.
 #[derive(Debug)]
 pub struct Guard {
     child: Child,
-    /// `None` once it is told the end.
-    line: Mutex<Option<ChildStdin>>,
+    /// The pipe to the guard; `None` once it is closed.
+    pipe: Mutex<Option<ChildStdin>>,
 }
 
 impl Guard {
-    /// Starts it, in a group of its own that no signal to the soak's group reaches.
+    /// Starts the guard in its own process group, so that signals to the soak's group do not reach
+    /// it.
     ///
     /// # Errors
     ///
@@ -38,56 +39,57 @@
             .process_group(0)
             .spawn()
             .context("the guard cannot be started")?;
-        let line = Mutex::new(child.stdin.take());
-        Ok(Guard { child, line })
+        let pipe = Mutex::new(child.stdin.take());
+        Ok(Guard { child, pipe })
     }
 
-    /// Tells it of a box that has begun.
+    /// Registers a box process.
     ///
     /// # Errors
     ///
-    /// The guard is gone.
+    /// The guard has exited.
     pub fn add(&self, id: u32) -> Result<()> {
-        self.tell('+', id)
+        self.send('+', id)
     }
 
-    /// Tells it of a box that has ended.
+    /// Removes a box process that has exited.
     ///
     /// # Errors
     ///
-    /// The guard is gone.
+    /// The guard has exited.
     pub fn remove(&self, id: u32) -> Result<()> {
-        self.tell('-', id)
+        self.send('-', id)
     }
 
-    fn tell(&self, sign: char, id: u32) -> Result<()> {
-        let mut line = lock(&self.line);
-        let line = line.as_mut().context("the guard was told the end")?;
-        writeln!(line, "{sign}{id}").context("the guard is gone")
+    fn send(&self, sign: char, id: u32) -> Result<()> {
+        let mut pipe = lock(&self.pipe);
+        let pipe = pipe.as_mut().context("the pipe to the guard is closed")?;
+        writeln!(pipe, "{sign}{id}").context("the guard has exited")
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        lock(&self.line).take();
-        // It ends with the line.
+        lock(&self.pipe).take();
+        // The guard exits when the pipe is closed.
         let _ = self.child.wait();
     }
 }
 
-/// Is the guard: reads until the end, then kills what is left of this program.
+/// Runs the guard process: reads process ids until the pipe is closed, then kills the remaining
+/// boxes.
 pub fn run(program: &Path) {
-    let mut left = HashSet::new();
+    let mut remaining = HashSet::new();
     for line in io::stdin().lock().lines().map_while(Result::ok) {
         let (sign, id) = line.split_at(1.min(line.len()));
         match sign {
-            "+" => left.insert(id.to_owned()),
-            _ => left.remove(id),
+            "+" => remaining.insert(id.to_owned()),
+            _ => remaining.remove(id),
         };
     }
     let program = program.canonicalize().ok();
-    for id in left {
-        // The id may be another's by now.
+    for id in remaining {
+        // The process id may have been reused by another program.
         if fs::read_link(format!("/proc/{id}/exe")).ok() != program {
             continue;
         }
--- a/programs/soak/src/history.rs
+++ b/programs/soak/src/history.rs
@@ -1,95 +1,99 @@
-//! What callers were told, by job, and when there was trouble. All times are microseconds of the run.
+//! Requests and responses per job, runs of tasks, and the periods with active faults. All times are
+//! microseconds since the start of the run.
 
 use std::collections::BTreeMap;
 
 /// Microseconds since the start of the run.
 pub type Micros = u64;
 
-/// A second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// A time that has not come.
+/// A time that has not been reached.
 pub const NEVER: Micros = Micros::MAX;
 
-/// What a caller asked.
+/// The kind of a request about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
-    /// To take the job.
+pub enum RequestKind {
+    /// Submits the job.
     Submit,
-    /// To cancel it.
+    /// Cancels the job.
     Cancel,
-    /// For its state.
+    /// Reads the state of the job.
     State,
 }
 
-/// One request of a caller, and its answer.
+/// One request of a caller and its response.
 #[derive(Debug, Clone)]
-pub struct Said {
-    /// What was asked.
-    pub asked: Asked,
-    /// The number of the box.
+pub struct Exchange {
+    /// The kind of the request.
+    pub kind: RequestKind,
+    /// The number of the box that received the request.
     pub to: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Micros,
-    /// When the answer came, or the connection broke.
-    pub heard: Micros,
-    /// The status of the answer; 0 for none.
+    /// When the response arrived, or the connection broke.
+    pub answered: Micros,
+    /// The HTTP status; 0 without a response.
     pub status: u16,
-    /// The state that the answer shows; empty for none.
+    /// The job state in the response; empty without one.
     pub state: String,
-    /// The box had been untroubled for some time when this was sent, and until it was answered.
-    pub calm: bool,
+    /// No fault affected the box for [`QUIET_PERIOD`](crate::check::QUIET_PERIOD) before the
+    /// request, nor until the response.
+    pub fault_free: bool,
 }
 
-impl Said {
-    /// True when the box says that the request was surely not carried out.
+impl Exchange {
+    /// True when the response guarantees that the request was not executed.
     pub fn is_refused(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
 
-    fn is_done(&self, asked: Asked) -> bool {
-        self.asked == asked && self.status == 200
+    fn is_done(&self, kind: RequestKind) -> bool {
+        self.kind == kind && self.status == 200
     }
 }
 
-/// One job and all that was said about it.
+/// One job and the requests about it.
 #[derive(Debug, Clone, Default)]
 pub struct Job {
-    /// Its name.
+    /// The id of the job.
     pub id: String,
-    /// Tasks of each step; each step but the first comes after the one before.
+    /// Number of tasks per step; each step depends on the preceding one.
     pub steps: Vec<u32>,
-    /// It runs until it is cancelled.
-    pub lasting: bool,
-    /// The step and the number of a task that crashes its workers.
+    /// The job runs until it is cancelled.
+    pub long_running: bool,
+    /// The step and the index of a task that crashes its workers.
     pub crashing: Option<(usize, u32)>,
     /// All requests, in the order in which they were sent.
-    pub said: Vec<Said>,
+    pub exchanges: Vec<Exchange>,
 }
 
 impl Job {
-    /// When it was first confirmed to be taken.
+    /// When a response first confirmed the submission.
     pub fn accepted(&self) -> Option<Micros> {
-        self.first(|said| said.is_done(Asked::Submit))
+        self.first_answer(|exchange| exchange.is_done(RequestKind::Submit))
     }
 
-    /// When its cancellation was first confirmed.
+    /// When a response first confirmed the cancellation.
     pub fn cancelled(&self) -> Option<Micros> {
-        self.first(|said| said.is_done(Asked::Cancel))
+        self.first_answer(|exchange| exchange.is_done(RequestKind::Cancel))
     }
 
-    /// When it was first shown so.
-    pub fn shown(&self, state: &str) -> Option<Micros> {
-        self.first(|said| said.state == state)
+    /// When a response first reported this state.
+    pub fn first_reported(&self, state: &str) -> Option<Micros> {
+        self.first_answer(|exchange| exchange.state == state)
     }
 
-    /// True when someone wanted to cancel it.
-    pub fn is_unwanted(&self) -> bool {
-        self.said.iter().any(|said| said.asked == Asked::Cancel)
+    /// True when a caller requested the cancellation.
+    pub fn is_cancel_requested(&self) -> bool {
+        self.exchanges
+            .iter()
+            .any(|exchange| exchange.kind == RequestKind::Cancel)
     }
 
-    fn first(&self, is_so: impl Fn(&Said) -> bool) -> Option<Micros> {
-        let found = self.said.iter().filter(|said| is_so(said));
-        found.map(|said| said.heard).min()
+    fn first_answer(&self, matches: impl Fn(&Exchange) -> bool) -> Option<Micros> {
+        let found = self.exchanges.iter().filter(|exchange| matches(exchange));
+        found.map(|exchange| exchange.answered).min()
     }
 
     /// The names of the tasks of a step.
@@ -99,7 +103,7 @@
     }
 }
 
-/// All jobs by name.
+/// All jobs by id.
 pub type Jobs = BTreeMap<String, Job>;
 
 /// One run of a task.
@@ -107,20 +111,20 @@
 pub struct Run {
     /// The name of the task.
     pub task: String,
-    /// The life of the worker.
+    /// The id of the worker incarnation.
     pub worker: String,
-    /// When it began.
-    pub begun: Micros,
-    /// When it ended; [`NEVER`] while it goes on.
+    /// When the run started.
+    pub started: Micros,
+    /// When the run ended; [`NEVER`] while it is active.
     pub ended: Micros,
-    /// How it ended; empty while it goes on.
-    pub how: &'static str,
-    /// Its end was acknowledged.
-    pub noted: bool,
+    /// How the run ended; empty while it is active.
+    pub outcome: &'static str,
+    /// The owner acknowledged the end of the run.
+    pub acknowledged: bool,
 }
 
 impl Run {
-    /// The job and the step of the task.
+    /// The job id and the step of the task.
     pub fn parts(&self) -> (&str, usize) {
         let mut parts = self.task.split('.');
         let job = parts.next().unwrap_or_default();
@@ -129,32 +133,32 @@
     }
 }
 
-/// The stretches of trouble, in the order of their starts.
+/// The periods with active faults, ordered by their starts.
 #[derive(Debug, Clone, Default)]
-pub struct Trouble {
-    stretches: Vec<(Micros, Micros)>,
+pub struct FaultPeriods {
+    periods: Vec<(Micros, Micros)>,
 }
 
-impl Trouble {
-    /// One stretch without an end.
+impl FaultPeriods {
+    /// One period that covers the whole run.
     pub fn always() -> Self {
-        Trouble {
-            stretches: vec![(0, NEVER)],
+        FaultPeriods {
+            periods: vec![(0, NEVER)],
         }
     }
 
-    /// Notes that there is trouble now; looks less than `gap` apart are one stretch.
-    pub fn note(&mut self, now: Micros, gap: Micros) {
-        match self.stretches.last_mut() {
+    /// Records that a fault is active at `now`; records less than `gap` apart form one period.
+    pub fn record(&mut self, now: Micros, gap: Micros) {
+        match self.periods.last_mut() {
             Some((_, until)) if *until + gap >= now => *until = now,
-            _ => self.stretches.push((now, now)),
+            _ => self.periods.push((now, now)),
         }
     }
 
-    /// True when there was none at all in this time.
-    pub fn is_calm(&self, from: Micros, to: Micros) -> bool {
-        let mut stretches = self.stretches.iter();
-        !stretches.any(|(start, end)| *start <= to && *end >= from)
+    /// True when no fault was active between `from` and `to`, both inclusive.
+    pub fn is_fault_free(&self, from: Micros, to: Micros) -> bool {
+        let mut periods = self.periods.iter();
+        !periods.any(|(start, end)| *start <= to && *end >= from)
     }
 }
 
@@ -163,14 +167,14 @@
     use super::*;
 
     #[test]
-    fn trouble_is_calm_between() {
-        let mut trouble = Trouble::default();
+    fn is_fault_free_between_periods() {
+        let mut fault_periods = FaultPeriods::default();
         for now in [10, 12, 14, 30] {
-            trouble.note(now, 5);
+            fault_periods.record(now, 5);
         }
-        assert!(!trouble.is_calm(0, 10));
-        assert!(!trouble.is_calm(13, 13));
-        assert!(trouble.is_calm(15, 29));
-        assert!(trouble.is_calm(31, 100));
+        assert!(!fault_periods.is_fault_free(0, 10));
+        assert!(!fault_periods.is_fault_free(13, 13));
+        assert!(fault_periods.is_fault_free(15, 29));
+        assert!(fault_periods.is_fault_free(31, 100));
     }
 }
--- a/programs/soak/src/plan.rs
+++ b/programs/soak/src/plan.rs
@@ -1,114 +1,118 @@
-//! The plan of a run: which fault comes when and for how long, by the seed alone.
+//! The fault plan of a run: which fault starts when and how long it lasts, drawn from the seed
+//! alone.
 
 use {
     fastrand::Rng,
     std::{fmt, time::Duration},
 };
 
-/// The first fault comes so many milliseconds after the start.
-const FIRST: u64 = 500;
-/// Faults of one series.
-const SERIES: std::ops::Range<u64> = 1..6;
-/// Faults of a series start within so many milliseconds.
-const SPREAD: u64 = 2_500;
-/// A calm stretch that is long enough for the checks that need one, in milliseconds: 5 s before a
-/// cancellation and 3.9 s after it.
-const CALM: std::ops::Range<u64> = 9_500..11_500;
-/// Tells the chance of faults of entries and room from that of the others.
-const ODD: u64 = 0x6f64_6400;
-/// Tells the chance of workers that start again under their names from that of the others.
-const NAMES_CHANCE: u64 = 0x6e61_6d65;
-/// The least that may be asked for as the time between two of these, in milliseconds.
-const NAMES_LEAST: u64 = 1_000;
-/// Tells the chance of shut halls from that of the others.
-const HALLS_CHANCE: u64 = 0x6861_6c6c;
-/// Data halls in which workers stand, in turn.
+/// Time from the start of the run to the first burst of faults, in milliseconds.
+const FIRST_BURST: u64 = 500;
+/// Number of faults in a burst.
+const BURST_SIZE: std::ops::Range<u64> = 1..6;
+/// The faults of a burst start within this time, in milliseconds.
+const BURST_SPREAD: u64 = 2_500;
+/// A pause without faults that is long enough for the checks that need one, in milliseconds: 5 s
+/// before a cancellation and 3.9 s after it.
+const FAULT_FREE_PAUSE: std::ops::Range<u64> = 9_500..11_500;
+/// Salt of the random generator for faults of worker entries and capacity.
+const ENTRY_SALT: u64 = 0x6f64_6400;
+/// Salt of the random generator for restarts of workers under their former ids.
+const RESTART_SALT: u64 = 0x6e61_6d65;
+/// Lower bound of the `--reborn` interval, in milliseconds.
+const MIN_RESTART_INTERVAL: u64 = 1_000;
+/// Salt of the random generator for hall closures.
+const HALL_SALT: u64 = 0x6861_6c6c;
+/// Number of data halls; workers are assigned to them in turn.
 pub const HALLS: usize = 3;
-/// How long a hall is shut, in milliseconds: most often longer than the 5 s after which nothing may start there.
-const SHUT_FOR: std::ops::Range<u64> = 500..14_000;
-/// From one hall that is shut to the next, in milliseconds.
-const SHUT_GAP: std::ops::Range<u64> = 1_000..16_000;
-/// The most time between two of these, in milliseconds.
-const ODD_GAP: u64 = 5_000;
+/// Length of a hall closure, in milliseconds: usually longer than the 5 s after which no task may
+/// start in the hall.
+const CLOSURE_LENGTH: std::ops::Range<u64> = 500..14_000;
+/// Time from the start of one hall closure to the next, in milliseconds.
+const CLOSURE_INTERVAL: std::ops::Range<u64> = 1_000..16_000;
+/// Maximum time between two faults of worker entries or capacity, in milliseconds.
+const ENTRY_INTERVAL: u64 = 5_000;
 /// The lease of an owner, in milliseconds.
-const LEASE: u64 = 2_000;
+const OWNER_LEASE: u64 = 2_000;
 
-/// What goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A box is stopped by a signal and goes on after it.
+    /// A box is suspended by SIGSTOP and resumed at the end.
     Pause(usize),
-    /// All boxes are stopped by a signal.
+    /// All boxes are suspended by SIGSTOP and resumed at the end.
     PauseAll,
-    /// A box is killed, and started again at the end.
+    /// A box is killed, and restarted at the end.
     Kill(usize),
-    /// All boxes are killed.
+    /// All boxes are killed, and restarted at the end.
     KillAll,
-    /// A box is asked to end, and started again once it has.
+    /// A box is sent SIGTERM, and restarted at the end once it has exited.
     Term(usize),
-    /// All boxes are asked to end.
+    /// All boxes are sent SIGTERM, and restarted at the end once they have exited.
     TermAll,
-    /// What is open between a box and the store goes silent.
+    /// The open connections between a box and the store stop carrying data.
     StoreSilent(usize),
-    /// What is open between a box and the store is lost one way: what the box sends, or what it hears.
+    /// The open connections between a box and the store lose one direction: true for what the box
+    /// sends, false for what it receives.
     StoreOneWay(usize, bool),
-    /// What is open between a box and the store is reset.
+    /// The open connections between a box and the store are reset.
     StoreReset(usize),
-    /// What passes between a box and the store is late by so many milliseconds.
+    /// Data between a box and the store is delayed by this many milliseconds.
     StoreSlow(usize, u64),
-    /// The store is away for one box.
+    /// One box cannot connect to the store.
     StoreAway(usize),
-    /// The store answers 503.
+    /// The store responds with 503.
     Busy,
-    /// The store cuts every call.
+    /// The store closes the connection of every call.
     Reset,
-    /// The store makes changes and loses so many answers.
+    /// The store applies this many writes and loses the responses.
     Lost(u32),
-    /// The store makes so many changes only at the end of the fault.
+    /// The store applies this many writes only at the end of the fault.
     Late(u32),
-    /// Watches of the store bring nothing.
+    /// Watches of the store deliver no events.
     Deaf,
-    /// The store forgets its history.
+    /// The store compacts its history.
     Compact,
-    /// What is open to a worker goes silent.
+    /// The open connections to a worker stop carrying data.
     WorkerSilent(usize),
-    /// What is open to a worker is lost one way.
+    /// The open connections to a worker lose one direction: true for requests, false for responses.
     WorkerOneWay(usize, bool),
-    /// What is open to a worker is reset.
+    /// The open connections to a worker are reset.
     WorkerReset(usize),
-    /// What passes to a worker is late by so many milliseconds.
+    /// Data to and from a worker is delayed by this many milliseconds.
     WorkerSlow(usize, u64),
-    /// A worker crashes and starts again; the entry of its former life stays until the end.
+    /// A worker crashes and restarts; the entry of the former incarnation stays until the end.
     Crash(usize),
-    /// A worker crashes and starts again under its name; its entry shows it at once, or at the end.
+    /// A worker crashes and restarts under its former id; its entry is updated at once, or at the
+    /// end if the flag is true.
     Reborn(usize, bool),
-    /// A worker leaves so many calls without an answer, and carries them out at the end.
+    /// A worker does not respond to this many calls, and executes them at the end.
     CallsLate(usize, u32),
     /// A worker refuses starts.
     Unwell(usize),
-    /// A worker cuts every call.
+    /// A worker closes the connection of every call.
     WorkerAway(usize),
-    /// A worker carries out so many starts and loses the answers.
+    /// A worker executes this many starts and loses the responses.
     StartsLost(usize, u32),
-    /// A worker is gone from the listing.
+    /// A worker is missing from the listing.
     Unlisted(usize),
-    /// A worker has so many cores left.
+    /// The capacity of a worker drops to this many cores.
     Shrunk(usize, u64),
-    /// Something else stands in the place of a worker's entry.
+    /// The entry of a worker is replaced by an invalid value.
     Garbled(usize),
-    /// Something that is no worker is listed beside the workers.
+    /// An entry that is not a worker of the service is listed beside the workers.
     Foreign(usize),
-    /// The operators shut a data hall.
+    /// The operators close a data hall.
     Shut(usize),
     /// The operators write a new version of the configuration.
     Version,
-    /// An older version shows for a while.
+    /// An older version of the configuration is shown for a while.
     OldVersion,
 }
 
 impl Fault {
-    /// True when it disturbs this box, be it only by its line to the store.
-    pub fn troubles(self, number: usize) -> bool {
+    /// True when the fault affects this box, including its connection to the store.
+    pub fn affects_box(self, number: usize) -> bool {
         match self {
             Fault::Pause(at)
             | Fault::Kill(at)
@@ -131,13 +135,13 @@
         }
     }
 
-    /// True for changes that operators make on any day.
-    pub fn is_change(self) -> bool {
+    /// True for changes that operators make during normal operation.
+    pub fn is_config_change(self) -> bool {
         matches!(self, Fault::Version | Fault::OldVersion | Fault::Shut(_))
     }
 
-    /// True while it keeps a box from running.
-    pub fn holds_down(self, number: usize) -> bool {
+    /// True when the fault keeps the box from being restarted while it lasts.
+    pub fn keeps_down(self, number: usize) -> bool {
         match self {
             Fault::Kill(at) | Fault::Term(at) => at == number,
             Fault::KillAll | Fault::TermAll => true,
@@ -146,75 +150,88 @@
     }
 }
 
-/// A fault with its time, both in milliseconds.
+/// A fault with its start and duration, both in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// From the start of the run.
+    /// Time since the start of the run.
     pub at: u64,
-    /// How long it lasts.
-    pub lasts: u64,
-    /// What goes wrong.
+    /// How long the fault lasts.
+    pub duration: u64,
+    /// A fault.
     pub fault: Fault,
 }
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Event { at, lasts, fault } = self;
-        write!(f, "{at:>7} ms for {lasts:>5} ms: {fault:?}")
+        let Event {
+            at,
+            duration,
+            fault,
+        } = self;
+        write!(f, "{at:>7} ms for {duration:>5} ms: {fault:?}")
     }
 }
 
-/// Draws the plan of a run, in order of time.
+/// Draws the plan of a run, ordered by start.
 ///
-/// `reborn` is the most time between two workers that start again under their names, in milliseconds, where any do.
+/// `restart_interval` is the maximum time between two restarts of workers under their former ids,
+/// in milliseconds; `None` for no such restarts.
 pub fn draw(
     seed: u64,
     time: Duration,
     boxes: usize,
     workers: usize,
-    reborn: Option<u64>,
+    restart_interval: Option<u64>,
 ) -> Vec<Event> {
     let mut rng = Rng::with_seed(seed);
     let end = time.as_millis() as u64;
     let mut plan = Vec::new();
-    let mut start = FIRST;
+    let mut start = FIRST_BURST;
     while start < end {
         let mut last = start;
-        for _ in 0..rng.u64(SERIES) {
-            let (fault, lasts) = fault(&mut rng, boxes, workers);
-            let at = start + rng.u64(0..SPREAD);
-            let lasts = lasts.min(end.saturating_sub(at));
-            if lasts > 0 {
-                plan.push(Event { at, lasts, fault });
-                last = last.max(at + lasts);
+        for _ in 0..rng.u64(BURST_SIZE) {
+            let (fault, duration) = fault(&mut rng, boxes, workers);
+            let at = start + rng.u64(0..BURST_SPREAD);
+            let duration = duration.min(end.saturating_sub(at));
+            if duration > 0 {
+                plan.push(Event {
+                    at,
+                    duration,
+                    fault,
+                });
+                last = last.max(at + duration);
             }
         }
-        start = last + pause(&mut rng);
+        start = last + draw_pause(&mut rng);
     }
     let mut at = rng.u64(500..2_500);
     while at + 1_000 < end {
-        let (fault, lasts) = match rng.u64(0..5) {
+        let (fault, duration) = match rng.u64(0..5) {
             0 => (Fault::OldVersion, 400),
             _ => (Fault::Version, 1),
         };
-        plan.push(Event { at, lasts, fault });
+        plan.push(Event {
+            at,
+            duration,
+            fault,
+        });
         at += rng.u64(800..5_000);
     }
-    plan.extend(odd(seed, end, workers));
-    if let Some(gap) = reborn {
-        plan.extend(names(seed, end, workers, gap));
+    plan.extend(entry_faults(seed, end, workers));
+    if let Some(interval) = restart_interval {
+        plan.extend(restarts(seed, end, workers, interval));
     }
-    plan.extend(shut(seed, end));
+    plan.extend(closures(seed, end));
     plan.sort_by_key(|event| event.at);
     plan
 }
 
-/// Faults of a workers' entry and room. They have a chance of their own, so that what a seed plays besides stays as it was
-/// when the seed was kept.
-fn odd(seed: u64, end: u64, workers: usize) -> Vec<Event> {
-    let mut rng = Rng::with_seed(seed ^ ODD);
+/// Draws faults of worker entries and capacity. They use a random generator of their own, so that
+/// the rest of a known seed's plan does not depend on them.
+fn entry_faults(seed: u64, end: u64, workers: usize) -> Vec<Event> {
+    let mut rng = Rng::with_seed(seed ^ ENTRY_SALT);
     let mut plan = Vec::new();
-    let mut at = rng.u64(500..ODD_GAP);
+    let mut at = rng.u64(500..ENTRY_INTERVAL);
     while at + 1_000 < end {
         let worker = rng.usize(0..workers);
         let fault = match rng.u64(0..4) {
@@ -222,20 +239,24 @@
             2 => Fault::Garbled(worker),
             _ => Fault::Foreign(rng.usize(0..4)),
         };
-        let lasts = rng.u64(300..6_000).min(end - at);
-        plan.push(Event { at, lasts, fault });
-        at += rng.u64(500..ODD_GAP);
+        let duration = rng.u64(300..6_000).min(end - at);
+        plan.push(Event {
+            at,
+            duration,
+            fault,
+        });
+        at += rng.u64(500..ENTRY_INTERVAL);
     }
     plan
 }
 
-/// Workers that start again under their names, some of them at the same moment, and carry calls out late; also with a chance
-/// of their own.
-fn names(seed: u64, end: u64, workers: usize, gap: u64) -> Vec<Event> {
-    let mut rng = Rng::with_seed(seed ^ NAMES_CHANCE);
+/// Draws restarts of workers under their former ids, some of them at the same time, and calls that
+/// are executed late; with a random generator of its own.
+fn restarts(seed: u64, end: u64, workers: usize, interval: u64) -> Vec<Event> {
+    let mut rng = Rng::with_seed(seed ^ RESTART_SALT);
     let mut plan = Vec::new();
-    let gap = gap.max(NAMES_LEAST);
-    let mut at = rng.u64(500..gap);
+    let interval = interval.max(MIN_RESTART_INTERVAL);
+    let mut at = rng.u64(500..interval);
     while at + 1_000 < end {
         let first = rng.usize(0..workers);
         let count = rng.usize(1..=2);
@@ -244,52 +265,66 @@
                 0 => Fault::CallsLate(worker, rng.u32(1..4)),
                 _ => Fault::Reborn(worker, rng.bool()),
             };
-            let lasts = rng.u64(50..2_500).min(end - at);
-            plan.push(Event { at, lasts, fault });
+            let duration = rng.u64(50..2_500).min(end - at);
+            plan.push(Event {
+                at,
+                duration,
+                fault,
+            });
         }
-        at += rng.u64(300..gap);
+        at += rng.u64(300..interval);
     }
     plan
 }
 
-/// Halls that are shut, one after the other or at the same time, also with a chance of their own.
-fn shut(seed: u64, end: u64) -> Vec<Event> {
-    let mut rng = Rng::with_seed(seed ^ HALLS_CHANCE);
+/// Draws hall closures, which may overlap; with a random generator of its own.
+fn closures(seed: u64, end: u64) -> Vec<Event> {
+    let mut rng = Rng::with_seed(seed ^ HALL_SALT);
     let mut plan = Vec::new();
-    let mut at = rng.u64(SHUT_GAP);
+    let mut at = rng.u64(CLOSURE_INTERVAL);
     while at < end {
         let fault = Fault::Shut(rng.usize(0..HALLS));
-        let lasts = rng.u64(SHUT_FOR).min(end - at);
-        plan.push(Event { at, lasts, fault });
-        at += rng.u64(SHUT_GAP);
+        let duration = rng.u64(CLOSURE_LENGTH).min(end - at);
+        plan.push(Event {
+            at,
+            duration,
+            fault,
+        });
+        at += rng.u64(CLOSURE_INTERVAL);
     }
     plan
 }
 
-/// The time until the next series.
-fn pause(rng: &mut Rng) -> u64 {
+/// Draws the time until the next burst, in milliseconds.
+fn draw_pause(rng: &mut Rng) -> u64 {
     match rng.u64(0..10) {
         0..3 => rng.u64(100..1_000),
         3..6 => rng.u64(1_000..4_000),
-        _ => rng.u64(CALM),
+        _ => rng.u64(FAULT_FREE_PAUSE),
     }
 }
 
 fn fault(rng: &mut Rng, boxes: usize, workers: usize) -> (Fault, u64) {
-    let (one, worker, way) = (rng.usize(0..boxes), rng.usize(0..workers), rng.bool());
+    let (number, worker, is_request) = (rng.usize(0..boxes), rng.usize(0..workers), rng.bool());
     match rng.u64(0..36) {
-        0..3 => (Fault::Pause(one), rng.u64(500..4_000)),
-        3 => (Fault::Pause(one), rng.u64(LEASE - 150..LEASE + 250)),
+        0..3 => (Fault::Pause(number), rng.u64(500..4_000)),
+        3 => (
+            Fault::Pause(number),
+            rng.u64(OWNER_LEASE - 150..OWNER_LEASE + 250),
+        ),
         4 => (Fault::PauseAll, rng.u64(500..3_000)),
-        5..9 => (Fault::Kill(one), rng.u64(50..3_000)),
+        5..9 => (Fault::Kill(number), rng.u64(50..3_000)),
         9 => (Fault::KillAll, rng.u64(50..2_500)),
-        10..12 => (Fault::Term(one), rng.u64(200..4_000)),
+        10..12 => (Fault::Term(number), rng.u64(200..4_000)),
         12 => (Fault::TermAll, rng.u64(200..3_000)),
-        13 => (Fault::StoreSilent(one), 1),
-        14 => (Fault::StoreOneWay(one, way), 1),
-        15 => (Fault::StoreReset(one), 1),
-        16 => (Fault::StoreSlow(one, rng.u64(10..300)), rng.u64(500..4_000)),
-        17..19 => (Fault::StoreAway(one), rng.u64(300..5_000)),
+        13 => (Fault::StoreSilent(number), 1),
+        14 => (Fault::StoreOneWay(number, is_request), 1),
+        15 => (Fault::StoreReset(number), 1),
+        16 => (
+            Fault::StoreSlow(number, rng.u64(10..300)),
+            rng.u64(500..4_000),
+        ),
+        17..19 => (Fault::StoreAway(number), rng.u64(300..5_000)),
         19 => (Fault::Busy, rng.u64(100..3_500)),
         20 => (Fault::Reset, rng.u64(100..3_500)),
         21 => (Fault::Lost(rng.u32(1..8)), rng.u64(500..2_000)),
@@ -297,7 +332,7 @@
         23 => (Fault::Deaf, rng.u64(500..4_000)),
         24 => (Fault::Compact, 1),
         25 => (Fault::WorkerSilent(worker), 1),
-        26 => (Fault::WorkerOneWay(worker, way), 1),
+        26 => (Fault::WorkerOneWay(worker, is_request), 1),
         27 => (Fault::WorkerReset(worker), 1),
         28 => (
             Fault::WorkerSlow(worker, rng.u64(10..300)),
@@ -318,44 +353,45 @@
 mod tests {
     use super::*;
 
-    const TIME: Duration = Duration::from_secs(60);
+    const RUN_TIME: Duration = Duration::from_secs(60);
 
-    fn drawn(seed: u64) -> Vec<Event> {
-        draw(seed, TIME, 3, 6, Some(4_000))
+    fn sample_plan(seed: u64) -> Vec<Event> {
+        draw(seed, RUN_TIME, 3, 6, Some(4_000))
     }
 
-    /// What a kept seed plays hangs on no option but its own.
+    /// Guards known seeds: the option `--reborn` adds events but changes no other event of the
+    /// plan.
     #[test]
-    fn draw_same_besides() {
+    fn draw_restarts_change_no_other_event() {
         let is_other =
             |event: &&Event| !matches!(event.fault, Fault::Reborn(..) | Fault::CallsLate(..));
-        let with = drawn(7);
+        let with = sample_plan(7);
         let with: Vec<&Event> = with.iter().filter(is_other).collect();
-        let without = draw(7, TIME, 3, 6, None);
+        let without = draw(7, RUN_TIME, 3, 6, None);
         assert_eq!(with, without.iter().collect::<Vec<_>>());
     }
 
     #[test]
-    fn draw_same_seed() {
-        assert_eq!(drawn(7), drawn(7));
-        assert_ne!(drawn(7), drawn(8));
+    fn draw_is_deterministic() {
+        assert_eq!(sample_plan(7), sample_plan(7));
+        assert_ne!(sample_plan(7), sample_plan(8));
     }
 
     #[test]
-    fn draw_keeps_within_time() {
+    fn draw_stays_within_time() {
         for seed in 0..50 {
-            let plan = drawn(seed);
+            let plan = sample_plan(seed);
             assert!(plan.is_sorted_by_key(|event| event.at));
-            assert!(plan.iter().all(|event| event.at + event.lasts <= 60_000));
+            assert!(plan.iter().all(|event| event.at + event.duration <= 60_000));
         }
     }
 
-    /// Faults overlap and every kind of them comes.
+    /// Every kind of fault occurs.
     #[test]
     fn draw_covers_kinds() {
         let mut kinds = std::collections::HashSet::new();
         for seed in 0..50 {
-            for event in drawn(seed) {
+            for event in sample_plan(seed) {
                 kinds.insert(std::mem::discriminant(&event.fault));
             }
         }
--- a/programs/soak/src/process.rs
+++ b/programs/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One box as a process of its own. It is ended with the value that stands for it.
+//! One box as a child process, which is killed when its value is dropped.
 
 use {
     crate::guard::Guard,
@@ -14,25 +14,25 @@
     },
 };
 
-/// The exit code of a box that found a port taken.
-const NO_PORT: i32 = 1;
-/// The number of the signal TERM.
-const TERM: i32 = 15;
-/// An orderly stop that lasts longer has hung, on any machine: the box has 6 s for it.
-const HUNG: Duration = Duration::from_secs(30);
+/// The exit code of a box that found a port in use.
+const EXIT_PORT_IN_USE: i32 = 1;
+/// The number of the signal SIGTERM.
+const SIGTERM: i32 = 15;
+/// Time after which a graceful shutdown counts as hung on any machine: a box has 6 s for it.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What all boxes of a run share.
+/// Settings shared by all boxes of a run.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The program of a box.
+    /// The box executable.
     pub path: PathBuf,
     /// The directory of the logs.
     pub logs: PathBuf,
-    /// Workers that an owner talks to itself.
-    pub own_workers: usize,
-    /// What the links of the boxes carry, in Mbit/s; `None` for no limit.
+    /// Workers that an owner polls directly.
+    pub direct_workers: usize,
+    /// Bandwidth of the boxes' links, in Mbit/s; `None` for no limit.
     pub link: Option<u32>,
-    /// Ends the boxes when the soak is cut off.
+    /// Kills the boxes when the soak dies.
     pub guard: Arc<Guard>,
 }
 
@@ -42,23 +42,23 @@
     number: usize,
     store: String,
     child: Option<Child>,
-    /// Counts the starts.
-    pub life: u64,
-    /// The callers' port.
-    pub callers: u16,
-    /// The port that tells whether it is ready.
-    pub ready: u16,
-    inside: u16,
-    /// It has told once in this life that it is ready.
+    /// Number of starts, which identifies the incarnation.
+    pub incarnation: u64,
+    /// The port for callers.
+    pub caller_port: u16,
+    /// The port of the readiness endpoint.
+    pub ready_port: u16,
+    peer_port: u16,
+    /// This incarnation has reported readiness.
     pub is_ready: bool,
     is_paused: bool,
-    /// When it was asked to end.
-    asked: Option<Instant>,
+    /// When SIGTERM was sent.
+    terminated_at: Option<Instant>,
     is_killed: bool,
 }
 
 impl Process {
-    /// A box that is not started yet.
+    /// Creates a box that is not started yet.
     ///
     /// # Errors
     ///
@@ -69,38 +69,38 @@
             number,
             store,
             child: None,
-            life: 0,
-            callers: free_port()?,
-            ready: free_port()?,
-            inside: free_port()?,
+            incarnation: 0,
+            caller_port: free_port()?,
+            ready_port: free_port()?,
+            peer_port: free_port()?,
             is_ready: false,
             is_paused: false,
-            asked: None,
+            terminated_at: None,
             is_killed: false,
         })
     }
 
-    /// True while the process is there and was not told to end.
-    pub fn is_wanted(&self) -> bool {
-        self.child.is_some() && self.asked.is_none()
+    /// True while the process exists and was not sent SIGTERM.
+    pub fn is_expected(&self) -> bool {
+        self.child.is_some() && self.terminated_at.is_none()
     }
 
-    /// True while the process is there.
-    pub fn is_there(&self) -> bool {
+    /// True while the process exists.
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Starts it, if it is not there.
+    /// Starts the process unless it exists.
     ///
     /// # Errors
     ///
-    /// The program or its log cannot be opened.
+    /// The executable or its log cannot be opened.
     pub fn start(&mut self) -> Result<()> {
         if self.child.is_some() {
             return Ok(());
         }
         let log = open_log(&self.program.logs, self.number)?;
-        let at = |port: u16| format!("127.0.0.1:{port}");
+        let address = |port: u16| format!("127.0.0.1:{port}");
         let mut command = Command::new(&self.program.path);
         if let Some(link) = self.program.link {
             command.env("MAGPIE_LINK", link.to_string());
@@ -108,11 +108,14 @@
         let child = command
             .env("MAGPIE_NAME", format!("b{}", self.number))
             .env("MAGPIE_HALL", "h1")
-            .env("MAGPIE_CALLERS", at(self.callers))
-            .env("MAGPIE_READY", at(self.ready))
-            .env("MAGPIE_PORTS", self.inside.to_string())
+            .env("MAGPIE_CALLERS", address(self.caller_port))
+            .env("MAGPIE_READY", address(self.ready_port))
+            .env("MAGPIE_PORTS", self.peer_port.to_string())
             .env("MAGPIE_STORE", &self.store)
-            .env("MAGPIE_OWN_WORKERS", self.program.own_workers.to_string())
+            .env(
+                "MAGPIE_OWN_WORKERS",
+                self.program.direct_workers.to_string(),
+            )
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -121,41 +124,41 @@
         let id = child.id();
         self.child = Some(child);
         self.program.guard.add(id)?;
-        self.life += 1;
+        self.incarnation += 1;
         self.is_ready = false;
         self.is_paused = false;
-        self.asked = None;
+        self.terminated_at = None;
         self.is_killed = false;
         Ok(())
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.is_killed = true;
         self.signal("-KILL");
     }
 
-    /// Asks it to end.
-    pub fn ask_to_end(&mut self) {
+    /// Sends SIGTERM to the process.
+    pub fn terminate(&mut self) {
         if self.signal("-TERM") {
-            self.asked.get_or_insert_with(Instant::now);
+            self.terminated_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Stops it for a while, or lets it go on.
+    /// Suspends or resumes the process.
     pub fn pause(&mut self, is_paused: bool) {
         if self.is_paused == is_paused {
             return;
         }
         self.is_paused = is_paused;
         self.signal(if is_paused { "-STOP" } else { "-CONT" });
-        // A pause takes from the time that it has for its end.
-        if self.asked.is_some() {
-            self.asked = Some(Instant::now());
+        // A pause consumes shutdown time, so the time-out restarts.
+        if self.terminated_at.is_some() {
+            self.terminated_at = Some(Instant::now());
         }
     }
 
-    /// Sends a signal, if the process is there. Its id is its own until it was waited for.
+    /// Sends a signal if the process exists. Its id is not reused until it is waited for.
     fn signal(&self, name: &str) -> bool {
         let Some(child) = &self.child else {
             return false;
@@ -165,43 +168,47 @@
         sent.is_ok_and(|status| status.success())
     }
 
-    /// Looks whether it has ended. Returns what is wrong with how, if anything is.
+    /// Checks whether the process has exited. Returns a description of an unexpected or missing
+    /// exit.
     ///
     /// # Errors
     ///
-    /// There is no free port.
-    pub fn look(&mut self) -> Result<Option<String>> {
+    /// The state of the process cannot be read, the guard has exited, or there is no free port.
+    pub fn poll_exit(&mut self) -> Result<Option<String>> {
         let Some(child) = &mut self.child else {
             return Ok(None);
         };
         let id = child.id();
         let Some(status) = child.try_wait()? else {
-            let hung = self.asked.is_some_and(|asked| asked.elapsed() > HUNG);
-            let is_hung = hung && !self.is_paused && !self.is_killed;
-            return Ok(is_hung.then(|| "it does not end".to_owned()));
+            let is_late = self
+                .terminated_at
+                .is_some_and(|terminated_at| terminated_at.elapsed() > SHUTDOWN_TIMEOUT);
+            let is_hung = is_late && !self.is_paused && !self.is_killed;
+            return Ok(is_hung.then(|| "the box does not exit after SIGTERM".to_owned()));
         };
         self.child = None;
         self.program.guard.remove(id)?;
-        if status.code() == Some(NO_PORT) && !self.is_ready {
-            self.callers = free_port()?;
-            self.ready = free_port()?;
-            self.inside = free_port()?;
+        if status.code() == Some(EXIT_PORT_IN_USE) && !self.is_ready {
+            self.caller_port = free_port()?;
+            self.ready_port = free_port()?;
+            self.peer_port = free_port()?;
             return Ok(None);
         }
-        Ok(self.judge(status))
+        Ok(self.check_exit(status))
     }
 
-    fn judge(&self, status: ExitStatus) -> Option<String> {
-        let early = !self.is_ready && status.signal() == Some(TERM);
-        let is_right = self.is_killed || self.asked.is_some() && (status.success() || early);
-        (!is_right).then(|| format!("it ended by itself, or wrongly: {status}"))
+    fn check_exit(&self, status: ExitStatus) -> Option<String> {
+        let was_starting = !self.is_ready && status.signal() == Some(SIGTERM);
+        let is_expected =
+            self.is_killed || self.terminated_at.is_some() && (status.success() || was_starting);
+        (!is_expected).then(|| format!("the box exited unexpectedly: {status}"))
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have exited by itself.
             let _ = child.kill();
             let _ = child.wait();
             let _ = self.program.guard.remove(child.id());
--- a/programs/soak/src/report.rs
+++ b/programs/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints at its end.
+//! Prints breaches and the summary of a run.
 
 use {
     crate::{check::Breach, history::Micros, world::World},
@@ -7,27 +7,38 @@
 };
 
 /// Prints a breach with the history of its job.
-pub fn tell(world: &World, breach: &Breach) {
+pub fn print_breach(world: &World, breach: &Breach) {
     println!("breach: {breach}");
     let mut lines: Vec<(Micros, String)> = Vec::new();
     if let Some(job) = lock(&world.jobs).get(&breach.of) {
-        println!("  steps {:?}, lasting {}", job.steps, job.lasting);
-        for said in &job.said {
+        println!("  steps {:?}, long-running {}", job.steps, job.long_running);
+        for exchange in &job.exchanges {
             let text = format!(
-                "b{} {:?}: {} {} at {} us, calm {}",
-                said.to, said.asked, said.status, said.state, said.heard, said.calm
+                "b{} {:?}: {} {} at {} us, fault-free {}",
+                exchange.to,
+                exchange.kind,
+                exchange.status,
+                exchange.state,
+                exchange.answered,
+                exchange.fault_free
             );
-            lines.push((said.sent, text));
+            lines.push((exchange.sent, text));
         }
     }
     for run in world.runs() {
         if run.parts().0 != breach.of {
             continue;
         }
-        lines.push((run.begun, format!("{} begins on {}", run.task, run.worker)));
-        if !run.how.is_empty() {
-            let (how, noted) = (run.how, run.noted);
-            let text = format!("{} {how} on {}, noted {noted}", run.task, run.worker);
+        lines.push((
+            run.started,
+            format!("{} starts on {}", run.task, run.worker),
+        ));
+        if !run.outcome.is_empty() {
+            let (outcome, acknowledged) = (run.outcome, run.acknowledged);
+            let text = format!(
+                "{} {outcome} on {}, acknowledged {acknowledged}",
+                run.task, run.worker
+            );
             lines.push((run.ended, text));
         }
     }
@@ -37,8 +48,8 @@
     }
 }
 
-/// One line on the whole run.
-pub fn sum_up(world: &World, seed: u64, stalls: u32, logs: &Path) {
+/// Prints one line that summarises the run.
+pub fn print_summary(world: &World, seed: u64, stalls: u32, logs: &Path) {
     let jobs = lock(&world.jobs);
     let accepted = jobs.values().filter(|job| job.accepted().is_some()).count();
     let cancelled = jobs.values().filter(|job| job.cancelled().is_some());
--- a/programs/soak/src/settle.rs
+++ b/programs/soak/src/settle.rs
@@ -1,7 +1,8 @@
-//! The end of a run: faults are over, and what was accepted ends and is known everywhere.
+//! The end of a run: without faults, all accepted jobs must end and every box must know their
+//! states.
 
 use {
-    crate::{callers::ask, check, history::Asked, world::World},
+    crate::{callers::send_request, check, history::RequestKind, world::World},
     kernel::{Client, sync::lock},
     std::{
         thread,
@@ -9,88 +10,94 @@
     },
 };
 
-/// The time for it.
-const TIME: Duration = Duration::from_secs(30);
-/// The time for it on a machine of unknown speed: what lasts longer has hung.
-const FOREVER: Duration = Duration::from_secs(240);
-const LOOK: Duration = Duration::from_millis(100);
+/// Time for the jobs to end.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for the jobs to end on a machine of unknown speed; longer means a hang.
+const UNTIMED_TIMEOUT: Duration = Duration::from_secs(240);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-fn time(world: &World) -> Duration {
-    if world.timed { TIME } else { FOREVER }
+fn timeout(world: &World) -> Duration {
+    if world.timed {
+        TIMEOUT
+    } else {
+        UNTIMED_TIMEOUT
+    }
 }
 
-/// Waits until all boxes are ready.
+/// Waits until all boxes are ready. Returns false when this takes too long.
 pub fn wait_ready(world: &World) -> bool {
-    let begun = Instant::now();
-    let is_up = || {
+    let started = Instant::now();
+    let all_ready = || {
         let mut boxes = world.boxes.iter();
-        boxes.all(|own| lock(own).is_ready && lock(own).is_wanted())
+        boxes.all(|process| lock(process).is_ready && lock(process).is_expected())
     };
-    while !is_up() {
-        if begun.elapsed() > time(world) {
-            world.break_rule("end", "boxes", "not all are ready again".to_owned());
+    while !all_ready() {
+        if started.elapsed() > timeout(world) {
+            world.report_breach("end", "boxes", "not all are ready again".to_owned());
             return false;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
 
-/// Lets all jobs end, and checks that each box knows each accepted one.
+/// Waits until all jobs have ended, and checks that each box reports the end of each accepted job.
 pub fn run(world: &World) {
     let client = Client::new(None);
     if !wait_ready(world) {
         return;
     }
-    wait_lasting(world);
-    let begun = Instant::now();
-    let is_over = || begun.elapsed() > time(world);
-    for (id, is_accepted) in lasting(world) {
-        while !is_over() {
-            let status = ask(world, &client, 0, &id, Asked::Cancel, None);
+    wait_long_running(world);
+    let started = Instant::now();
+    let is_late = || started.elapsed() > timeout(world);
+    for (id, is_accepted) in long_running(world) {
+        while !is_late() {
+            let status = send_request(world, &client, 0, &id, RequestKind::Cancel, None);
             if status == 200 || status == 410 && !is_accepted {
                 break;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
     for id in accepted(world) {
         for number in 0..world.boxes.len() {
             while !has_ended(world, &client, number, &id) {
-                if is_over() {
-                    let shown = lock(&world.jobs)[&id].said.last().cloned();
-                    let text = format!("not ended at the end, as b{number} shows: {shown:?}");
-                    world.break_rule("unfinished", &id, text);
+                if is_late() {
+                    let last = lock(&world.jobs)[&id].exchanges.last().cloned();
+                    let text = format!("not ended at the end, as b{number} shows: {last:?}");
+                    world.report_breach("unfinished", &id, text);
                     break;
                 }
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
         }
     }
 }
 
-/// Waits until each task of each lasting job runs, and checks that none stands still beside room.
-fn wait_lasting(world: &World) {
-    let begun = Instant::now();
+/// Waits until each task of each long-running job runs; reports a breach where one does not start
+/// although cores are free.
+fn wait_long_running(world: &World) {
+    let started = Instant::now();
     loop {
         let jobs = lock(&world.jobs).clone();
-        let Some(breach) = check::standing(&jobs, &world.runs(), world.free()) else {
+        let Some(breach) = check::idle_long_running(&jobs, &world.runs(), world.free_cores())
+        else {
             return;
         };
-        if begun.elapsed() > time(world) {
-            world.break_rule(breach.rule, &breach.of, breach.text);
+        if started.elapsed() > timeout(world) {
+            world.report_breach(breach.rule, &breach.of, breach.text);
             return;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Jobs that last until they are cancelled, and whether each is accepted.
-fn lasting(world: &World) -> Vec<(String, bool)> {
+/// Long-running jobs without a confirmed cancellation, and whether each was accepted.
+fn long_running(world: &World) -> Vec<(String, bool)> {
     let jobs = lock(&world.jobs);
     let found = jobs
         .values()
-        .filter(|job| job.lasting && job.cancelled().is_none());
+        .filter(|job| job.long_running && job.cancelled().is_none());
     found
         .map(|job| (job.id.clone(), job.accepted().is_some()))
         .collect()
@@ -103,8 +110,8 @@
 }
 
 fn has_ended(world: &World, client: &Client, number: usize, id: &str) -> bool {
-    ask(world, client, number, id, Asked::State, None);
+    send_request(world, client, number, id, RequestKind::State, None);
     let jobs = lock(&world.jobs);
-    let last = jobs.get(id).and_then(|job| job.said.last());
-    last.is_some_and(|said| check::FINAL.contains(&said.state.as_str()))
+    let last = jobs.get(id).and_then(|job| job.exchanges.last());
+    last.is_some_and(|exchange| check::FINAL_STATES.contains(&exchange.state.as_str()))
 }
--- a/programs/soak/src/versions.rs
+++ b/programs/soak/src/versions.rs
@@ -1,30 +1,30 @@
-//! The versions of the configuration, and what the answers of a box tell of the one it follows.
+//! Versions of the configuration, and what the responses of a box reveal about its version.
 //!
-//! Version `n` adds the queue `n` and removes queue `n - KEPT`, so that each queue is there in `KEPT`
-//! versions.
+//! Version `n` adds the queue `n` and removes the queue `n - KEPT`, so that each queue exists in
+//! `KEPT` consecutive versions.
 
 use {
     crate::history::Micros,
     serde_json::{Value, json},
 };
 
-/// In how many versions a queue is there.
+/// Number of versions in which a queue exists.
 pub const KEPT: u64 = 3;
-/// The queue that is in all versions.
+/// The path prefix of the queue that all versions have.
 pub const ALWAYS: &str = "/q/";
 
-/// The prefix of a queue.
+/// The path prefix of a queue.
 pub fn prefix(queue: u64) -> String {
     format!("/v{queue}/")
 }
 
-/// The queues of a version besides the one that is always there.
+/// The queues of a version besides the permanent one.
 fn queues(version: u64) -> impl Iterator<Item = u64> {
     (version + 1).saturating_sub(KEPT).max(1)..=version
 }
 
-/// A version as operators write it.
-pub fn write(version: u64) -> Value {
+/// The configuration of a version as operators write it.
+pub fn render(version: u64) -> Value {
     let route = |name: String, prefix: String| {
         json!({
             "name": name, "host": "h.example", "pathPrefix": prefix, "priority": 0,
@@ -42,14 +42,14 @@
     })
 }
 
-/// The versions that were written, the first at 0.
+/// The times at which versions were written; version 1 comes first.
 #[derive(Debug, Clone, Default)]
-pub struct Written {
+pub struct VersionLog {
     times: Vec<Micros>,
 }
 
-impl Written {
-    /// Notes the next version, and returns it.
+impl VersionLog {
+    /// Records the next version and returns its number.
     pub fn add(&mut self, now: Micros) -> u64 {
         self.times.push(now);
         self.latest()
@@ -60,47 +60,51 @@
         self.times.len() as u64
     }
 
-    /// The latest version that was written before.
-    pub fn before(&self, time: Micros) -> u64 {
+    /// The latest version written before this time.
+    pub fn latest_before(&self, time: Micros) -> u64 {
         self.times.iter().filter(|&&at| at < time).count() as u64
     }
 }
 
-/// What is known of the version that one life of a box follows.
+/// The oldest version that one incarnation of a box may use, as its responses show.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Followed {
-    /// At least this one.
-    pub floor: u64,
+pub struct ObservedVersion {
+    /// The oldest version that the box may use.
+    pub min_version: u64,
 }
 
-impl Followed {
-    /// Takes an answer about a queue in. `floor` is the oldest version that the box may follow when it was
-    /// asked, `latest` the newest that was written when it answered. Returns why it is wrong, if it is.
-    pub fn take(
+impl ObservedVersion {
+    /// Checks a response about a queue. `min_version` is the oldest version that the box may use at the
+    /// time of the request, `latest` the newest version written by the time of the response.
+    ///
+    /// # Errors
+    ///
+    /// The response contradicts these versions.
+    pub fn check_response(
         &mut self,
-        floor: u64,
+        min_version: u64,
         latest: u64,
         queue: u64,
-        is_there: bool,
+        exists: bool,
     ) -> Result<(), String> {
         let removed = queue + KEPT;
-        let word = if is_there { "taken" } else { "refused" };
-        let wrong = || {
-            let own = self.floor;
+        let verb = if exists { "taken" } else { "refused" };
+        let message = || {
+            let own = self.min_version;
             format!(
-                "queue {queue} was {word} with version {floor} due, {latest} latest, {own} seen"
+                "queue {queue} was {verb} while version {min_version} was required, {latest} the latest and {own} observed"
             )
         };
-        let is_dropped = is_there && floor >= removed;
-        let is_unknown = !is_there && floor >= queue && latest < removed;
-        let is_foreign = is_there && latest < queue;
-        if is_dropped || is_unknown || is_foreign {
-            return Err(wrong());
+        let is_removed = exists && min_version >= removed;
+        let is_unknown = !exists && min_version >= queue && latest < removed;
+        let is_unwritten = exists && latest < queue;
+        if is_removed || is_unknown || is_unwritten {
+            return Err(message());
         }
-        if is_there {
-            self.floor = self.floor.max(queue);
-        } else if floor >= queue {
-            self.floor = self.floor.max(removed);
+        if exists {
+            self.min_version = self.min_version.max(queue);
+        } else if min_version >= queue {
+            self.min_version = self.min_version.max(removed);
         }
         Ok(())
     }
@@ -117,15 +121,24 @@
     #[test_case(5, 6, 2, true, Err(()); "taken though removed")]
     #[test_case(4, 6, 3, false, Ok(6); "removed early")]
     #[test_case(4, 5, 6, true, Err(()); "never written")]
-    fn take_cases(floor: u64, latest: u64, queue: u64, is_there: bool, right: Result<u64, ()>) {
-        let mut followed = Followed { floor };
-        let taken = followed.take(floor, latest, queue, is_there);
-        assert_eq!(taken.map(|()| followed.floor).map_err(|_| ()), right);
+    fn check_response_cases(
+        min_version: u64,
+        latest: u64,
+        queue: u64,
+        exists: bool,
+        expected: Result<u64, ()>,
+    ) {
+        let mut observed = ObservedVersion { min_version };
+        let result = observed.check_response(min_version, latest, queue, exists);
+        assert_eq!(
+            result.map(|()| observed.min_version).map_err(|_| ()),
+            expected
+        );
     }
 
     #[test]
-    fn write_keeps_queues() {
-        let queues = |version| write(version)["routes"].as_array().unwrap().len();
+    fn render_keeps_queues() {
+        let queues = |version| render(version)["routes"].as_array().unwrap().len();
         assert_eq!(queues(1), 2);
         assert_eq!(queues(9), 1 + KEPT as usize);
     }
--- a/programs/soak/src/world.rs
+++ b/programs/soak/src/world.rs
@@ -1,12 +1,12 @@
-//! Everything that a run has: the stand-ins, the boxes, and what was seen.
+//! The state of a run: simulated store and workers, box processes, and recorded observations.
 
 use {
     crate::{
         check::{self, Breach, Closure},
-        history::{Jobs, Micros, NEVER, Run, Trouble},
+        history::{FaultPeriods, Jobs, Micros, NEVER, Run},
         plan::HALLS,
         process::{Process, Program},
-        versions::{Followed, Written, write},
+        versions::{ObservedVersion, VersionLog, render},
     },
     anyhow::{Context, Result},
     kernel::{Client, HttpResponse, client::Call, sync::lock},
@@ -25,61 +25,61 @@
     },
 };
 
-/// Bytes a second that 1 Mbit/s carries.
+/// Bytes per second of 1 Mbit/s.
 const BYTES_OF_MBIT: usize = 125_000;
 /// Cores of a worker; each task takes one.
 pub const CORES: u64 = 4;
-/// The time of a task that names none.
-const WORK: Duration = Duration::from_millis(50);
-/// The key of the configuration.
-const CONFIG: &str = "op/config";
-/// Two looks at trouble that are less apart belong to one stretch.
-const GAP: Micros = 500_000;
-
-/// One worker, with the line that leads to it.
+/// Duration of a task whose specification gives none.
+const DEFAULT_DURATION: Duration = Duration::from_millis(50);
+/// The store key of the configuration.
+const CONFIG_KEY: &str = "op/config";
+/// Two records of active faults less than this apart belong to one period.
+const MAX_PERIOD_GAP: Micros = 500_000;
+
+/// One worker and the proxy in front of it.
 pub struct Worker {
-    /// The worker.
+    /// The simulated worker.
     pub runner: Runner,
-    /// What all boxes reach it by.
-    pub line: Line,
-    /// How many lives it was given.
-    lives: Mutex<u32>,
-    /// Its entry in the listing, with all of its room.
+    /// The proxy through which all boxes reach the worker.
+    pub proxy: Line,
+    /// Number of incarnations so far.
+    incarnations: Mutex<u32>,
+    /// Its entry in the listing, at full capacity.
     entry: Value,
 }
 
-/// When there was trouble.
+/// The periods with active faults, of any kind and per box.
 #[derive(Default)]
-struct Troubles {
-    any: Trouble,
-    boxes: Vec<Trouble>,
+struct FaultLog {
+    any: FaultPeriods,
+    boxes: Vec<FaultPeriods>,
 }
 
-/// All of a run.
+/// The state of a run.
 pub struct World {
-    begun: Instant,
-    /// The store.
+    started: Instant,
+    /// The simulated store.
     pub kv: Kv,
-    /// The line of each box to the store.
-    pub lines: Vec<Line>,
+    /// Each box's proxy to the store.
+    pub proxies: Vec<Line>,
     /// The boxes.
     pub boxes: Vec<Mutex<Process>>,
     /// The workers.
     pub workers: Vec<Worker>,
-    seen: Arc<Mutex<Seen>>,
+    run_log: Arc<Mutex<Seen>>,
     /// All jobs.
     pub jobs: Mutex<Jobs>,
-    troubles: Mutex<Troubles>,
-    written: Mutex<Written>,
-    followed: Mutex<HashMap<(usize, u64), Followed>>,
+    fault_log: Mutex<FaultLog>,
+    versions: Mutex<VersionLog>,
+    observed: Mutex<HashMap<(usize, u64), ObservedVersion>>,
     closures: Mutex<Vec<Closure>>,
     breaches: Mutex<Vec<Breach>>,
-    /// Bounds of time are judged.
+    /// Time bounds are checked.
     pub timed: bool,
 }
 
 impl World {
-    /// Opens the stand-ins; no box runs yet.
+    /// Starts the simulated services; no box is started yet.
     ///
     /// # Errors
     ///
@@ -88,18 +88,18 @@
         let kv = Kv::default();
         let url = kv.open(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let store: SocketAddr = url.trim_start_matches("http://").parse()?;
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let run_log = Arc::new(Mutex::new(Seen::default()));
         let mut world = World {
-            begun: Instant::now(),
+            started: Instant::now(),
             kv,
-            lines: Vec::new(),
+            proxies: Vec::new(),
             boxes: Vec::new(),
             workers: Vec::new(),
-            seen,
+            run_log,
             jobs: Mutex::default(),
-            troubles: Mutex::default(),
-            written: Mutex::default(),
-            followed: Mutex::default(),
+            fault_log: Mutex::default(),
+            versions: Mutex::default(),
+            observed: Mutex::default(),
             closures: Mutex::default(),
             breaches: Mutex::default(),
             timed,
@@ -109,114 +109,122 @@
             world.workers.push(worker);
         }
         for number in 0..boxes {
-            let line = Line::open(store)?;
-            let address = line.address().to_string();
+            let proxy = Line::open(store)?;
+            let address = proxy.address().to_string();
             if let Some(link) = program.link {
-                line.limit(link as usize * BYTES_OF_MBIT);
+                proxy.limit(link as usize * BYTES_OF_MBIT);
             }
-            world.lines.push(line);
+            world.proxies.push(proxy);
             let process = Process::new(program, number, address)?;
             world.boxes.push(Mutex::new(process));
         }
-        lock(&world.troubles).boxes = vec![Trouble::default(); boxes];
+        lock(&world.fault_log).boxes = vec![FaultPeriods::default(); boxes];
         world.write_version();
         Ok(world)
     }
 
-    /// Opens a worker whose entry names the line to it.
+    /// Starts a worker whose entry holds the address of its proxy.
     fn worker(&self, number: usize) -> Result<Worker> {
         let id = format!("w{number}-1");
-        let runner = Runner::open(&self.kv, "pool", &id, CORES, WORK, &self.seen)?;
+        let runner = Runner::open(
+            &self.kv,
+            "pool",
+            &id,
+            CORES,
+            DEFAULT_DURATION,
+            &self.run_log,
+        )?;
         let key = format!("servers/{id}");
         let entry = self.kv.value(&key).context("a worker has no entry")?;
         let mut entry: Value = serde_json::from_slice(&decode(&entry))?;
         let address = entry["address"].as_str().unwrap_or_default();
-        let line = Line::open(address.parse()?)?;
-        entry["address"] = line.address().to_string().into();
+        let proxy = Line::open(address.parse()?)?;
+        entry["address"] = proxy.address().to_string().into();
         entry["zone"] = hall_name(number % HALLS).into();
         self.kv.put(&key, &encode(&entry));
         Ok(Worker {
             runner,
-            line,
-            lives: Mutex::new(1),
+            proxy,
+            incarnations: Mutex::new(1),
             entry,
         })
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the start of the run.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
     fn at(&self, time: Instant) -> Micros {
-        time.saturating_duration_since(self.begun).as_micros() as Micros
+        time.saturating_duration_since(self.started).as_micros() as Micros
     }
 
     /// Writes the next version of the configuration.
     pub fn write_version(&self) {
-        let mut written = lock(&self.written);
-        let version = written.latest() + 1;
-        self.kv.put(CONFIG, &encode(&write(version)));
-        written.add(self.now());
+        let mut versions = lock(&self.versions);
+        let version = versions.latest() + 1;
+        self.kv.put(CONFIG_KEY, &encode(&render(version)));
+        versions.add(self.now());
     }
 
     /// Writes an older version over the latest one.
     pub fn write_older(&self) {
         let older = self.latest().saturating_sub(1).max(1);
-        self.kv.put(CONFIG, &encode(&write(older)));
+        self.kv.put(CONFIG_KEY, &encode(&render(older)));
     }
 
     /// Writes the latest version again.
     pub fn write_latest(&self) {
-        self.kv.put(CONFIG, &encode(&write(self.latest())));
+        self.kv.put(CONFIG_KEY, &encode(&render(self.latest())));
     }
 
     /// The latest version of the configuration.
     pub fn latest(&self) -> u64 {
-        lock(&self.written).latest()
+        lock(&self.versions).latest()
     }
 
-    /// Crashes a worker and starts it again. Returns the life whose entry stays.
+    /// Crashes and restarts a worker. Returns the former incarnation, whose entry stays.
     pub fn crash(&self, number: usize) -> String {
         let worker = &self.workers[number];
-        let old = self.life(number);
-        // It may be gone from the listing.
-        self.list(number);
-        let mut lives = lock(&worker.lives);
-        *lives += 1;
-        worker.runner.restart(&format!("w{number}-{lives}"));
+        let old = self.incarnation(number);
+        // The entry may be missing from the listing.
+        self.write_entry(number);
+        let mut incarnations = lock(&worker.incarnations);
+        *incarnations += 1;
+        worker.runner.restart(&format!("w{number}-{incarnations}"));
         old
     }
 
-    /// Crashes a worker and starts it again under its name. Its entry may be behind.
-    pub fn reborn(&self, number: usize, is_behind: bool) {
+    /// Crashes a worker and restarts it under its former id. Its entry is updated unless
+    /// `is_entry_late`.
+    pub fn restart_same_id(&self, number: usize, is_entry_late: bool) {
         self.workers[number]
             .runner
-            .restart_unlisted(&self.life(number));
-        if !is_behind {
-            self.list(number);
+            .restart_unlisted(&self.incarnation(number));
+        if !is_entry_late {
+            self.write_entry(number);
         }
     }
 
-    /// Shuts a data hall, as the operators do.
-    pub fn shut(&self, hall: usize) {
+    /// Closes a data hall, as operators do.
+    pub fn close_hall(&self, hall: usize) {
         let name = hall_name(hall);
         let key = format!("op/evacuate/{name}");
         if self.kv.value(&key).is_some() {
             return;
         }
         self.kv.put(&key, &encode(&json!({})));
-        let shut = self.now();
+        let closed_at = self.now();
         let workers = (hall..self.workers.len()).step_by(HALLS);
         lock(&self.closures).push(Closure {
             hall: name,
             workers: workers.map(|number| format!("w{number}-")).collect(),
-            shut,
+            closed: closed_at,
             opened: NEVER,
         });
     }
 
-    /// Opens it again.
+    /// Opens a data hall again.
     pub fn open_hall(&self, hall: usize) {
         let name = hall_name(hall);
         let now = self.now();
@@ -228,41 +236,42 @@
         self.kv.remove(&format!("op/evacuate/{name}"));
     }
 
-    /// Takes a life of a worker from the listing.
-    pub fn unlist(&self, life: &str) {
-        self.kv.remove(&format!("servers/{life}"));
+    /// Removes an incarnation of a worker from the listing.
+    pub fn remove_entry(&self, incarnation: &str) {
+        self.kv.remove(&format!("servers/{incarnation}"));
     }
 
-    /// The present life of a worker.
-    pub fn life(&self, number: usize) -> String {
+    /// The id of the current incarnation of a worker.
+    pub fn incarnation(&self, number: usize) -> String {
         self.workers[number].runner.id()
     }
 
-    /// Puts the present life of a worker into the listing.
-    pub fn list(&self, number: usize) {
-        let key = format!("servers/{}", self.life(number));
+    /// Writes the entry of the current incarnation of a worker to the listing.
+    pub fn write_entry(&self, number: usize) {
+        let key = format!("servers/{}", self.incarnation(number));
         let worker = &self.workers[number];
         let mut entry = worker.entry.clone();
-        // A worker tells what it has now, whatever else has befallen its entry meanwhile.
+        // A worker publishes its current capacity, even when another fault has changed its entry in
+        // the meantime.
         entry["capacity"]["cpu"] = (worker.runner.cores() * 1_000).into();
         entry["born"] = worker.runner.born().into();
         self.kv.put(&key, &encode(&entry));
     }
 
-    /// Gives a worker so many cores, as its entry then says.
+    /// Sets the number of cores of a worker and updates its entry.
     pub fn resize(&self, number: usize, cores: u64) {
         self.workers[number].runner.resize(cores);
-        self.list(number);
+        self.write_entry(number);
     }
 
-    /// Puts something else in the place of a worker's entry.
-    pub fn garble(&self, number: usize) {
-        let key = format!("servers/{}", self.life(number));
+    /// Replaces the entry of a worker by an invalid value.
+    pub fn corrupt_entry(&self, number: usize) {
+        let key = format!("servers/{}", self.incarnation(number));
         self.kv.put(&key, &encode(&json!({ "service": 7 })));
     }
 
-    /// Lists something beside the workers that is none; there are several kinds.
-    pub fn list_foreign(&self, kind: usize) {
+    /// Lists an entry that is not a worker of the service; there are four kinds.
+    pub fn add_foreign(&self, kind: usize) {
         let mut entry = self.workers[0].entry.clone();
         entry["address"] = "127.0.0.1:9".into();
         match kind % 4 {
@@ -271,149 +280,154 @@
             2 => entry["capacity"] = Value::Null,
             _ => entry = "nothing".into(),
         }
-        self.kv.put(&foreign(kind), &encode(&entry));
+        self.kv.put(&foreign_key(kind), &encode(&entry));
     }
 
-    /// Takes it from the listing.
-    pub fn unlist_foreign(&self, kind: usize) {
-        self.kv.remove(&foreign(kind));
+    /// Removes such an entry from the listing.
+    pub fn remove_foreign(&self, kind: usize) {
+        self.kv.remove(&foreign_key(kind));
     }
 
-    /// How often workers have crashed under tasks.
+    /// Number of worker crashes that hit running tasks.
     pub fn crashes(&self) -> u32 {
         self.workers.iter().map(|own| own.runner.crashes()).sum()
     }
 
-    /// Notes that there is trouble now, for a box or for anything.
-    pub fn note_trouble(&self, number: Option<usize>) {
+    /// Records that a fault is active, for a box or in general.
+    pub fn record_fault(&self, number: Option<usize>) {
         let now = self.now();
-        let mut troubles = lock(&self.troubles);
-        troubles.any.note(now, GAP);
+        let mut fault_log = lock(&self.fault_log);
+        fault_log.any.record(now, MAX_PERIOD_GAP);
         if let Some(number) = number {
-            troubles.boxes[number].note(now, GAP);
+            fault_log.boxes[number].record(now, MAX_PERIOD_GAP);
         }
     }
 
-    /// True when bounds of time hold for a box: it had no trouble from some time before `sent` until
-    /// `heard`.
-    pub fn is_calm(&self, number: usize, sent: Micros, heard: Micros) -> bool {
-        let from = sent.saturating_sub(check::CALM);
-        self.timed && lock(&self.troubles).boxes[number].is_calm(from, heard)
+    /// True when time bounds apply to a request to a box: no fault affected the box from
+    /// [`QUIET_PERIOD`](check::QUIET_PERIOD) before `sent` until `answered`.
+    pub fn is_fault_free(&self, number: usize, sent: Micros, answered: Micros) -> bool {
+        let from = sent.saturating_sub(check::QUIET_PERIOD);
+        self.timed && lock(&self.fault_log).boxes[number].is_fault_free(from, answered)
     }
 
-    /// The version that a life of a box may not fall behind.
-    fn floor(&self, number: usize, life: u64, sent: Micros) -> u64 {
-        let seen = lock(&self.followed)
-            .get(&(number, life))
-            .map_or(0, |followed| followed.floor);
-        if sent < check::CALM || !self.is_calm(number, sent, sent) {
-            return seen;
+    /// The oldest configuration version that an incarnation of a box may use.
+    fn min_version(&self, number: usize, incarnation: u64, sent: Micros) -> u64 {
+        let observed_version = lock(&self.observed)
+            .get(&(number, incarnation))
+            .map_or(0, |observed| observed.min_version);
+        if sent < check::QUIET_PERIOD || !self.is_fault_free(number, sent, sent) {
+            return observed_version;
         }
-        let due = lock(&self.written).before(sent - check::CALM);
-        seen.max(due)
+        let required = lock(&self.versions).latest_before(sent - check::QUIET_PERIOD);
+        observed_version.max(required)
     }
 
-    /// Asks a box for a queue, and checks the answer against the versions.
-    pub fn ask_queue(&self, client: &Client, number: usize, queue: u64) {
+    /// Queries a queue of a box, and checks the response against the versions.
+    pub fn query_queue(&self, client: &Client, number: usize, queue: u64) {
         let process = lock(&self.boxes[number]);
-        let (port, life) = (process.callers, process.life);
+        let (port, incarnation) = (process.caller_port, process.incarnation);
         drop(process);
         let sent = self.now();
-        let floor = self.floor(number, life, sent);
+        let min_version = self.min_version(number, incarnation, sent);
         let path = crate::versions::prefix(queue);
         let Some(answer) = send(client, port, "GET", &path, None) else {
             return;
         };
-        if !matches!(answer.status, 200 | 404) || lock(&self.boxes[number]).life != life {
+        if !matches!(answer.status, 200 | 404)
+            || lock(&self.boxes[number]).incarnation != incarnation
+        {
             return;
         }
         let latest = self.latest();
-        let mut followed = lock(&self.followed);
-        let own = followed.entry((number, life)).or_default();
-        let taken = own.take(floor, latest, queue, answer.status == 200);
-        drop(followed);
-        if let Err(text) = taken {
+        let mut observed = lock(&self.observed);
+        let own = observed.entry((number, incarnation)).or_default();
+        let result = own.check_response(min_version, latest, queue, answer.status == 200);
+        drop(observed);
+        if let Err(text) = result {
             let now = self.now();
             let text = format!("{text}, asked at {sent} us, answered at {now} us");
-            self.break_rule("config", &format!("b{number}"), text);
+            self.report_breach("config", &format!("b{number}"), text);
         }
     }
 
-    /// Cores of all workers on which nothing runs.
-    pub fn free(&self) -> usize {
+    /// Number of free cores on all workers.
+    pub fn free_cores(&self) -> usize {
         let runs = self.runs();
-        let mut free = 0;
+        let mut free_cores = 0;
         for (number, worker) in self.workers.iter().enumerate() {
-            let life = self.life(number);
-            let is_there = |run: &&Run| run.worker == life && run.ended == NEVER;
-            let taken = runs.iter().filter(is_there).count();
-            free += (worker.runner.cores() as usize).saturating_sub(taken);
+            let incarnation = self.incarnation(number);
+            let is_active = |run: &&Run| run.worker == incarnation && run.ended == NEVER;
+            let used = runs.iter().filter(is_active).count();
+            free_cores += (worker.runner.cores() as usize).saturating_sub(used);
         }
-        free
+        free_cores
     }
 
     /// All runs of tasks so far.
     pub fn runs(&self) -> Vec<Run> {
-        let seen = lock(&self.seen);
-        let runs = seen.ran.iter().map(|ran| Run {
+        let run_log = lock(&self.run_log);
+        let runs = run_log.ran.iter().map(|ran| Run {
             task: ran.task.to_string(),
             worker: ran.worker.to_string(),
-            begun: self.at(ran.begun),
+            started: self.at(ran.begun),
             ended: ran.ended.map_or(NEVER, |(at, _)| self.at(at)),
-            how: ran.ended.map_or("", |(_, how)| how),
-            noted: ran.noted.is_some(),
+            outcome: ran.ended.map_or("", |(_, outcome)| outcome),
+            acknowledged: ran.noted.is_some(),
         });
         runs.collect()
     }
 
-    /// Checks all rules; each finding is kept once.
+    /// Checks all rules; each breach is recorded once.
     pub fn check(&self) {
         let jobs = lock(&self.jobs).clone();
-        let trouble = match self.timed {
-            true => lock(&self.troubles).any.clone(),
-            false => Trouble::always(),
+        let fault_periods = match self.timed {
+            true => lock(&self.fault_log).any.clone(),
+            false => FaultPeriods::always(),
         };
-        // What was refused for want of room is found in no run.
-        let over = lock(&self.seen).over.clone();
-        for (at, task, worker) in over {
-            let text = format!("{task} was sent to full {worker} at {} us", self.at(at));
+        // Starts that were refused for lack of capacity appear in no run.
+        let refused = lock(&self.run_log).over.clone();
+        for (at, task, worker) in refused {
+            let text = format!(
+                "{task} was sent to {worker}, which had no free core, at {} us",
+                self.at(at)
+            );
             let id = task.split('.').next().unwrap_or_default();
-            self.break_rule("room", id, text);
+            self.report_breach("room", id, text);
         }
         let runs = self.runs();
-        for breach in check::all(&jobs, &runs, &trouble, self.now()) {
-            self.keep(breach);
+        for breach in check::all(&jobs, &runs, &fault_periods, self.now()) {
+            self.record_breach(breach);
         }
-        // Whatever befalls workers is no reason to start anything in a hall that is shut.
+        // Faults of workers do not justify a start in a closed hall, so only faults of boxes count.
         let boxes = match self.timed {
-            true => lock(&self.troubles).boxes.clone(),
-            false => vec![Trouble::always()],
+            true => lock(&self.fault_log).boxes.clone(),
+            false => vec![FaultPeriods::always()],
         };
-        for breach in check::shut_halls(&lock(&self.closures), &runs, &boxes) {
-            self.keep(breach);
+        for breach in check::closed_halls(&lock(&self.closures), &runs, &boxes) {
+            self.record_breach(breach);
         }
     }
 
-    /// How many times a hall was shut for longer than starts may go on there.
+    /// Number of hall closures that outlasted the time in which starts are still allowed.
     pub fn judged_closures(&self) -> usize {
         let closures = lock(&self.closures);
         closures.iter().filter(|own| own.is_long()).count()
     }
 
-    /// Of how many runs it was judged whether they were gone in time after a cancellation.
+    /// Number of runs to which the bound on stopping after a cancellation applied.
     pub fn judged_stops(&self) -> usize {
         let jobs = lock(&self.jobs).clone();
-        let trouble = lock(&self.troubles).any.clone();
-        check::judged_stops(&jobs, &self.runs(), &trouble)
+        let fault_periods = lock(&self.fault_log).any.clone();
+        check::judged_stops(&jobs, &self.runs(), &fault_periods)
     }
 
-    /// Keeps a finding.
-    pub fn break_rule(&self, rule: &'static str, of: &str, text: String) {
+    /// Records a breach.
+    pub fn report_breach(&self, rule: &'static str, of: &str, text: String) {
         let of = of.to_owned();
-        self.keep(Breach { rule, of, text });
+        self.record_breach(Breach { rule, of, text });
     }
 
-    fn keep(&self, breach: Breach) {
+    fn record_breach(&self, breach: Breach) {
         let mut breaches = lock(&self.breaches);
         let is_known = |known: &Breach| known.rule == breach.rule && known.of == breach.of;
         if !breaches.iter().any(is_known) {
@@ -422,7 +436,7 @@
         }
     }
 
-    /// What was found so far.
+    /// The breaches found so far.
     pub fn breaches(&self) -> Vec<Breach> {
         lock(&self.breaches).clone()
     }
@@ -433,11 +447,11 @@
     format!("h{hall}")
 }
 
-fn foreign(kind: usize) -> String {
+fn foreign_key(kind: usize) -> String {
     format!("servers/x-{kind}")
 }
 
-/// Makes a request of a caller. Returns `None` without an answer.
+/// Sends a caller's request. Returns `None` without a response.
 pub fn send(
     client: &Client,
     port: u16,
--- a/programs/soak/tests/seeds.rs
+++ b/programs/soak/tests/seeds.rs
@@ -1,4 +1,5 @@
-//! Short runs of the soak, each with one seed. Only what the soak checks is judged.
+//! Short runs of the soak with fixed seeds. Time bounds are not checked, since the speed of the
+//! machine is unknown.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -11,10 +12,10 @@
     test_case::test_case,
 };
 
-/// One run at a time: each is several processes.
-static TURN: Mutex<()> = Mutex::new(());
+/// Runs one soak at a time, since each starts several processes.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Builds the program of a box, which belongs to another package, and returns where it lies.
+/// Builds the box executable, which belongs to another package, and returns its path.
 fn build_box(soak: &Path) -> PathBuf {
     let directory = soak.parent().unwrap();
     let mut build = Command::new(env!("CARGO"));
@@ -23,62 +24,68 @@
     if directory.ends_with("release") {
         build.arg("--release");
     }
-    let built = build.current_dir(env!("CARGO_MANIFEST_DIR")).status();
-    assert!(built.unwrap().success());
+    let status = build.current_dir(env!("CARGO_MANIFEST_DIR")).status();
+    assert!(status.unwrap().success());
     directory.join("magpie-box")
 }
 
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn seed_breaks_nothing(seed: u64) {
-    play(seed, &[]);
+fn seed_finds_no_breach(seed: u64) {
+    run_soak(seed, &[]);
 }
 
-/// Specifications are kept apart from jobs, and messages are packed; with odd seeds most workers are talked to by relays.
+/// Links of 2 Mbit/s: specifications are stored separately from jobs and messages are compressed.
+/// With odd seeds relays poll most workers.
 #[test_case(1; "seed 1")]
 #[test_case(4; "seed 4")]
-fn seed_breaks_nothing_on_narrow_links(seed: u64) {
-    play(seed, &["--link", "2"]);
+fn seed_on_narrow_links_finds_no_breach(seed: u64) {
+    run_soak(seed, &["--link", "2"]);
 }
 
-/// Workers start again under their names, and carry calls out late. The owner of a cell may tell of a job that has failed without a
-/// fault of its own where each worker is gone every 10 s; here each is every half minute.
+/// Workers restart under their former ids and execute calls late. The owner of a cell may report a
+/// job as failed without a fault of its own when each worker restarts every 10 s; here each
+/// restarts about every 30 s.
 #[test_case(5; "seed 5")]
 #[test_case(6; "seed 6")]
-fn seed_breaks_nothing_with_former_names(seed: u64) {
-    play(seed, &["--reborn", "10000"]);
+fn seed_with_reused_ids_finds_no_breach(seed: u64) {
+    run_soak(seed, &["--reborn", "10000"]);
 }
 
-/// Seed 215: a task of some seconds was given up, and its job shown as failed, after five crashes of workers under suspects of
-/// other jobs that were tried beside it. Seed 282: a worker's entry told all of its room again while it had none, since the
-/// soak wrote it back at the end of another fault; starts were sent there and refused.
+/// Seed 215 guards against blaming a task for crashes that other tasks caused: a task of a few
+/// seconds reached the crash limit, and its job failed, after five crashes of workers under
+/// suspected tasks of other jobs on trial beside it. Seed 282 guards against a worker entry that
+/// shows full capacity while the worker has none: the soak restored the entry at the end of
+/// another, overlapping fault, and starts sent there were refused.
 #[test_case(215; "a task beside suspects")]
 #[test_case(282; "faults of an entry that overlap")]
-fn seed_of_a_finding(seed: u64) {
-    play(seed, &["--seconds", "20"]);
+fn regression_seed_finds_no_breach(seed: u64) {
+    run_soak(seed, &["--seconds", "20"]);
 }
 
-fn play(seed: u64, more: &[&str]) {
-    let _turn = TURN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn run_soak(seed: u64, options: &[&str]) {
+    let _guard = RUN_LOCK
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let soak = Path::new(env!("CARGO_BIN_EXE_magpie-soak"));
     let program = build_box(soak);
     let out = Command::new(soak)
         .args(["--seed", &seed.to_string()])
         .args(["--boxes", "3", "--workers", "6", "--untimed"])
-        .args(seconds(more))
-        .args(more)
+        .args(duration_arguments(options))
+        .args(options)
         .arg("--box")
         .arg(program)
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&out.stdout);
-    assert_eq!(out.status.code(), Some(0), "{told}");
+    let output = String::from_utf8_lossy(&out.stdout);
+    assert_eq!(out.status.code(), Some(0), "{output}");
 }
 
-/// The usual length of a run, where no other is asked for.
-fn seconds(more: &[&str]) -> &'static [&'static str] {
-    if more.contains(&"--seconds") {
+/// The default duration of a run, unless `options` sets one.
+fn duration_arguments(options: &[&str]) -> &'static [&'static str] {
+    if options.contains(&"--seconds") {
         &[]
     } else {
         &["--seconds", "12"]
