--- a/programs/load/src/added.rs
+++ b/programs/load/src/added.rs
@@ -1,4 +1,5 @@
-//! What a gate adds to a call: the same backend server, straight and through the gate.
+//! Measures the latency that a gate adds to a call: the same backend server, called directly and
+//! through the gate.
 
 use {
     crate::{cli, machine},
@@ -21,10 +22,10 @@
 /// The class of the calls.
 const CLASS: &str = "validation";
 
-/// Calls of one kind before those of the other.
-const TURN: u32 = 100;
+/// Number of calls on one path before switching to the other.
+const ROUND: u32 = 100;
 
-/// The outcome.
+/// The measured latencies.
 #[derive(Debug, Serialize)]
 struct Outcome {
     calls: u32,
@@ -36,7 +37,7 @@
     gate_p99_ms: f64,
 }
 
-/// Measures and prints.
+/// Runs the measurement and prints the outcome.
 pub fn run(command: &cli::Added) {
     let outcome = kernel::daemon::started_or_exit(measure(command.calls));
     if command.json {
@@ -57,8 +58,8 @@
     );
 }
 
-/// A table with the one service, as the store would hold it.
-fn seed(store: &dyn Store) -> io::Result<()> {
+/// Writes a table with a single service row to the store.
+fn seed_table(store: &dyn Store) -> io::Result<()> {
     let row = Row {
         kind: Kind::Service,
         target: Some(50),
@@ -77,11 +78,11 @@
 }
 
 fn measure(calls: u32) -> io::Result<Outcome> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let core = Arc::new(store::Core::new(store::Rates::default(), Clock::real()));
-    seed(core.as_ref())?;
+    seed_table(core.as_ref())?;
     let registry = Registry::new(Duration::ZERO);
-    let backend = Backend::open(any, Duration::ZERO, 1, Witness::new())?;
+    let backend = Backend::open(any_port, Duration::ZERO, 1, Witness::new())?;
     let mut item = entry_item("s1", "h1", &[("http", backend.url())]);
     item.kind = infra::boxes::Kind::Backend;
     item.class = Arc::from(CLASS);
@@ -90,7 +91,7 @@
     let boxes = Arc::new(registry.clone());
     let table = service::Service::start(service::Settings {
         name: name.clone(),
-        listen: any,
+        listen: any_port,
         token: None,
         store: core,
         boxes: boxes.clone(),
@@ -98,8 +99,8 @@
     let gate = Service::start(Settings {
         name,
         hall: Arc::from("h1"),
-        listen: any,
-        ops: any,
+        listen: any_port,
+        ops: any_port,
         token: None,
         boxes,
         choice: choice::make("two-choices").map_err(io::Error::other)?,
@@ -124,40 +125,41 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)
 }
 
-/// Calls straight and through the gate in turns, so that both meet the same machine.
+/// Alternates between direct calls and calls through the gate, so that both see the same load on
+/// the machine.
 fn compare(direct: &str, gate: &str, calls: u32) -> io::Result<Outcome> {
     let client = Client::new(None);
-    let (mut straight, mut through) = (histogram()?, histogram()?);
-    for _ in 0..TURN {
+    let (mut direct_times, mut gate_times) = (histogram()?, histogram()?);
+    for _ in 0..ROUND {
         call(&client, direct)?;
         call(&client, gate)?;
     }
-    let mut spent = [0.0; 2];
-    for _ in 0..calls.div_ceil(TURN) {
-        let start = machine::processor();
-        for _ in 0..TURN {
-            straight.saturating_record(call(&client, direct)?);
+    let mut cpu_times = [0.0; 2];
+    for _ in 0..calls.div_ceil(ROUND) {
+        let start = machine::cpu_seconds();
+        for _ in 0..ROUND {
+            direct_times.saturating_record(call(&client, direct)?);
         }
-        let middle = machine::processor();
-        for _ in 0..TURN {
-            through.saturating_record(call(&client, gate)?);
+        let middle = machine::cpu_seconds();
+        for _ in 0..ROUND {
+            gate_times.saturating_record(call(&client, gate)?);
         }
-        spent[0] += middle - start;
-        spent[1] += machine::processor() - middle;
+        cpu_times[0] += middle - start;
+        cpu_times[1] += machine::cpu_seconds() - middle;
     }
     let milliseconds = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e6 * 1e3;
     Ok(Outcome {
         calls,
-        direct_p50_ms: milliseconds(&straight, 0.5),
-        gate_p50_ms: milliseconds(&through, 0.5),
-        added_p50_ms: milliseconds(&through, 0.5) - milliseconds(&straight, 0.5),
-        added_cpu_ms: (spent[1] - spent[0]) * 1e3 / f64::from(calls),
-        direct_p99_ms: milliseconds(&straight, 0.99),
-        gate_p99_ms: milliseconds(&through, 0.99),
+        direct_p50_ms: milliseconds(&direct_times, 0.5),
+        gate_p50_ms: milliseconds(&gate_times, 0.5),
+        added_p50_ms: milliseconds(&gate_times, 0.5) - milliseconds(&direct_times, 0.5),
+        added_cpu_ms: (cpu_times[1] - cpu_times[0]) * 1e3 / f64::from(calls),
+        direct_p99_ms: milliseconds(&direct_times, 0.99),
+        gate_p99_ms: milliseconds(&gate_times, 0.99),
     })
 }
 
-/// One call; its time in microseconds.
+/// Sends one call. Returns its duration in microseconds.
 fn call(client: &Client, base: &str) -> io::Result<u64> {
     let url = format!("{base}/validate");
     let headers = [("x-magpie-class", CLASS), ("x-id", "1")];
--- a/programs/load/src/cli.rs
+++ b/programs/load/src/cli.rs
@@ -1,15 +1,15 @@
-//! The arguments.
+//! Command-line arguments.
 
 use argh::FromArgs;
 
-/// Load and experiments on the real code, against stand-ins on loopback.
+/// Performance experiments on the real code, against simulated services on loopback.
 #[derive(FromArgs)]
 pub struct Arguments {
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// Which experiment.
+/// The experiment to run.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -19,14 +19,14 @@
     Takeover(Takeover),
 }
 
-/// Kill the owner of a cell again and again, and time the start of urgent work there.
+/// Kill the owner of a cell repeatedly, and measure the time until urgent work starts there.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "takeover")]
 pub struct Takeover {
-    /// whose sizes: fiscalis or sabarmati (default fiscalis)
+    /// deployment whose sizes are used: fiscalis or sabarmati (default fiscalis)
     #[argh(option, default = "String::from(\"fiscalis\")")]
     pub deploy: String,
-    /// deaths (default 10)
+    /// number of owners to kill (default 10)
     #[argh(option, default = "10")]
     pub rounds: u32,
     /// print JSON
@@ -34,14 +34,14 @@
     pub json: bool,
 }
 
-/// Watch what a running process uses: memory, threads and processor time.
+/// Measure the resource usage of a running process: memory, threads and processor time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 pub struct Watch {
-    /// the process's id
+    /// process id
     #[argh(option)]
     pub pid: u32,
-    /// seconds to watch (default 10)
+    /// seconds to measure (default 10)
     #[argh(option, default = "10")]
     pub seconds: u64,
     /// print JSON
@@ -49,12 +49,12 @@
     pub json: bool,
 }
 
-/// Measure how a cost grows with a size, and fit a line: what, or all of decide, book, memory,
-/// messages, exchange, list, limits, owner, pick, spread, summaries, writes.
+/// Measure how a cost grows with a size, and fit a line: any of decide, book, memory, messages,
+/// exchange, list, limits, owner, pick, spread, summaries, writes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "slope")]
 pub struct Slope {
-    /// which costs; none for all
+    /// the costs to measure (default: all)
     #[argh(positional)]
     pub what: Vec<String>,
     /// print JSON
@@ -62,11 +62,11 @@
     pub json: bool,
 }
 
-/// Measure what a gate adds to a call at the median.
+/// Measure the latency that a gate adds to a call at the median.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "added")]
 pub struct Added {
-    /// calls of each kind (default 4000)
+    /// calls per path, direct and through the gate (default 4000)
     #[argh(option, default = "4000")]
     pub calls: u32,
     /// print JSON
--- a/programs/load/src/fit.rs
+++ b/programs/load/src/fit.rs
@@ -1,4 +1,4 @@
-//! A line through measured costs, with what it leaves over.
+//! Linear fit of measured costs, with its residual.
 
 use serde::Serialize;
 
@@ -11,18 +11,18 @@
     pub cost: f64,
 }
 
-/// A cost against a size.
+/// A linear fit of a cost against a size.
 #[derive(Debug, Clone, Serialize)]
 pub struct Fit {
-    /// What was measured, with the unit of the cost.
+    /// The measured cost with its unit.
     pub what: String,
     /// What the size counts.
     pub against: String,
-    /// The points.
+    /// The measured points.
     pub points: Vec<Point>,
-    /// The cost at size 0, by the line.
+    /// The fitted cost at size 0.
     pub base: f64,
-    /// The cost of one more, by the line.
+    /// The fitted cost per unit of size.
     pub slope: f64,
     /// The largest distance of a point from the line, in percent of the largest cost.
     pub residual: f64,
@@ -31,7 +31,7 @@
 /// Fits a line by least squares.
 pub fn line(what: &str, against: &str, points: Vec<Point>) -> Fit {
     let count = points.len() as f64;
-    let mean = |of: fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
+    let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
     let (size, cost) = (mean(|p| p.size), mean(|p| p.cost));
     let covariance: f64 = points
         .iter()
@@ -44,12 +44,12 @@
         covariance / variance
     };
     let base = cost - slope * size;
-    let most = points
+    let max_cost = points
         .iter()
         .map(|p| p.cost.abs())
         .fold(f64::MIN_POSITIVE, f64::max);
-    let off = |p: &Point| (p.cost - base - slope * p.size).abs();
-    let residual = points.iter().map(off).fold(0.0, f64::max) / most * 100.0;
+    let deviation = |p: &Point| (p.cost - base - slope * p.size).abs();
+    let residual = points.iter().map(deviation).fold(0.0, f64::max) / max_cost * 100.0;
     Fit {
         what: what.to_owned(),
         against: against.to_owned(),
@@ -61,7 +61,7 @@
 }
 
 impl Fit {
-    /// Prints the fit for a person.
+    /// Prints the fit in readable form.
     pub fn print(&self) {
         println!("{} against {}", self.what, self.against);
         for point in &self.points {
@@ -79,7 +79,7 @@
     use super::*;
 
     #[test]
-    fn line_exact() {
+    fn line_through_exact_points() {
         let points = [1.0, 2.0, 5.0].map(|size| Point {
             size,
             cost: 3.0 + 2.0 * size,
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn line_shows_residual() {
+    fn line_reports_residual() {
         let points = [(1.0, 1.0), (2.0, 4.0), (3.0, 9.0), (4.0, 16.0)];
         let points = points.map(|(size, cost)| Point { size, cost });
         assert!(line("x", "y", points.to_vec()).residual > 5.0);
--- a/programs/load/src/main.rs
+++ b/programs/load/src/main.rs
@@ -1,4 +1,4 @@
-//! Load and experiments on the real programs' parts.
+//! Performance experiments on the components of the real programs.
 
 mod added;
 mod cli;
--- a/programs/load/src/slope/book.rs
+++ b/programs/load/src/slope/book.rs
@@ -1,4 +1,4 @@
-//! A cell's book against the number of jobs in it.
+//! Measures the stored record of a cell against the number of jobs in it.
 
 use {
     super::rig::Rig,
@@ -8,16 +8,16 @@
     },
 };
 
-/// Jobs in the book.
+/// Number of jobs in the record.
 const JOBS: [u32; 5] = [100, 250, 500, 1000, 2000];
 
-/// Runs of each size; the shortest counts.
+/// Number of runs per size; the shortest is used.
 const RUNS: u32 = 5;
 
-/// Tasks of each job; half of them have finished out of order.
+/// Tasks per job; half of them have finished out of order.
 const TASKS: u32 = 20;
 
-/// Measures the size of the book and the time to encode it.
+/// Measures the size of the record and the time to encode it.
 pub fn run() -> Vec<Fit> {
     let mut sizes = Vec::new();
     let mut times = Vec::new();
--- a/programs/load/src/slope/decide.rs
+++ b/programs/load/src/slope/decide.rs
@@ -1,4 +1,4 @@
-//! The cost of a decision, and of a report, against the number of workers.
+//! Measures the cost of a placement decision and of a report against the number of workers.
 
 use {
     super::rig::Rig,
@@ -6,26 +6,26 @@
     std::time::Instant,
 };
 
-/// Workers of a cell.
+/// Number of workers of the cell.
 const WORKERS: [usize; 5] = [50, 100, 200, 400, 800];
 
-/// Runs of each size; the shortest counts.
+/// Number of runs per size; the shortest is used.
 const RUNS: usize = 5;
 
-/// Tasks placed on each worker of the rig.
+/// Tasks placed on each worker.
 const PER_WORKER: usize = 50;
 
-/// Places tasks on cells of several sizes, lets them end, and times the owner's part.
+/// Places tasks on cells of several sizes, lets them end, and measures the owner's processing time.
 pub fn run() -> Vec<Fit> {
-    let mut places = Vec::new();
+    let mut placements = Vec::new();
     let mut reports = Vec::new();
     for workers in WORKERS {
         let mut best = (f64::MAX, f64::MAX);
         for _ in 0..RUNS {
-            let (place, report) = once(workers);
+            let (place, report) = measure(workers);
             best = (best.0.min(place), best.1.min(report));
         }
-        places.push(Point {
+        placements.push(Point {
             size: workers as f64,
             cost: best.0,
         });
@@ -38,7 +38,7 @@
         fit::line(
             "placing a task, microseconds",
             "workers of the cell",
-            places,
+            placements,
         ),
         fit::line(
             "a task's start and end reported, microseconds",
@@ -48,28 +48,29 @@
     ]
 }
 
-/// The mean time to place a task, and to take the reports of its start and its end over, in
+/// Returns the mean time to place a task, and to process the reports of its start and its end, in
 /// microseconds.
-fn once(workers: usize) -> (f64, f64) {
+fn measure(workers: usize) -> (f64, f64) {
     let mut rig = Rig::new(workers);
     let tasks = workers * PER_WORKER;
     rig.submit(tasks as u32, 1000);
     let mut placed = 0;
     let mut spent = 0.0;
     while placed < tasks {
-        // What is reserved in the store runs out every thousand tasks; the write is not counted.
+        // The attempt numbers reserved in the store run out every thousand tasks; the write is not
+        // counted.
         rig.commit();
         let started = Instant::now();
-        let more = rig.place(512);
+        let count = rig.place(512);
         spent += started.elapsed().as_secs_f64();
-        if more == 0 {
+        if count == 0 {
             break;
         }
-        placed += more;
+        placed += count;
     }
     let place = spent * 1e6 / placed as f64;
     let mut spent = rig.exchange();
-    rig.pass_time(1500);
+    rig.advance(1500);
     spent += rig.exchange();
     let report = spent.as_secs_f64() * 1e6 / placed as f64;
     (place, report)
--- a/programs/load/src/slope/exchange.rs
+++ b/programs/load/src/slope/exchange.rs
@@ -1,4 +1,5 @@
-//! Processor time of exchanges over HTTP against their rate, both ends counted in.
+//! Measures the processor time of exchanges with a worker over HTTP, both ends included, against
+//! their number.
 
 use {
     super::rig::item,
@@ -12,10 +13,10 @@
     std::sync::Arc,
 };
 
-/// Exchanges of one run.
+/// Number of exchanges per run.
 const EXCHANGES: [u32; 4] = [2000, 4000, 8000, 16_000];
 
-/// Exchanges with one worker, one after another.
+/// Performs sequential exchanges with one worker.
 pub fn run() -> Vec<Fit> {
     let farm = Farm::new(Clock::real(), Witness::new());
     let name = item(1, "h1").name;
@@ -27,14 +28,14 @@
     let base = port.url(&name);
     let mut number = 0;
     let points = EXCHANGES.map(|count| {
-        let before = machine::processor();
+        let before = machine::cpu_seconds();
         for _ in 0..count {
             number += 1;
             if let Err(failure) = workers.exchange(&base, &order(number)) {
-                unreachable!("an exchange of the rig failed: {failure}");
+                unreachable!("an exchange of the experiment failed: {failure}");
             }
         }
-        let cost = (machine::processor() - before) * 1e3;
+        let cost = (machine::cpu_seconds() - before) * 1e3;
         Point {
             size: f64::from(count),
             cost,
--- a/programs/load/src/slope/limits.rs
+++ b/programs/load/src/slope/limits.rs
@@ -1,4 +1,5 @@
-//! Working a cell's limits out, after an edit or a new list, against rows and workers.
+//! Measures the computation of a cell's limits, which follows an edit or a new list, against table
+//! rows and workers.
 
 use {
     super::rig::{item, table},
@@ -10,13 +11,13 @@
     sched::limits::Limits,
 };
 
-/// Rows of the table.
+/// Number of rows of the table.
 const ROWS: [usize; 4] = [50, 250, 500, 1000];
 
-/// Workers in the list.
+/// Number of workers in the list.
 const WORKERS: [usize; 4] = [1000, 2000, 4000, 8000];
 
-/// Runs of each size; the shortest counts.
+/// Number of runs per size; the shortest is used.
 const RUNS: u32 = 5;
 
 fn list(workers: usize) -> List {
@@ -26,24 +27,24 @@
     List { version: 1, items }
 }
 
-fn time(rows: usize, list: &List) -> f64 {
+fn measure(rows: usize, list: &List) -> f64 {
     let table = table(rows);
-    let time = machine::shortest(RUNS, || {
+    let duration = machine::shortest(RUNS, || {
         std::hint::black_box(Limits::of("hall7", table.clone(), list));
     });
-    time.as_secs_f64() * 1e3
+    duration.as_secs_f64() * 1e3
 }
 
-/// Times the limits of one cell.
+/// Measures the limits of one cell.
 pub fn run() -> Vec<Fit> {
     let full = list(8000);
     let rows = ROWS.map(|rows| Point {
         size: rows as f64,
-        cost: time(rows, &full),
+        cost: measure(rows, &full),
     });
     let workers = WORKERS.map(|workers| Point {
         size: workers as f64,
-        cost: time(250, &list(workers)),
+        cost: measure(250, &list(workers)),
     });
     vec![
         fit::line(
--- a/programs/load/src/slope/list.rs
+++ b/programs/load/src/slope/list.rs
@@ -1,4 +1,4 @@
-//! The list of boxes against the number of boxes in it.
+//! Measures the size and decoding time of the list of boxes against the number of boxes.
 
 use {
     super::rig::item,
@@ -9,13 +9,13 @@
     infra::boxes::List,
 };
 
-/// Boxes in the list.
+/// Number of boxes in the list.
 const BOXES: [usize; 5] = [100, 1000, 2000, 4000, 8000];
 
-/// Runs of each size; the shortest counts.
+/// Number of runs per size; the shortest is used.
 const RUNS: u32 = 5;
 
-/// Measures the bytes of the list and the time to read it.
+/// Measures the bytes of the list and the time to decode it.
 pub fn run() -> Vec<Fit> {
     let mut sizes = Vec::new();
     let mut times = Vec::new();
@@ -26,7 +26,7 @@
         let bytes = serde_json::to_vec(&List { version: 1, items }).unwrap_or_default();
         let time = machine::shortest(RUNS, || {
             let list: Result<List, _> = serde_json::from_slice(&bytes);
-            assert!(list.is_ok(), "the list of the rig cannot be read");
+            assert!(list.is_ok(), "the list of the experiment cannot be decoded");
         });
         sizes.push(Point {
             size: boxes as f64,
--- a/programs/load/src/slope/memory.rs
+++ b/programs/load/src/slope/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a cell's owner against workers, running tasks and queued jobs.
+//! Measures the memory of a cell's owner against workers, running tasks and queued jobs.
 
 use {
     super::rig::Rig,
@@ -8,36 +8,36 @@
     },
 };
 
-/// Workers of a cell.
+/// Number of workers of the cell.
 const WORKERS: [usize; 4] = [200, 400, 800, 1600];
 
-/// Tasks that run.
+/// Number of running tasks.
 const RUNNING: [usize; 4] = [5000, 10_000, 20_000, 25_000];
 
-/// Jobs that wait.
+/// Number of queued jobs.
 const QUEUED: [u32; 4] = [500, 1000, 2000, 4000];
 
-/// Measures what the process holds more with each.
+/// Measures the growth of the process memory with each of them.
 pub fn run() -> Vec<Fit> {
-    // What the process takes once only is not counted.
+    // Memory that is allocated only once is not counted.
     let _ = growth(|| Rig::new(WORKERS[0]));
     vec![workers(), running(), queued()]
 }
 
-/// The growth of the process's memory while something is made and kept, in bytes. What was made
-/// is kept for good, so that the next measurement does not get its memory back.
+/// Returns the growth of the process memory while `make` runs, in bytes. The value is never freed,
+/// so that the next measurement cannot reuse its memory.
 fn growth<T>(make: impl FnOnce() -> T) -> f64 {
-    let before = machine::resident();
-    let made = make();
-    let after = machine::resident();
-    std::mem::forget(made);
+    let before = machine::resident_bytes();
+    let value = make();
+    let after = machine::resident_bytes();
+    std::mem::forget(value);
     after.saturating_sub(before) as f64
 }
 
 fn workers() -> Fit {
     let points = WORKERS.map(|workers| Point {
         size: workers as f64,
-        // The rig's stand-in ledgers are counted in, so this is an upper bound.
+        // The simulated workers are included, so this is an upper bound.
         cost: growth(|| Rig::new(workers)),
     });
     fit::line(
@@ -57,7 +57,7 @@
                 rig.commit();
                 match rig.place(512) {
                     0 => break,
-                    more => placed += more,
+                    count => placed += count,
                 }
             }
             rig.exchange();
--- a/programs/load/src/slope/messages.rs
+++ b/programs/load/src/slope/messages.rs
@@ -1,4 +1,5 @@
-//! Bytes of the messages between an owner and a worker against what they tell.
+//! Measures the size of the messages between an owner and a worker against the number of tasks in
+//! them.
 
 use {
     super::rig::TASK,
@@ -8,51 +9,51 @@
     std::{io::Read, net::TcpListener, sync::Arc, thread},
 };
 
-/// Tasks told in one message.
+/// Number of tasks in a message.
 const TASKS: [u32; 4] = [0, 4, 16, 64];
 
-/// Encodes orders and reports.
+/// Measures orders and reports.
 pub fn run() -> Vec<Fit> {
     let point = |tasks: u32, bytes: usize| Point {
         size: f64::from(tasks),
         cost: bytes as f64,
     };
-    let orders = TASKS.map(|tasks| point(tasks, length(&order(tasks))));
-    let reports = TASKS.map(|tasks| point(tasks, length(&report(tasks))));
-    let wires = TASKS.map(|tasks| point(tasks, wire(&order(tasks))));
+    let orders = TASKS.map(|tasks| point(tasks, body_length(&order(tasks))));
+    let reports = TASKS.map(|tasks| point(tasks, body_length(&report(tasks))));
+    let requests = TASKS.map(|tasks| point(tasks, request_length(&order(tasks))));
     vec![
         fit::line(
             "an order on the wire with HTTP's headers, bytes",
             "starts in it",
-            wires.to_vec(),
+            requests.to_vec(),
         ),
         fit::line("an order's body, bytes", "starts in it", orders.to_vec()),
         fit::line("a report's body, bytes", "records in it", reports.to_vec()),
     ]
 }
 
-/// The bytes that one exchange's request puts on the wire; 0 when it cannot be listened to.
-fn wire(order: &Order) -> usize {
+/// Returns the size of the HTTP request of one exchange in bytes; 0 when no port can be opened.
+fn request_length(order: &Order) -> usize {
     let Ok(listener) = TcpListener::bind(("127.0.0.1", 0)) else {
         return 0;
     };
     let Ok(address) = listener.local_addr() else {
         return 0;
     };
-    let body = length(order);
+    let body = body_length(order);
     let order = order.clone();
     let sender = thread::spawn(move || {
         let workers = worker::Http::new(service::worker_client());
-        // Nobody answers: the call fails once all of it was read.
+        // No response is sent: the call fails once the request was read.
         let _ = workers.exchange(&format!("http://{address}/w/w012"), &order);
     });
     let mut bytes = Vec::new();
     if let Ok((mut stream, _)) = listener.accept() {
-        let mut part = [0; 4096];
-        while !ends_with_body(&bytes, body) {
-            match stream.read(&mut part) {
+        let mut buffer = [0; 4096];
+        while !is_complete(&bytes, body) {
+            match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => break,
-                Ok(read) => bytes.extend_from_slice(&part[..read]),
+                Ok(read) => bytes.extend_from_slice(&buffer[..read]),
             }
         }
     }
@@ -60,13 +61,13 @@
     bytes.len()
 }
 
-/// True when the headers and a body of this length are there.
-fn ends_with_body(bytes: &[u8], body: usize) -> bool {
-    let head = bytes.windows(4).position(|part| part == b"\r\n\r\n");
+/// True when the headers and a body of this length have arrived.
+fn is_complete(bytes: &[u8], body: usize) -> bool {
+    let head = bytes.windows(4).position(|window| window == b"\r\n\r\n");
     head.is_some_and(|head| bytes.len() >= head + 4 + body)
 }
 
-fn length<T: serde::Serialize>(message: &T) -> usize {
+fn body_length<T: serde::Serialize>(message: &T) -> usize {
     serde_json::to_vec(message).map_or(0, |bytes| bytes.len())
 }
 
--- a/programs/load/src/slope/mod.rs
+++ b/programs/load/src/slope/mod.rs
@@ -1,4 +1,4 @@
-//! Costs against sizes.
+//! Experiments that measure how a cost grows with a size.
 
 mod book;
 mod decide;
@@ -26,7 +26,7 @@
     run: fn() -> Vec<Fit>,
 }
 
-/// All experiments. Memory goes first, before others leave memory behind.
+/// All experiments. Memory runs first, before other experiments leave memory allocated.
 const EXPERIMENTS: [Experiment; 12] = [
     Experiment {
         name: "memory",
@@ -78,19 +78,20 @@
     },
 ];
 
-/// Runs the experiments that were asked for.
+/// Runs the selected experiments, or all.
 pub fn run(command: &cli::Slope) {
     for name in &command.what {
         if !EXPERIMENTS.iter().any(|experiment| experiment.name == name) {
             let names: Vec<&str> = EXPERIMENTS.iter().map(|e| e.name).collect();
-            eprintln!("'{name}' is wrong; right is one of {}", names.join(", "));
+            eprintln!("'{name}' is invalid; expected one of {}", names.join(", "));
             process::exit(settings::EXIT_SETTINGS)
         }
     }
     let mut fits = Vec::new();
     for experiment in &EXPERIMENTS {
-        let wanted = command.what.is_empty() || command.what.iter().any(|w| w == experiment.name);
-        if !wanted {
+        let is_selected =
+            command.what.is_empty() || command.what.iter().any(|w| w == experiment.name);
+        if !is_selected {
             continue;
         }
         for fit in (experiment.run)() {
--- a/programs/load/src/slope/owner/mod.rs
+++ b/programs/load/src/slope/owner/mod.rs
@@ -1,50 +1,51 @@
-//! The processor time of a cell's owner against the number of its workers, under the mix of work of
-//! the larger deployments: four fifths of all processors serve, the rest is filled.
+//! Measures the processor time of a cell's owner against the number of its workers, under the
+//! workload of the larger deployments: serving tasks use four fifths of all processors, best-effort
+//! tasks the rest.
 
-mod host;
 mod work;
+mod worker;
 
 use {
     crate::fit::{self, Fit, Point},
     cell::{Cell, Entry, Order, Outcome, Timing},
-    host::Host,
     job::Step,
     std::{
         collections::BTreeMap,
         sync::Arc,
         time::{Duration, Instant},
     },
+    worker::Worker,
 };
 
-/// Workers of a cell.
+/// Number of workers of the cell.
 const WORKERS: [usize; 4] = [60, 120, 245, 490];
-/// How long each size is driven, in simulated milliseconds.
-const LENGTH: u64 = 12_000;
-/// One step of simulated time, in milliseconds.
+/// Duration of each simulation, in simulated milliseconds.
+const DURATION: u64 = 12_000;
+/// The simulation step, in milliseconds.
 const STEP: u64 = 10;
-/// Jobs of quick checks, a second and worker.
-const CHECKS: f64 = 0.021;
-/// Jobs of filling work, a second and worker.
-const FILLS: f64 = 0.04;
+/// Arrival rate of check jobs, per second and worker.
+const CHECK_RATE: f64 = 0.021;
+/// Arrival rate of best-effort jobs, per second and worker.
+const BEST_EFFORT_RATE: f64 = 0.04;
 
-/// Time spent by the owner, by what it did.
+/// The owner's processing time by activity.
 #[derive(Default)]
-struct Spent {
+struct OwnerTime {
     reports: Duration,
     passes: Duration,
     rest: Duration,
 }
 
-/// Drives cells of several sizes and times the owner's part.
+/// Simulates cells of several sizes and measures the owner's processing time.
 pub fn run() -> Vec<Fit> {
     let mut reports = Vec::new();
     let mut passes = Vec::new();
     let mut rest = Vec::new();
     for workers in WORKERS {
-        let spent = Play::new(workers).play();
+        let spent = Simulation::new(workers).run();
         let per_second = |spent: Duration| Point {
             size: workers as f64,
-            cost: spent.as_secs_f64() * 1e6 / LENGTH as f64,
+            cost: spent.as_secs_f64() * 1e6 / DURATION as f64,
         };
         reports.push(per_second(spent.reports));
         passes.push(per_second(spent.passes));
@@ -58,59 +59,61 @@
     ]
 }
 
-/// A cell, its workers and the work that comes to it.
-struct Play {
+/// A simulation of a cell, its workers and the arriving jobs.
+struct Simulation {
     cell: Cell,
-    hosts: BTreeMap<Arc<str>, Host>,
+    workers: BTreeMap<Arc<str>, Worker>,
     random: fastrand::Rng,
     jobs: u64,
     now: u64,
-    spent: Spent,
+    spent: OwnerTime,
 }
 
-impl Play {
+impl Simulation {
     fn new(workers: usize) -> Self {
         let timing = Timing {
             lease: 6_000,
             stop: 900,
             pace: 100,
         };
-        let mut play = Play {
+        let mut simulation = Simulation {
             cell: Cell::new(timing),
-            hosts: BTreeMap::new(),
+            workers: BTreeMap::new(),
             random: fastrand::Rng::with_seed(11),
             jobs: 0,
             now: 1_000,
-            spent: Spent::default(),
+            spent: OwnerTime::default(),
         };
         let entries: Vec<Entry> = (0..workers).map(work::entry).collect();
         for entry in &entries {
-            play.hosts.insert(entry.id.clone(), Host::default());
+            simulation
+                .workers
+                .insert(entry.id.clone(), Worker::default());
         }
-        play.cell.handle_listing(entries, play.now);
-        play
+        simulation.cell.handle_listing(entries, simulation.now);
+        simulation
     }
 
-    fn play(mut self) -> Spent {
-        let workers = self.hosts.len();
+    fn run(mut self) -> OwnerTime {
+        let workers = self.workers.len();
         for _ in 0..workers / 3 {
             let step = work::serving(&mut self.random);
             self.submit(0, vec![step]);
         }
-        let end = self.now + LENGTH;
-        let (mut checks, mut fills) = (0.0, 0.0);
+        let end = self.now + DURATION;
+        let (mut checks, mut best_effort) = (0.0, 0.0);
         while self.now < end {
-            checks += CHECKS * workers as f64 * STEP as f64 / 1e3;
-            fills += FILLS * workers as f64 * STEP as f64 / 1e3;
+            checks += CHECK_RATE * workers as f64 * STEP as f64 / 1e3;
+            best_effort += BEST_EFFORT_RATE * workers as f64 * STEP as f64 / 1e3;
             while checks >= 1.0 {
                 checks -= 1.0;
                 self.submit(0, vec![work::check(), work::check()]);
             }
-            while fills >= 1.0 {
-                fills -= 1.0;
+            while best_effort >= 1.0 {
+                best_effort -= 1.0;
                 let steps = vec![
-                    work::filling(&mut self.random, 0),
-                    work::filling(&mut self.random, 1),
+                    work::best_effort(&mut self.random, 0),
+                    work::best_effort(&mut self.random, 1),
                 ];
                 self.submit(2, steps);
             }
@@ -120,54 +123,54 @@
         self.spent
     }
 
-    /// Drives the cell for one step of time: reports, a pass of placement, and the rest.
+    /// Simulates one step: reports, a placement pass, and the remaining work.
     fn step(&mut self) {
-        self.take_reports();
-        let begun = Instant::now();
+        self.deliver_reports();
+        let started = Instant::now();
         self.cell.place(self.now);
-        self.spent.passes += begun.elapsed();
-        let begun = Instant::now();
+        self.spent.passes += started.elapsed();
+        let started = Instant::now();
         for (id, order) in self.cell.take_orders() {
-            self.carry_out(&id, &order);
+            self.execute(&id, &order);
         }
-        self.write();
+        self.persist();
         if self.now.is_multiple_of(100) {
             self.cell.relocate(self.now);
             self.cell.rerank(self.now, self.now);
             self.cell.expire_leases(self.now);
         }
-        self.spent.rest += begun.elapsed();
+        self.spent.rest += started.elapsed();
     }
 
-    /// Hands the cell what workers report now.
-    fn take_reports(&mut self) {
-        for (id, host) in &mut self.hosts {
-            let Some(report) = host.report(self.now, &mut self.random) else {
+    /// Delivers the due reports of the workers to the cell.
+    fn deliver_reports(&mut self) {
+        for (id, worker) in &mut self.workers {
+            let Some(report) = worker.report(self.now, &mut self.random) else {
                 continue;
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             self.cell.report(id, report, self.now, self.now, self.now);
             self.cell.next_poll(id, self.now);
-            self.spent.reports += begun.elapsed();
+            self.spent.reports += started.elapsed();
         }
     }
 
-    /// Writes down what is to be written; workers forget the ends in it.
-    fn write(&mut self) {
-        let change = self.cell.take_write_batch(usize::MAX);
-        for (id, number) in &change.ends {
-            if let Some(host) = self.hosts.get_mut(id) {
-                host.forget(*number);
+    /// Persists pending changes; workers discard the ends in them.
+    fn persist(&mut self) {
+        let batch = self.cell.take_write_batch(usize::MAX);
+        for (id, number) in &batch.ends {
+            if let Some(worker) = self.workers.get_mut(id) {
+                worker.discard_ends(*number);
             }
         }
-        self.cell.batch_written(&change);
+        self.cell.batch_written(&batch);
     }
 
-    fn carry_out(&mut self, id: &Arc<str>, order: &Order) {
-        let Some(host) = self.hosts.get_mut(id) else {
+    fn execute(&mut self, id: &Arc<str>, order: &Order) {
+        let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        host.carry_out(order, self.now, &mut self.random);
+        worker.execute(order, self.now, &mut self.random);
         self.cell.handle_outcome(id, order, Outcome::Done, self.now);
     }
 
@@ -176,8 +179,8 @@
         let Some(submission) = work::submission(self.jobs, priority, steps, self.now) else {
             return;
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         self.cell.admit(submission, self.now);
-        self.spent.rest += begun.elapsed();
+        self.spent.rest += started.elapsed();
     }
 }
--- a/programs/load/src/slope/owner/work.rs
+++ b/programs/load/src/slope/owner/work.rs
@@ -1,4 +1,4 @@
-//! The work of the experiment, and the workers that it runs on.
+//! The simulated workload and the workers that it runs on.
 
 use {
     cell::Entry,
@@ -6,17 +6,17 @@
     std::sync::Arc,
 };
 
-/// Processors of a worker, in thousandths of a core.
-const CORES: u64 = 18_000;
-/// Images of serving tasks.
-const SERVING: u64 = 10;
-/// Images of filling tasks.
-const FILLING: u64 = 18;
+/// Processor capacity of a worker, in thousandths of a core.
+const CPU: u64 = 18_000;
+/// Number of images of serving tasks.
+const SERVING_IMAGES: u64 = 10;
+/// Number of images of best-effort tasks.
+const BEST_EFFORT_IMAGES: u64 = 18;
 
-/// The text of jobs whose tasks serve.
+/// The specification text of jobs with serving tasks.
 pub const SERVING_TEXT: &str = "serving";
 
-/// The job of this number.
+/// Creates the job of this number.
 pub fn submission(number: u64, priority: u32, steps: Vec<Step>, now: u64) -> Option<Submission> {
     let text = if steps[0].lasting {
         SERVING_TEXT
@@ -46,9 +46,9 @@
     })
 }
 
-/// A step of serving tasks.
+/// Creates a step of serving tasks.
 pub fn serving(random: &mut fastrand::Rng) -> Step {
-    let image = random.u64(0..SERVING);
+    let image = random.u64(0..SERVING_IMAGES);
     Step {
         lasting: true,
         target: 50,
@@ -58,9 +58,9 @@
     }
 }
 
-/// A step of filling tasks, which waits for the step before it.
-pub fn filling(random: &mut fastrand::Rng, number: u16) -> Step {
-    let image = random.u64(0..FILLING);
+/// Creates a step of best-effort tasks, which depends on the preceding step.
+pub fn best_effort(random: &mut fastrand::Rng, number: u16) -> Step {
+    let image = random.u64(0..BEST_EFFORT_IMAGES);
     Step {
         fills: true,
         checkpoints: true,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A step of quick checks.
+/// Creates a step of short checks.
 pub fn check() -> Step {
     step(8, 2_800, 5_600)
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The listing of the worker of this number.
+/// Creates the listing entry of the worker of this number.
 pub fn entry(number: usize) -> Entry {
     let name: Arc<str> = format!("worker-{number:05}").into();
     Entry {
@@ -100,7 +100,7 @@
         address: format!("10.0.0.1:{number}").into(),
         hall: "h1".into(),
         size: Size {
-            cpu: CORES,
+            cpu: CPU,
             memory: 64_000,
             gpus: 0,
         },
--- a/programs/load/src/slope/owner/host.rs
+++ b/programs/load/src/slope/owner/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the experiment plays it: its runs end after a time, and it reports them.
+//! A simulated worker: its runs end after a drawn time, and it reports them.
 
 use {
     super::work,
@@ -7,37 +7,37 @@
     std::collections::BTreeMap,
 };
 
-/// Between two reports of a worker without news, in milliseconds.
-const REPORT_GAP: u64 = 500;
+/// Interval between two reports of a worker without changes, in milliseconds.
+const REPORT_INTERVAL: u64 = 500;
 
-/// A run on a worker.
+/// An active run.
 struct Running {
     start: Start,
-    /// When it is done.
+    /// When the run ends.
     ends: u64,
-    /// It serves: its figure is a tail of answer times, not the processors that it uses.
-    tail: bool,
+    /// A serving task: its figure is a tail latency instead of processor usage.
+    serving: bool,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Default)]
-pub struct Host {
+pub struct Worker {
     running: BTreeMap<(Id, usize), Running>,
     ended: Vec<RunEnd>,
     /// The number of the last end.
     ends: u64,
-    /// When it last reported.
-    reported: u64,
+    /// Time of the last report.
+    last_report: u64,
 }
 
-impl Host {
-    /// What it reports now, if it has news or it is time.
+impl Worker {
+    /// Returns the report that is due, because of changes or of time.
     pub fn report(&mut self, now: u64, random: &mut fastrand::Rng) -> Option<Report> {
-        let has_news = self.end_runs(now);
-        if !has_news && now < self.reported + REPORT_GAP {
+        let has_changes = self.end_runs(now);
+        if !has_changes && now < self.last_report + REPORT_INTERVAL {
             return None;
         }
-        self.reported = now;
+        self.last_report = now;
         let mut running = Vec::with_capacity(self.running.len());
         for run in self.running.values() {
             running.push(Run {
@@ -45,7 +45,7 @@
                 address: run.start.address,
                 run: run.start.run,
                 saved: None,
-                figure: if run.tail {
+                figure: if run.serving {
                     random.u64(12..40)
                 } else {
                     random.u64(800..2_500)
@@ -59,15 +59,15 @@
         })
     }
 
-    /// Ends the runs whose time has come. True when there were any.
+    /// Ends the runs that are due. Returns true if there were any.
     fn end_runs(&mut self, now: u64) -> bool {
-        let over: Vec<_> = self
+        let due: Vec<_> = self
             .running
             .iter()
             .filter(|(_, run)| run.ends <= now)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in &over {
+        for key in &due {
             let Some(run) = self.running.remove(key) else {
                 continue;
             };
@@ -81,20 +81,20 @@
                 saved: None,
             });
         }
-        !over.is_empty()
+        !due.is_empty()
     }
 
-    /// Forgets its ends up to a number: they are written down.
-    pub fn forget(&mut self, number: u64) {
+    /// Removes the ends up to a number, which the owner has persisted.
+    pub fn discard_ends(&mut self, number: u64) {
         self.ended.retain(|end| end.number > number);
     }
 
-    /// Does what it is ordered to.
-    pub fn carry_out(&mut self, order: &Order, now: u64, random: &mut fastrand::Rng) {
+    /// Executes an order.
+    pub fn execute(&mut self, order: &Order, now: u64, random: &mut fastrand::Rng) {
         match order {
             Order::Start(start) => {
-                let tail = &*start.text == work::SERVING_TEXT;
-                let length = if tail {
+                let serving = &*start.text == work::SERVING_TEXT;
+                let length = if serving {
                     u64::MAX / 2
                 } else {
                     random.u64(500..3_500)
@@ -102,7 +102,7 @@
                 let run = Running {
                     start: start.clone(),
                     ends: now + length,
-                    tail,
+                    serving,
                 };
                 let key = (start.key.job.clone(), start.key.place);
                 self.running.insert(key, run);
--- a/programs/load/src/slope/pick.rs
+++ b/programs/load/src/slope/pick.rs
@@ -1,4 +1,4 @@
-//! Choosing a backend server against the number of servers.
+//! Measures the choice of a backend server against the number of servers.
 
 use {
     crate::fit::{self, Fit, Point},
@@ -12,23 +12,23 @@
         sync::Arc,
         time::{Duration, Instant},
     },
-    table::{Kind as Work, Row, Table},
+    table::{Kind as RowKind, Row, Table},
 };
 
-/// Servers of one class.
+/// Number of servers of the class.
 const SERVERS: [usize; 5] = [50, 100, 250, 500, 1000];
 
-/// Requests of one run.
+/// Requests per run.
 const REQUESTS: u32 = 2000;
 
-/// Runs of each size; the shortest counts.
+/// Number of runs per size; the shortest is used.
 const RUNS: u32 = 5;
 
-/// Times the gate's actor.
+/// Measures the gate's actor.
 pub fn run() -> Vec<Fit> {
     let points = SERVERS.map(|servers| Point {
         size: servers as f64,
-        cost: time(servers),
+        cost: measure(servers),
     });
     let what = "choosing a server and giving it back, microseconds";
     vec![fit::line(what, "servers of the class", points.to_vec())]
@@ -55,7 +55,7 @@
 
 fn table() -> Table {
     let row = Row {
-        kind: Work::Service,
+        kind: RowKind::Service,
         target: Some(50),
         ..Row::batch("v")
     };
@@ -65,9 +65,9 @@
     }
 }
 
-/// The shortest mean time, in microseconds. The loop runs on the actor, so that only the choice
-/// is timed, and not the way to the actor.
-fn time(servers: usize) -> f64 {
+/// Returns the shortest mean time, in microseconds. The loop runs on the actor, so that only the
+/// choice is timed, without the message to the actor.
+fn measure(servers: usize) -> f64 {
     let Ok(policy) = choice::make("two-choices") else {
         return 0.0;
     };
@@ -84,7 +84,7 @@
         for _ in 0..RUNS {
             let started = Instant::now();
             for _ in 0..REQUESTS {
-                round(gate, cx, started);
+                acquire_and_release(gate, cx, started);
             }
             best = best.min(started.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS));
         }
@@ -93,14 +93,14 @@
     timed.unwrap_or(0.0)
 }
 
-fn round(gate: &mut Gate, cx: &mut Cx<'_, Gate>, now: Instant) {
-    let wanted = Wanted {
+fn acquire_and_release(gate: &mut Gate, cx: &mut Cx<'_, Gate>, now: Instant) {
+    let request = Wanted {
         class: Arc::from("v"),
         deadline: now + Duration::from_secs(60),
         tried: Vec::new(),
     };
     let (answerer, answer) = Responder::<Result<_, Failure>>::channel();
-    gate.pick(cx, wanted, answerer);
+    gate.pick(cx, request, answerer);
     if let Ok(Ok(ticket)) = answer.blocking_recv() {
         gate.done(ticket.at, Duration::from_millis(5), true, now);
     }
--- a/programs/load/src/slope/rig.rs
+++ b/programs/load/src/slope/rig.rs
@@ -1,4 +1,4 @@
-//! A cell with workers in memory and a clock set by hand.
+//! A test rig: a cell with simulated workers in memory and a manual clock.
 
 use {
     infra::{
@@ -18,16 +18,16 @@
     table::{Row, Table},
 };
 
-/// What a worker of the rig has.
+/// Capacity of a worker.
 pub const WORKER: Size = Size::new(64_000, 250_000, 0);
 
-/// What a task of the rig needs: 64 fit on a worker.
+/// Demand of a task: 64 fit on a worker.
 pub const TASK: Size = Size::new(1000, 1000, 0);
 
-/// The cell's name.
-const CELL: &str = "h1";
+/// The name of the cell.
+const CELL_NAME: &str = "h1";
 
-/// The rig.
+/// A cell with its workers and clock.
 pub struct Rig {
     /// The cell.
     pub cell: Cell,
@@ -38,7 +38,7 @@
     jobs: u64,
 }
 
-/// A worker for a list.
+/// Creates the list item of a worker.
 pub fn item(at: usize, hall: &str) -> Item {
     let name: Arc<str> = Arc::from(format!("w{at:05}"));
     let url: Arc<str> = Arc::from(format!("http://10.{}.{}.1:7000", at / 250, at % 250));
@@ -55,7 +55,7 @@
     }
 }
 
-/// A table with this many batch rows.
+/// Creates a table with this many batch rows.
 pub fn table(rows: usize) -> Arc<Table> {
     let rows = (0..rows).map(|n| Row::batch(&format!("class{n}")));
     let rows = rows.map(|row| (row.class.clone(), row)).collect();
@@ -63,21 +63,21 @@
 }
 
 impl Rig {
-    /// A cell that holds this many workers, all heard.
+    /// Creates a cell with this many workers, all of which have reported.
     pub fn new(workers: usize) -> Self {
         let clock = Clock::manual();
         let farm = Farm::new(clock.clone(), Witness::new());
-        let items: Vec<Item> = (0..workers).map(|at| item(at, CELL)).collect();
+        let items: Vec<Item> = (0..workers).map(|at| item(at, CELL_NAME)).collect();
         for item in &items {
             farm.add(&item.name, WORKER);
         }
         let start = Instant::now();
-        let tenure = Ownership::begin(Arc::from(CELL), 1);
+        let ownership = Ownership::begin(Arc::from(CELL_NAME), 1);
         let Ok(policy) = placement::create("mixed") else {
             unreachable!("mixed is built in")
         };
         let mut cell = Cell::new(
-            tenure,
+            ownership,
             CellRecord::default(),
             0,
             LeaseTiming::default(),
@@ -86,7 +86,7 @@
         );
         cell.update_workers(&items.iter().collect::<Vec<_>>());
         let list = List { version: 1, items };
-        cell.set_limits(Limits::of(CELL, table(4), &list));
+        cell.set_limits(Limits::of(CELL_NAME, table(4), &list));
         let mut rig = Rig {
             cell,
             farm,
@@ -97,31 +97,31 @@
         };
         rig.exchange();
         rig.cell.tick(rig.now());
-        // The first exchange told the clocks; the second gives the leases.
+        // The first exchange reports the clocks; the second grants the leases.
         rig.exchange();
         rig
     }
 
-    /// The time.
+    /// The current simulated time.
     pub fn now(&self) -> Instant {
         self.start + Duration::from_millis(self.clock.now())
     }
 
-    /// Lets the time pass.
-    pub fn pass_time(&mut self, milliseconds: u64) {
+    /// Advances the clock.
+    pub fn advance(&mut self, milliseconds: u64) {
         self.clock.advance(milliseconds);
     }
 
-    /// Submits a job and writes it down.
+    /// Submits a job and persists it.
     pub fn submit(&mut self, count: u32, length: u64) {
         self.submit_many(1, count, length);
     }
 
-    /// Submits jobs and writes them down at once.
+    /// Submits jobs and persists them with one write.
     pub fn submit_many(&mut self, jobs: u32, count: u32, length: u64) {
         for _ in 0..jobs {
             self.jobs += 1;
-            let id = job::id(CELL, self.jobs);
+            let id = job::id(CELL_NAME, self.jobs);
             let class = Arc::from(format!("class{}", self.jobs % 4));
             let spec = Spec {
                 class,
@@ -132,7 +132,7 @@
                 hall: None,
             };
             if let Err(failure) = self.cell.submit(&id, spec, 0) {
-                unreachable!("a job of the rig was refused: {failure}");
+                unreachable!("a job of the experiment was refused: {failure}");
             }
             let begin = sched::write_queue::AfterWrite::ActivateJob(id);
             self.cell.write_queue.stage(begin);
@@ -140,7 +140,7 @@
         self.commit();
     }
 
-    /// Writes the book down.
+    /// Persists the record of the cell. Returns its size in bytes.
     pub fn commit(&mut self) -> usize {
         let Ok(Some(batch)) = self.cell.take_batch() else {
             return 0;
@@ -150,28 +150,28 @@
         batch.bytes.len()
     }
 
-    /// Places up to this many tasks. Returns how many were placed.
-    pub fn place(&mut self, most: usize) -> usize {
+    /// Places up to `max_tasks` tasks. Returns how many were placed.
+    pub fn place(&mut self, max_tasks: usize) -> usize {
         let now = self.now();
-        pass::run(&mut self.cell, most, now).placed
+        pass::run(&mut self.cell, max_tasks, now).placed
     }
 
-    /// Exchanges with every worker. Returns the time that the owner's part took.
+    /// Exchanges messages with every worker. Returns the owner's processing time.
     pub fn exchange(&mut self) -> Duration {
-        let mut spent = Duration::ZERO;
+        let mut time_spent = Duration::ZERO;
         let now = self.now();
         for at in 0..self.cell.fleet.workers().len() {
             let started = Instant::now();
             let order = self.cell.next_order(at);
-            spent += started.elapsed();
+            time_spent += started.elapsed();
             let name = self.cell.fleet.worker(at).name.clone();
             let Ok(report) = self.farm.exchange(&name, &order) else {
                 continue;
             };
             let started = Instant::now();
             self.cell.handle_report(at, &order, report, now);
-            spent += started.elapsed();
+            time_spent += started.elapsed();
         }
-        spent
+        time_spent
     }
 }
--- a/programs/load/src/slope/spread.rs
+++ b/programs/load/src/slope/spread.rs
@@ -1,4 +1,4 @@
-//! The spread of an edit against the number of entry boxes.
+//! Measures the propagation of a table edit against the number of entry boxes.
 
 use {
     crate::{
@@ -22,28 +22,28 @@
     },
 };
 
-/// Entry boxes.
+/// Number of entry boxes.
 const BOXES: [usize; 4] = [6, 20, 40, 80];
 
-/// Edits timed at each size.
+/// Number of edits per size.
 const EDITS: u64 = 30;
 
-/// How long the calls on the store are counted: several watches.
-const REST: Duration = Duration::from_secs(40);
+/// Duration for which the calls to the store without edits are counted: several watches.
+const IDLE_TIME: Duration = Duration::from_secs(40);
 
-/// The time for one edit.
+/// Time-out of an edit.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the versions are looked at.
-const LOOK_EVERY: Duration = Duration::from_micros(500);
+/// The interval at which the versions are polled.
+const POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// Times edits until they are in force in every table process.
+/// Measures the time until edits are in force in every table process.
 pub fn run() -> Vec<Fit> {
     let mut times = Vec::new();
     let mut costs = Vec::new();
     let mut calls = Vec::new();
     for boxes in BOXES {
-        let Ok((time, cost, rate)) = once(boxes) else {
+        let Ok((time, cost, rate)) = measure(boxes) else {
             continue;
         };
         let size = boxes as f64;
@@ -70,9 +70,10 @@
     ]
 }
 
-/// The p99 time of an edit, its processor time, and the store's calls a second in peace.
-fn once(boxes: usize) -> io::Result<(f64, f64, f64)> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+/// Returns the p99 time of an edit, its processor time, and the calls per second to the store
+/// without edits.
+fn measure(boxes: usize) -> io::Result<(f64, f64, f64)> {
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let core = Arc::new(store::Core::new(store::Rates::default(), Clock::real()));
     let store: Arc<dyn Store> = core.clone();
     let registry = Registry::new(Duration::ZERO);
@@ -81,7 +82,7 @@
         let name = format!("b{number:03}");
         let service = Service::start(Settings {
             name: Arc::from(name.as_str()),
-            listen: any,
+            listen: any_port,
             token: None,
             store: store.clone(),
             boxes: Arc::new(registry.clone()),
@@ -91,20 +92,20 @@
     }
     thread::sleep(Duration::from_secs(2));
     let before = core.counts();
-    let rest = REST;
-    thread::sleep(rest);
+    let idle_time = IDLE_TIME;
+    thread::sleep(idle_time);
     let after = core.counts();
     let calls = after.get + after.watch + after.swap - before.get - before.watch - before.swap;
     let client = Client::new(None);
     let mut times = Vec::new();
-    let processor = machine::processor();
+    let cpu_before = machine::cpu_seconds();
     for number in 0..EDITS {
         times.push(edit(&client, &services, number)?);
     }
-    let cost = (machine::processor() - processor) * 1e3 / EDITS as f64;
+    let cost = (machine::cpu_seconds() - cpu_before) * 1e3 / EDITS as f64;
     times.sort_by(f64::total_cmp);
-    let place = (times.len() * 99).div_ceil(100).saturating_sub(1);
-    Ok((times[place], cost, calls as f64 / rest.as_secs_f64()))
+    let rank = (times.len() * 99).div_ceil(100).saturating_sub(1);
+    Ok((times[rank], cost, calls as f64 / idle_time.as_secs_f64()))
 }
 
 fn edit(client: &Client, services: &[Service], number: u64) -> io::Result<f64> {
@@ -129,13 +130,15 @@
     let started = Instant::now();
     let outcome: Result<Outcome, Failure> = client.post(&url, &Submit { edit }, TIMEOUT);
     let Ok(Outcome::Accepted(version)) = outcome else {
-        return Err(io::Error::other("an edit of the rig was not accepted"));
+        return Err(io::Error::other(
+            "an edit of the experiment was not accepted",
+        ));
     };
     while !services
         .iter()
         .all(|service| service.version().is_ok_and(|v| v >= version))
     {
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(started.elapsed().as_secs_f64() * 1e3)
 }
--- a/programs/load/src/slope/summaries.rs
+++ b/programs/load/src/slope/summaries.rs
@@ -1,4 +1,4 @@
-//! Bytes of the exchange of summaries against the number of cells.
+//! Measures the size of the exchange of cell summaries against the number of cells.
 
 use {
     crate::fit::{self, Fit, Point},
@@ -8,10 +8,10 @@
     std::sync::Arc,
 };
 
-/// Cells.
+/// Number of cells.
 const CELLS: [u32; 4] = [1, 4, 20, 40];
 
-/// Encodes the messages.
+/// Measures the encoded messages.
 pub fn run() -> Vec<Fit> {
     let point = |cells: u32| {
         let summaries = (0..cells).map(summary).collect();
--- a/programs/load/src/slope/writes.rs
+++ b/programs/load/src/slope/writes.rs
@@ -1,4 +1,4 @@
-//! Calls on the store against the rate of starts, at the same rate of jobs.
+//! Measures the calls to the store against the rate of task starts, at a constant rate of jobs.
 
 use {
     crate::fit::{self, Fit, Point},
@@ -14,16 +14,16 @@
     trial::{Fleet, fleet::TIMEOUT},
 };
 
-/// Tasks of each job.
+/// Number of tasks per job.
 const TASKS: [u32; 4] = [1, 10, 50, 200];
 
-/// The time between two jobs.
-const JOB_EVERY: Duration = Duration::from_millis(500);
+/// The interval between two jobs.
+const JOB_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long each rate is kept.
-const TIME: Duration = Duration::from_secs(12);
+/// Duration of the load at each rate.
+const LOAD_TIME: Duration = Duration::from_secs(12);
 
-/// Runs jobs of growing size on Fiscalis' boxes.
+/// Runs jobs of growing size on the Fiscalis deployment.
 pub fn run() -> Vec<Fit> {
     let Some(deploy) = Deploy::named("fiscalis") else {
         return Vec::new();
@@ -61,20 +61,20 @@
     ]
 }
 
-/// Starts, writes and reads a second with jobs of this size.
+/// Returns starts, writes and reads per second with jobs of this size.
 fn rates(fleet: &Fleet, tasks: u32) -> (f64, f64, f64) {
     let counts = || fleet.platform.store.core().counts();
     let starts = || fleet.platform.witness.totals().starts;
     let (before, first) = (counts(), starts());
-    let began = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while began.elapsed() < TIME {
+    while started.elapsed() < LOAD_TIME {
         submit(fleet, tasks, number);
         number += 1;
-        let due = began + JOB_EVERY * number;
+        let due = started + JOB_INTERVAL * number;
         thread::sleep(due.saturating_duration_since(Instant::now()));
     }
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     let after = counts();
     let reads = after.get + after.watch - before.get - before.watch;
     (
@@ -103,6 +103,6 @@
         passed: false,
     };
     let url = format!("{}/jobs/submit", fleet.any_sched());
-    // One that is not taken in shows in the rate of starts.
+    // A refused job shows in the rate of starts.
     let _: Result<Status, Failure> = fleet.client.post(&url, &message, TIMEOUT);
 }
--- a/programs/load/src/takeover.rs
+++ b/programs/load/src/takeover.rs
@@ -1,4 +1,4 @@
-//! The time from an owner's death to the start of urgent work in its cell.
+//! Measures the time from an owner's death to the start of urgent work in its cell.
 
 use {
     crate::cli,
@@ -19,16 +19,16 @@
     },
 };
 
-/// The time between two tries to submit.
-const TRY_EVERY: Duration = Duration::from_millis(20);
+/// The interval between two attempts to submit.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long one round may take.
-const ROUND_MOST: Duration = Duration::from_secs(60);
+/// Maximum duration of one round.
+const MAX_ROUND: Duration = Duration::from_secs(60);
 
-/// How long new work may run before the next death, so that it is known everywhere.
+/// Time for which new work runs before the next owner is killed, so that all boxes know of it.
 const SETTLE: Duration = Duration::from_secs(3);
 
-/// The outcome.
+/// The measured times.
 #[derive(Debug, Serialize)]
 struct Outcome {
     deploy: &'static str,
@@ -40,11 +40,11 @@
     stops: u64,
 }
 
-/// Measures and prints.
+/// Runs the measurement and prints the outcome.
 pub fn run(command: &cli::Takeover) {
     let Some(deploy) = Deploy::named(&command.deploy) else {
         eprintln!(
-            "--deploy: '{}' is wrong; right is fiscalis or sabarmati",
+            "--deploy: '{}' is invalid; expected fiscalis or sabarmati",
             command.deploy
         );
         process::exit(settings::EXIT_SETTINGS)
@@ -74,7 +74,7 @@
 
 fn submit(fleet: &Fleet, spec: &Spec, key: u64) -> Result<Arc<str>, String> {
     let Some(hall) = &spec.hall else {
-        return Err("a job of the rig has no hall".to_owned());
+        return Err("a job of the experiment has no hall".to_owned());
     };
     let id = job::id(hall, key);
     let message = Submit {
@@ -83,14 +83,14 @@
         spec: spec.clone(),
         passed: false,
     };
-    let end = Instant::now() + ROUND_MOST;
+    let end = Instant::now() + MAX_ROUND;
     loop {
         let url = format!("{}/jobs/submit", fleet.any_sched());
         let sent: Result<Status, Failure> = fleet.client.post(&url, &message, TIMEOUT);
         match sent {
             Ok(_) => return Ok(id),
             Err(failure) if Instant::now() > end => return Err(failure.to_string()),
-            Err(_) => thread::sleep(TRY_EVERY),
+            Err(_) => thread::sleep(RETRY_INTERVAL),
         }
     }
 }
@@ -107,11 +107,15 @@
     let cell = fleet.deploy.hall(0);
     let tasks = (fleet.deploy.workers / fleet.deploy.halls * 16) as u32;
     submit(&fleet, &spec(batch, &cell, tasks, 3_600_000), 1)?;
-    let all = || fleet.platform.witness.running() == tasks as usize;
-    wait(Instant::now() + ROUND_MOST, "the cell did not fill", all)?;
+    let all_running = || fleet.platform.witness.running() == tasks as usize;
+    wait(
+        Instant::now() + MAX_ROUND,
+        "the batch tasks did not all start",
+        all_running,
+    )?;
     let mut times = Vec::new();
     for round in 0..rounds {
-        times.push(once(&fleet, &cell, round)?);
+        times.push(run_round(&fleet, &cell, round)?);
     }
     let mut sorted = times.clone();
     sorted.sort_by(f64::total_cmp);
@@ -127,27 +131,27 @@
     })
 }
 
-/// Kills the cell's owner and brings another box. Returns the time until urgent work started, in
-/// milliseconds.
-fn once(fleet: &Fleet, cell: &Arc<str>, round: u32) -> Result<f64, String> {
+/// Kills the cell's owner and adds a replacement box. Returns the time until urgent work started,
+/// in milliseconds.
+fn run_round(fleet: &Fleet, cell: &Arc<str>, round: u32) -> Result<f64, String> {
     thread::sleep(SETTLE);
-    let Some(mut dead) = fleet.take_owner(cell) else {
+    let Some(mut owner) = fleet.take_owner(cell) else {
         return Err("the cell has no owner".to_owned());
     };
     let killed = Instant::now();
-    dead.kill();
+    owner.kill();
     let id = submit(fleet, &spec("urgent", cell, 1, 100), u64::from(round) + 100)?;
     let begun = || fleet.platform.witness.begun(&id);
     wait(
-        Instant::now() + ROUND_MOST,
+        Instant::now() + MAX_ROUND,
         "urgent work did not start",
         || begun().is_some(),
     )?;
-    let time = begun().map_or(0.0, |at| at.saturating_duration_since(killed).as_secs_f64());
-    fleet.platform.registry.remove(&dead.name);
+    let seconds = begun().map_or(0.0, |at| at.saturating_duration_since(killed).as_secs_f64());
+    fleet.platform.registry.remove(&owner.name);
     let name = format!("n{round}");
     fleet
-        .add(&name, dead.hall.clone())
+        .add(&name, owner.hall.clone())
         .map_err(|error| error.to_string())?;
-    Ok(time * 1e3)
+    Ok(seconds * 1e3)
 }
--- a/programs/load/src/watch.rs
+++ b/programs/load/src/watch.rs
@@ -1,4 +1,4 @@
-//! What a running process uses.
+//! Measures the resource usage of a running process.
 
 use {
     crate::{cli, machine},
@@ -6,10 +6,10 @@
     std::{process, thread, time::Duration},
 };
 
-/// Exit code when there is no such process.
-const EXIT_GONE: i32 = 1;
+/// Exit code when the process does not exist.
+const EXIT_NO_PROCESS: i32 = 1;
 
-/// The outcome.
+/// The measured usage.
 #[derive(Debug, Serialize)]
 struct Outcome {
     pid: u32,
@@ -18,21 +18,21 @@
     core_percent: f64,
 }
 
-/// Watches and prints.
+/// Runs the measurement and prints the outcome.
 pub fn run(command: &cli::Watch) {
     let name = command.pid.to_string();
-    let before = machine::processor_of(&name);
+    let before = machine::cpu_seconds_of(&name);
     thread::sleep(Duration::from_secs(command.seconds));
-    let after = machine::processor_of(&name);
+    let after = machine::cpu_seconds_of(&name);
     let outcome = Outcome {
         pid: command.pid,
-        memory_mb: machine::resident_of(&name) as f64 / 1e6,
-        threads: machine::threads_of(&name),
+        memory_mb: machine::resident_bytes_of(&name) as f64 / 1e6,
+        threads: machine::thread_count_of(&name),
         core_percent: (after - before) / command.seconds as f64 * 100.0,
     };
     if outcome.threads == 0 {
-        eprintln!("there is no process {name}");
-        process::exit(EXIT_GONE)
+        eprintln!("process {name} does not exist");
+        process::exit(EXIT_NO_PROCESS)
     }
     if command.json {
         println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
--- a/programs/load/tests/days.rs
+++ b/programs/load/tests/days.rs
@@ -1,4 +1,5 @@
-//! The own days of trouble in `bench/days` against the list of kinds in `bench/kinds.toml`.
+//! Checks that the benchmark days in `bench/days` use the fault kinds of `bench/kinds.toml`, and cover
+//! each variant and each added word.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -11,12 +12,12 @@
     toml_edit::{DocumentMut, Table},
 };
 
-/// A trouble comes this often in the day that covers its variant.
+/// Minimum number of occurrences of a variant in the day that covers it.
 const TIMES: usize = 2;
-/// The list of a day that strikes once, at its end.
+/// The list of faults that occur once, at the end of a day.
 const CLOSING: &str = "closing";
 
-/// The words of `how`; their order means nothing.
+/// The words of `how`, in any order.
 type Words = BTreeSet<String>;
 
 struct Kind {
@@ -26,7 +27,7 @@
 
 struct List {
     kinds: BTreeMap<String, Kind>,
-    /// The kinds that a word may be added to.
+    /// The kinds to which a word may be added.
     added: BTreeMap<String, Words>,
 }
 
@@ -118,7 +119,7 @@
 }
 
 impl List {
-    /// What is wrong with a trouble's place or name, if anything.
+    /// Returns what is invalid about a fault's list, kind or variant, if anything.
     fn fault(&self, trouble: &Trouble) -> Option<&'static str> {
         let Some(kind) = self.kinds.get(&trouble.kind) else {
             return Some("no such kind");
