--- a/programs/load/src/slope/decide.rs
+++ b/programs/load/src/slope/decide.rs
@@ -57,7 +57,7 @@
     let mut placed = 0;
     let mut spent = 0.0;
     while placed < tasks {
-        // The attempt numbers reserved in the store run out every thousand tasks; the write is not
+        // The task indexes reserved in the store run out every thousand tasks; the write is not
         // counted.
         rig.commit();
         let started = Instant::now();
