--- a/components/kernel/src/actor.rs
+++ b/components/kernel/src/actor.rs
@@ -119,7 +119,7 @@
     ) -> Result<R, Failure> {
         let (responder, receiver) = Responder::channel();
         self.tell(move |actor, cx| action(actor, cx, responder));
-        let timed_out = || Failure::may_have_run(Cause::Timeout, "the change is not persisted yet");
+        let timed_out = || Failure::may_have_run(Cause::Timeout, "it is not written down yet");
         let result = runtime::block_on(async { timeout(time, receiver).await });
         let received = result.map_err(|error| Failure::not_run(Cause::Stopping, error.to_string()));
         received?
@@ -129,7 +129,7 @@
 }
 
 fn stopped_failure() -> Failure {
-    Failure::not_run(Cause::Stopping, "the actor has stopped")
+    Failure::not_run(Cause::Stopping, "the actor is gone")
 }
 
 /// A thread that runs one main loop with one actor. Dropping it stops the actor.
--- a/components/kernel/src/client.rs
+++ b/components/kernel/src/client.rs
@@ -323,7 +323,7 @@
         Err(returned.unwrap_or_else(|_| {
             Failure::may_have_run(
                 Cause::BadAnswer,
-                format!("unexpected status {} from {url}", response.status),
+                format!("status {} from {url}", response.status),
             )
         }))
     }
@@ -340,22 +340,22 @@
     rest.split('/').next().unwrap_or(rest)
 }
 
-/// Why an attempt failed.
+/// Why an attempt failed. The texts go out in response bodies, such as those of the gate.
 #[derive(Debug, displaydoc::Display)]
 enum AttemptError {
-    /// connect timed out
+    /// the time for connecting is over
     ConnectTimeout,
-    /// no response within the time-out
+    /// the time is over
     RequestTimeout,
-    /// the connection that the call is bound to is closed
+    /// the connection that the call is bound to is gone
     ConnectionClosed,
     /// {0}
     Io(io::Error),
     /// {0}
     Library(hyper::Error),
-    /// response without a declared length, truncation cannot be detected
+    /// an answer without a length cannot be told from a cut one
     UnknownLength,
-    /// response body too large
+    /// the answer is too large
     TooLarge,
 }
 
--- a/components/kernel/src/server.rs
+++ b/components/kernel/src/server.rs
@@ -474,7 +474,10 @@
     let is_open = path == "/healthz" || path == "/readyz";
     match &port.token {
         Some(token) if !is_open && !token.matches(header_text(head.headers.get(AUTHORIZATION))) => {
-            Err(Failure::not_run(Cause::Denied, "missing or invalid token"))
+            Err(Failure::not_run(
+                Cause::Denied,
+                "the token is missing or wrong",
+            ))
         }
         _ => Ok(()),
     }
@@ -484,12 +487,12 @@
 async fn read_body(body: Incoming) -> Result<Vec<u8>, Failure> {
     let rejected = |text| Failure::not_run(Cause::Invalid, text);
     if body.size_hint().lower() > MAX_BODY as u64 {
-        return Err(rejected("request body too large"));
+        return Err(rejected("the body is too large"));
     }
     match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => Ok(body.to_bytes().into()),
-        Err(error) if error.is::<LengthLimitError>() => Err(rejected("request body too large")),
-        Err(_) => Err(rejected("request body truncated")),
+        Err(error) if error.is::<LengthLimitError>() => Err(rejected("the body is too large")),
+        Err(_) => Err(rejected("the body is cut")),
     }
 }
 
--- a/components/sched/src/actor/writes.rs
+++ b/components/sched/src/actor/writes.rs
@@ -60,8 +60,5 @@
 }
 
 fn not_owned() -> Failure {
-    Failure::not_run(
-        Cause::Stopping,
-        "this process has lost the ownership of the cell",
-    )
+    Failure::not_run(Cause::Stopping, "the cell is not owned here any more")
 }
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -129,7 +129,7 @@
             let Some(cell) = job::cell_of(&id) else {
                 return Err(Failure::not_run(
                     Cause::Invalid,
-                    format!("'{id}' is not a valid job id"),
+                    format!("'{id}' is no id of a job"),
                 ));
             };
             let owned = sched.owns(cell);
--- a/components/sched/src/cell.rs
+++ b/components/sched/src/cell.rs
@@ -334,7 +334,7 @@
             }
             return Err(Failure::not_run(
                 Cause::Conflict,
-                format!("job {id} exists with another specification"),
+                format!("{id} is another job"),
             ));
         }
         let row = self.limits.row(&spec.class);
--- a/components/sched/src/cell_selection.rs
+++ b/components/sched/src/cell_selection.rs
@@ -33,17 +33,17 @@
     };
     if limit.running == 0 {
         return refused(format!(
-            "max_running of class {class} leaves no tasks for hall {cell}"
+            "max_running of class {class} leaves none to hall {cell}"
         ));
     }
     if let Some(kind) = spec.size.shortage(limit.ceiling) {
         return refused(format!(
-            "the ceiling of class {class} leaves too little {kind} for hall {cell}"
+            "the ceiling of class {class} leaves too little {kind} to {cell}"
         ));
     }
     if spec.size.cpu > limit.quota {
         return refused(format!(
-            "team_processors of team {} leaves too little for hall {cell}",
+            "team_processors of team {} leaves too little to {cell}",
             row.team
         ));
     }
@@ -74,17 +74,14 @@
         );
     }
     let text = if admits {
-        let kind = spec
-            .size
-            .shortage(largest)
-            .unwrap_or("of every resource on one worker");
+        let kind = spec.size.shortage(largest).unwrap_or("of all at once");
         format!(
-            "no worker of hall {cell} has enough {kind} ({}); the largest amounts are {largest}",
+            "no worker of hall {cell} has enough {kind} ({}); the most is {largest}",
             spec.size
         )
     } else {
         let generations = row.generations.join(" ");
-        format!("no worker of hall {cell} has a generation that the class admits ({generations})")
+        format!("no worker of hall {cell} is of a generation that the class uses ({generations})")
     };
     Err(Failure::not_run(Cause::Refused, text))
 }
@@ -105,10 +102,7 @@
     let row = table.rows.get(&spec.class);
     spec.validate(row)?;
     let Some(row) = row else {
-        return Err(Failure::not_run(
-            Cause::Invalid,
-            "the class has no row in the table",
-        ));
+        return Err(Failure::not_run(Cause::Invalid, "no row"));
     };
     let mut best: Option<((bool, u64, u64), Arc<str>)> = None;
     let mut reasons = Vec::new();
--- a/components/sched/src/pass.rs
+++ b/components/sched/src/pass.rs
@@ -77,7 +77,7 @@
             Err(Blocked::Empty) => {}
             Err(Blocked::Reason(reason)) => set_blocked(cell, &class, Some(reason)),
             Err(Blocked::NoCapacity) => {
-                set_blocked(cell, &class, Some("no worker has enough free capacity"));
+                set_blocked(cell, &class, Some("no worker has room now"));
                 let evicted = evict::preempt(cell, &class, &mut reserved, now);
                 result.evicted += evicted.len();
                 result.notified.extend(evicted);
@@ -138,7 +138,7 @@
         return Err(Blocked::Empty);
     };
     if index >= job.reserved {
-        return Err(Blocked::Reason("waiting for a write to the store"));
+        return Err(Blocked::Reason("waits for the store"));
     }
     let size = job.record.spec.size;
     let Some(row) = cell.limits.row(class) else {
--- a/components/sched/src/spec.rs
+++ b/components/sched/src/spec.rs
@@ -46,7 +46,7 @@
         };
         if !(1..=MAX_TASKS).contains(&self.count) {
             return invalid(format!(
-                "count: {} is not in the range 1 to {MAX_TASKS}",
+                "count: {} is not from 1 to {MAX_TASKS}",
                 self.count
             ));
         }
@@ -54,16 +54,16 @@
             return invalid("size: a task needs processors or accelerators".to_owned());
         }
         if row.kind == Kind::Batch && self.length == 0 {
-            return invalid("length: a batch task must have a length greater than 0".to_owned());
+            return invalid("length: a batch task ends, so its length is not 0".to_owned());
         }
         if row.kind != Kind::Batch && self.length != 0 {
             return invalid(format!(
-                "length: a {} task has no end, so its length must be 0",
+                "length: a {} task has no end, so its length is 0",
                 row.kind
             ));
         }
         if self.once && row.kind != Kind::Batch {
-            return invalid("once: only batch tasks support at-most-once execution".to_owned());
+            return invalid("once: only batch tasks can run at most once".to_owned());
         }
         Ok(())
     }
--- a/components/sched/src/write_queue.rs
+++ b/components/sched/src/write_queue.rs
@@ -93,13 +93,13 @@
         if self.record_bytes > MAX_RECORD / 10 * 9 {
             return Err(Failure::not_run(
                 Cause::Busy,
-                "the cell record is full; try again later",
+                "the cell's book is full; try later",
             ));
         }
         if self.staged.len() > MAX_STAGED {
             return Err(Failure::not_run(
                 Cause::Busy,
-                "too many submissions wait for the store; try again later",
+                "too many wait for the store; try later",
             ));
         }
         Ok(())
