--- a/components/cell/tests/decisions/long_running_capacity.rs
+++ b/components/cell/tests/decisions/long_running_capacity.rs
@@ -83,7 +83,7 @@
             return;
         }
     }
-    panic!("a long-running task waits beside free capacity for 2.5 s");
+    panic!("a task waits beside free capacity for 2.5 s, and for at least 0.5 s more");
 }
 
 /// Starts that a relay withdraws because their job was cancelled are not refusals of the worker.
