--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -142,7 +142,7 @@
     text.parse().map_err(|_| {
         Failure::may_have_run(
             Cause::BadAnswer,
-            "the store's answer has no valid version header",
+            "no version in the answer",
         )
     })
 }
@@ -150,7 +150,7 @@
 /// Returns the failure for an unexpected status. The service documents that 429 and 503 are sent before a
 /// call has any effect.
 fn status_failure(status: u16) -> Failure {
-    let text = format!("the store answered with status {status}");
+    let text = format!("the store answered {status}");
     match status {
         429 | 503 => Failure::not_run(Cause::Busy, text),
         400..500 => Failure::not_run(Cause::Invalid, text),
