--- a/components/cell/src/capacity.rs
+++ b/components/cell/src/capacity.rs
@@ -2,9 +2,9 @@
 //!
 //! Running tasks are left alone if the capacity falls below what they reserve: no API requires them
 //! to end, and stopping them would lose work. Tasks that end there are not replaced. Workers with
-//! admission control refuse what does not fit. Overcommitting workers start every task they are
-//! told to; for them, every run that may exist is counted, and no start is sent for capacity that
-//! is gone.
+//! admission control refuse what does not fit. Overcommitting workers start every task that
+//! they are sent; for them, every run that may exist is counted, and no start is sent for capacity
+//! that is gone.
 
 use {
     crate::{
--- a/components/cell/src/cell.rs
+++ b/components/cell/src/cell.rs
@@ -294,8 +294,8 @@
         })
     }
 
-    /// Sets whether leases of workers are frozen: they are then not extended beyond what was
-    /// granted.
+    /// Sets whether leases of workers are frozen. Frozen leases are not extended beyond the
+    /// deadlines already granted.
     pub fn freeze_leases(&mut self, frozen: bool) {
         self.leases_frozen = frozen;
     }
--- a/components/cell/src/outcome.rs
+++ b/components/cell/src/outcome.rs
@@ -82,7 +82,7 @@
             }
             Outcome::Refused(reason) => {
                 log::info!(target: "cell", job = start.key.job.as_str(), place = start.key.place, worker = &**id, run = start.run, reason:? = reason; "Start refused.");
-                // A start that was revoked before it was sent says nothing about its worker:
+                // A start that was revoked before it was sent does not count for its worker:
                 // backing off left 51 cores free for 0.5 s.
                 if !(reason == Refusal::NotSent && is_stopping) {
                     worker.back_off(now);
--- a/components/cell/src/run_end.rs
+++ b/components/cell/src/run_end.rs
@@ -75,7 +75,7 @@
         worker.remove_slot(key).is_some()
     }
 
-    /// Counts the run for or against its worker, if its end says something about the worker.
+    /// Counts the run as a success or failure of its worker, if its end depends on the worker.
     fn record_worker_result(&mut self, id: &Arc<str>, how: EndCause, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
--- a/components/cell/src/slot.rs
+++ b/components/cell/src/slot.rs
@@ -31,7 +31,7 @@
     pub address: Address,
     /// The number of the run.
     pub run: u64,
-    /// The run was started before this owner knew of it.
+    /// The run was adopted from a worker's report: it started before this owner recorded it.
     pub adopted: bool,
     /// The resources of the task.
     pub size: Size,
@@ -39,25 +39,25 @@
     pub best_effort: bool,
     /// See [`job::Step::target`].
     pub target: u64,
-    /// The image that it runs.
+    /// The image of the task.
     pub image: Image,
-    /// Progress of its start.
+    /// The progress of the start.
     pub stage: Stage,
-    /// When the order to start it timed out without an answer, on the owner's clock.
+    /// When the start order timed out without an answer, on the owner's clock.
     pub unanswered: Option<u64>,
     /// When the worker confirmed an order to stop the run before it had started, on the owner's
     /// clock. It cannot start after that.
     pub start_cancelled: Option<u64>,
-    /// When it was last ordered to stop, on the owner's clock.
+    /// When the last stop order was sent, on the owner's clock.
     pub stopping: Option<u64>,
     /// The pace last ordered, as a percentage of full speed.
     pub percent: u8,
-    /// When that was ordered, on the owner's clock; 0 if no pace was ordered.
+    /// When the pace was ordered, on the owner's clock; 0 if no pace was ordered.
     pub pace_set_at: u64,
-    /// It was paused because a serving task stayed over its latency target. Its pace is raised
-    /// again in steps.
+    /// The task was paused because a serving task stayed over its latency target. The pace is
+    /// raised again in steps.
     pub tripped: bool,
-    /// Since when it has been throttled to less than half its speed.
+    /// Since when the task has been throttled to less than half of full speed.
     pub slow_since: Option<u64>,
     /// See [`crate::order::Run::figure`].
     pub figure: u64,
--- a/components/cell/src/takeover.rs
+++ b/components/cell/src/takeover.rs
@@ -120,7 +120,7 @@
         self.jobs.contains_key(id) || self.ended_jobs.contains_key(id)
     }
 
-    /// True for an unknown job that may still turn out to be one of the previous owner.
+    /// True for an unknown job that may be an unread job of the previous owner.
     pub(crate) fn is_pending(&self, id: &Id) -> bool {
         self.pending.is_some() && !self.is_known(id)
     }
--- a/components/cell/tests/decisions/capacity.rs
+++ b/components/cell/tests/decisions/capacity.rs
@@ -89,10 +89,11 @@
     stops.collect()
 }
 
-/// A stray run uses capacity until its end is reported; one of an unknown job may use all of it.
+/// An orphaned run uses capacity until its end is reported. A run of an unknown job may use all
+/// capacity of its worker.
 #[test_case(JOB, 1; "of a known job")]
 #[test_case(OTHER, 0; "of an unknown job")]
-fn stray_run_uses_capacity(job: &str, expected: usize) {
+fn orphaned_run_uses_capacity(job: &str, expected: usize) {
     let mut world = World::new(&["w1"]);
     allow_overcommit(&mut world);
     world.submit(JOB, vec![step(1, 3_000)]);
--- a/components/cell/tests/decisions/ends.rs
+++ b/components/cell/tests/decisions/ends.rs
@@ -1,4 +1,4 @@
-//! Ends and runs in reports: state transitions, retries, stray runs and persistence.
+//! Ends and runs in reports: state transitions, retries, orphaned runs and persistence.
 
 use {
     crate::common::{JOB, World, end, run, state, step},
--- a/components/cell/tests/decisions/stuck_state.rs
+++ b/components/cell/tests/decisions/stuck_state.rs
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// Guards against a task that waits for a ticket nobody requests. On a queue with external
+/// Guards against a task that waits for a ticket that is never requested. On a queue with external
 /// placement a long-running task became a suspect when its worker crashed just after the start, and
 /// no worker with a ticket was left. Suspected tasks request no tickets, so it waited as long as no
 /// other task of its step did.
@@ -356,11 +356,11 @@
     );
 }
 
-/// Guards against a panic of the owner. A stray run was about to be stopped when its job became
-/// known, and the worker crashed before its next report. The run was held under a place that no
-/// task of the job has, which the crash count looked up.
+/// Guards against a panic of the owner. An orphaned run was about to be stopped when its job became
+/// known, and the worker crashed before its next report. The run was stored under a task index that
+/// the job does not have, and the crash count looked that index up.
 #[test]
-fn crash_with_stray_run_of_job_known_since() {
+fn crash_with_orphaned_run_of_job_known_since() {
     let mut world = World::new(&["w1", "w2"]);
     world.report("w1", vec![run(JOB, 0, 1)], vec![]);
     world.submit(JOB, vec![long_running(1_000)]);
--- a/components/cell/tests/decisions/takeover.rs
+++ b/components/cell/tests/decisions/takeover.rs
@@ -177,9 +177,9 @@
     let mut world = World::new(&["w1"]);
     let mut runs = Vec::new();
     for time in 0..3 {
-        let mut stray = run(JOB, 0, 1);
-        stray.address.time = time;
-        runs.push(stray);
+        let mut orphan = run(JOB, 0, 1);
+        orphan.address.time = time;
+        runs.push(orphan);
     }
     world.report("w1", runs, vec![]);
     assert_eq!(world.stops().len(), 3);
--- a/components/infra/src/boxes.rs
+++ b/components/infra/src/boxes.rs
@@ -124,10 +124,10 @@
             body: &[],
             timeout: Timeout::single(TIMEOUT).streaming(),
         };
-        let answer = self.client.send(&call)?;
-        match answer.status {
+        let response = self.client.send(&call)?;
+        match response.status {
             304 => Ok(None),
-            200 => match serde_json::from_slice(&answer.body) {
+            200 => match serde_json::from_slice(&response.body) {
                 Ok(list) => Ok(Some(list)),
                 Err(e) => Err(Failure::may_have_run(Cause::BadAnswer, e.to_string())),
             },
--- a/components/infra/src/store.rs
+++ b/components/infra/src/store.rs
@@ -94,13 +94,13 @@
             body: &[],
             timeout: Timeout::single(timeout).streaming(),
         };
-        let answer = self.client.send(&call)?;
-        match answer.status {
+        let response = self.client.send(&call)?;
+        match response.status {
             200 => {
-                let version = parse_version(answer.header(VERSION_HEADER))?;
+                let version = parse_version(response.header(VERSION_HEADER))?;
                 Ok(Some(Versioned {
                     version,
-                    bytes: answer.body.into(),
+                    bytes: response.body.into(),
                 }))
             }
             404 | 304 => Ok(None),
@@ -123,9 +123,9 @@
             body: bytes,
             timeout: Timeout::single(TIMEOUT).streaming(),
         };
-        let answer = self.client.send(&call)?;
-        let version = || parse_version(answer.header(VERSION_HEADER));
-        match answer.status {
+        let response = self.client.send(&call)?;
+        let version = || parse_version(response.header(VERSION_HEADER));
+        match response.status {
             200 => Ok(Swap::Written(version()?)),
             409 => Ok(Swap::Conflict(version()?)),
             status => Err(status_failure(status)),
@@ -139,12 +139,8 @@
 }
 
 fn parse_version(text: &str) -> Result<u64, Failure> {
-    text.parse().map_err(|_| {
-        Failure::may_have_run(
-            Cause::BadAnswer,
-            "no version in the answer",
-        )
-    })
+    text.parse()
+        .map_err(|_| Failure::may_have_run(Cause::BadAnswer, "no version in the answer"))
 }
 
 /// Returns the failure for an unexpected status. The service documents that 429 and 503 are sent before a
--- a/components/infra/src/worker.rs
+++ b/components/infra/src/worker.rs
@@ -215,15 +215,15 @@
             .map_err(|e| Failure::not_run(Cause::Invalid, e.to_string()))?;
         let url = format!("{base}/exchange");
         let headers = [("content-type", "application/json")];
-        let answer = self.client.send(&Call {
+        let response = self.client.send(&Call {
             method: "POST",
             url: &url,
             headers: &headers,
             body: &body,
             timeout: TIMEOUT.into(),
         })?;
-        match answer.status {
-            200 => serde_json::from_slice(&answer.body)
+        match response.status {
+            200 => serde_json::from_slice(&response.body)
                 .map_err(|e| Failure::may_have_run(Cause::BadAnswer, e.to_string())),
             FENCED_STATUS => Err(fenced()),
             STALE_STATUS => Err(stale()),
--- a/components/kernel/src/actor.rs
+++ b/components/kernel/src/actor.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Sends the single response of an actor, possibly after the call that asked for it has returned.
+/// Sends the single response of an actor, possibly after the call that requested it has returned.
 pub struct Responder<R> {
     sender: oneshot::Sender<R>,
 }
--- a/components/node/src/accept.rs
+++ b/components/node/src/accept.rs
@@ -29,7 +29,7 @@
 /// A submission that waits to be written, and the channel for its reply.
 pub struct Pending {
     submission: Submission,
-    answer: SyncSender<Reply>,
+    reply_sender: SyncSender<Reply>,
 }
 
 /// Queues submissions to the accepting task.
@@ -63,13 +63,13 @@
             "the store does not answer this box; nothing was written",
         );
     }
-    let (answer, answered) = mpsc::sync_channel(1);
+    let (reply_sender, reply) = mpsc::sync_channel(1);
     let pending = Pending {
         submission: submission.clone(),
-        answer,
+        reply_sender,
     };
     match node.acceptor.send(pending) {
-        Ok(()) => answered.recv().unwrap_or(Reply::Unsure),
+        Ok(()) => reply.recv().unwrap_or(Reply::Unsure),
         Err(_) => refusal(node, submission, "the box is stopping"),
     }
 }
@@ -97,7 +97,7 @@
             };
             // The second entry of a job would violate the condition that its key is absent.
             if !ids.insert(next.submission.id.clone()) {
-                answer(&next, Reply::Unsure);
+                send_reply(&next, Reply::Unsure);
                 continue;
             }
             group.push(next);
@@ -139,7 +139,7 @@
                     let is_stored = present.contains(&*keys::job(id)) || present.contains(&*keys::state(id));
                     if is_stored {
                         log::info!(target: "accept", job = id.as_str(); "A job that was submitted again is already stored.");
-                        answer(pending, Reply::Accepted);
+                        send_reply(pending, Reply::Accepted);
                     }
                     !is_stored
                 });
@@ -181,16 +181,16 @@
     let id = &pending.submission.id;
     log::info!(target: "accept", job = id.as_str(), queue = &*pending.submission.queue.name, revision; "A job was accepted.");
     metrics::counter!("magpie_accepted_total").increment(1);
-    answer(pending, Reply::Accepted);
+    send_reply(pending, Reply::Accepted);
     let submission = spec_text::for_owner(&node.settings, &pending.submission);
-    node.remote
+    node.actor
         .tell(move |core, cx| core.handle_accepted(cx, submission));
 }
 
 /// Refuses all jobs of a group.
 fn refuse(node: &Node, group: &[Pending], cause: &str) {
     for pending in group {
-        answer(pending, refusal(node, &pending.submission, cause));
+        send_reply(pending, refusal(node, &pending.submission, cause));
     }
 }
 
@@ -205,12 +205,12 @@
         log::warn!(target: "accept", job = id.as_str(), stands = stored.is_some(); "The store did not answer the write of a job.");
         match stored {
             Some(item) => confirm(node, pending, item.revision),
-            None => answer(pending, Reply::Unsure),
+            None => send_reply(pending, Reply::Unsure),
         }
     }
 }
 
 /// Replies to the caller, unless it has disconnected.
-fn answer(pending: &Pending, reply: Reply) {
-    let _ = pending.answer.send(reply);
+fn send_reply(pending: &Pending, reply: Reply) {
+    let _ = pending.reply_sender.send(reply);
 }
--- a/components/node/src/callers.rs
+++ b/components/node/src/callers.rs
@@ -81,7 +81,7 @@
     /// The state of a job, from the owner if possible and from the store otherwise.
     fn state(&self, id: &Id) -> Reply {
         let own = id.clone();
-        if let Ok(Some(state)) = self.remote.ask(move |core, _| core.state(&own)) {
+        if let Ok(Some(state)) = self.actor.ask(move |core, _| core.state(&own)) {
             return Reply::State(state);
         }
         if let Some(PeerResponse::State(Some(state))) =
--- a/components/node/src/cancel.rs
+++ b/components/node/src/cancel.rs
@@ -118,7 +118,7 @@
 /// cell, or has not read the job yet.
 fn record(node: &Node, id: &Id) -> bool {
     let id = id.clone();
-    node.remote.ask(move |core, cx| core.handle_cancel(cx, &id)) == Ok(true)
+    node.actor.ask(move |core, cx| core.handle_cancel(cx, &id)) == Ok(true)
 }
 
 /// Handles the notification of another box about a stored cancellation. That box retries until the
--- a/components/node/src/claim.rs
+++ b/components/node/src/claim.rs
@@ -99,7 +99,7 @@
         ownership.lease = store.grant(OWNER_LEASE)?;
         ownership.republish = true;
     }
-    node.remote
+    node.actor
         .tell(move |core, cx| core.begin_ownership(cx, ownership));
     owner_tasks::start_interference(node, fence, interference);
     node.shared
--- a/components/node/src/config/mod.rs
+++ b/components/node/src/config/mod.rs
@@ -172,7 +172,7 @@
     node.shared.mark_config_current(mark);
 }
 
-/// Puts a configuration in force. For the life of the process, the highest version wins.
+/// Puts a configuration in force. Until the process ends, the highest version wins.
 fn install(node: &Node, found: ConfigSnapshot, took: u64) {
     let present = node.shared.config.load();
     let ConfigSnapshot { config, bytes, .. } = found;
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -247,7 +247,7 @@
     pub shared: Arc<Shared>,
     /// Client for calls to other boxes.
     pub client: Client,
-    pub(crate) remote: ActorRef<Core>,
+    pub(crate) actor: ActorRef<Core>,
     pub(crate) acceptor: accept::Sender,
     /// Queue of cancellations that the owner has not confirmed.
     pub(crate) unconfirmed: cancel::Sender,
@@ -259,7 +259,7 @@
 pub struct Running {
     /// The handle that tasks and request handlers use.
     pub node: Node,
-    _host: ActorThread<Core>,
+    _thread: ActorThread<Core>,
 }
 
 /// Starts the actor and the threads of a box.
@@ -281,13 +281,13 @@
     let (unconfirmed, cancellations) = cancel::channel();
     let settings = Arc::new(settings);
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
-    let host = ActorThread::start("core", move |_, remote| {
+    let thread = ActorThread::start("core", move |_, actor| {
         let node = Node {
             settings,
             external,
             shared,
             client,
-            remote,
+            actor,
             acceptor,
             unconfirmed,
             specs: Arc::default(),
@@ -310,7 +310,10 @@
     task::spawn("owner", move || owner_watch::run(&task_node))?;
     let task_node = node.clone();
     task::spawn("relay", move || relay::run(&task_node))?;
-    Ok(Running { node, _host: host })
+    Ok(Running {
+        node,
+        _thread: thread,
+    })
 }
 
 impl Node {
@@ -325,8 +328,8 @@
     /// after `time` at the latest.
     pub fn shut_down(&self, time: Duration) {
         self.shared.stopping.store(true, Ordering::Release);
-        let outcome = self.remote.ask_within(time, |core, cx, answerer| {
-            core.hand_over(cx, answerer);
+        let outcome = self.actor.ask_within(time, |core, cx, responder| {
+            core.hand_over(cx, responder);
         });
         match outcome {
             Ok(true) => log::info!(target: "owner", "Cell ownership released for shutdown."),
--- a/components/node/src/external.rs
+++ b/components/node/src/external.rs
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// The service gave no valid answer in time.
-    fn advise(&self, question: &AdviceQuery) -> Result<Advice, Failure>;
+    fn advise(&self, query: &AdviceQuery) -> Result<Advice, Failure>;
 }
 
 /// The machines that host workers, and the operators' maintenance waves.
--- a/components/node/src/group.rs
+++ b/components/node/src/group.rs
@@ -34,12 +34,12 @@
 }
 
 impl Group {
-    /// Builds the next group from the changes of the cell. Where it has room it also removes the
-    /// records of jobs that ended before `before`, in milliseconds since 1970.
+    /// Builds the next group from the changes of the cell. If space is left, it also removes
+    /// the records of jobs that ended before `before`, in milliseconds since 1970.
     pub fn build(settings: &Settings, ownership: &mut Ownership, before: u64) -> Self {
         let cell_change = ownership.cell.take_write_batch(GROUP_ENTRIES);
         // Under load the cell always has unwritten changes, so the release does not wait for them.
-        // The workers keep reporting what is unwritten, and the next owner reads it from their
+        // The workers keep reporting unwritten ends, and the next owner reads them from their
         // reports.
         let is_release = ownership.handover.is_some();
         let mut change = conditional_change(ownership);
@@ -244,9 +244,8 @@
         );
     }
 
-    /// The cell may forget an expired job only once the group that removes its record is written.
-    /// Otherwise the record stays in the store forever when the group has no room or is not
-    /// written.
+    /// The cell may remove an expired job only once the group that removes its record is written.
+    /// Otherwise the record stays in the store forever when the group is full or is not written.
     #[test]
     fn build_removes_expired_until_written() {
         let mut ownership = Ownership::new(1, 2, dirty_cell(), 0);
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -197,7 +197,7 @@
     /// Poll a worker; the time of the owner's clock is returned with the report.
     Poll(Arc<str>, u64, Poll),
     /// Cache the specification of a job, which later orders leave out. `None` when the owner's link
-    /// has no room for it: the relay reads it from the store.
+    /// has no capacity for it: the relay reads it from the store.
     Text(Id, Option<Arc<str>>),
     /// Send a worker an order: its number, the time of the decision on the owner's clock, and the
     /// order.
--- a/components/node/src/owner_tasks.rs
+++ b/components/node/src/owner_tasks.rs
@@ -62,7 +62,7 @@
             thread::sleep(LIST_INTERVAL);
             continue;
         };
-        let result = node.remote.ask(move |core, cx| {
+        let result = node.actor.ask(move |core, cx| {
             let orders = core.plan_maintenance(cx, fence, &waves, &listed);
             (orders, core.wave_progress(fence, &waves))
         });
@@ -74,7 +74,7 @@
             let is_done = machines.start_maintenance(&order, &node.settings.name, fence);
             log::info!(target: "owner", wave = order.wave, machine = &*order.machine, fence, done = is_done; "Machine ordered down for maintenance.");
             if !is_done {
-                node.remote
+                node.actor
                     .tell(move |core, _| core.maintenance_refused(fence, &order));
             }
         }
@@ -101,7 +101,7 @@
         let started = time::now();
         match node.external.closures.read() {
             Ok(closures) => {
-                node.remote
+                node.actor
                     .tell(move |core, cx| core.handle_closures(cx, fence, closures, started));
                 thread::sleep(HALLS_INTERVAL);
             }
@@ -113,22 +113,22 @@
     }
 }
 
-/// Starts the thread that requests placement advice, one question at a time, since the service
-/// handles the calls of each box in sequence. Returns the sender for questions.
+/// Starts the thread that requests placement advice, one query at a time, since the service
+/// handles the calls of each box in sequence. Returns the sender for queries.
 pub fn start_advice(node: &Node, fence: u64) -> Sender<AdviceQuery> {
-    let (sender, questions) = mpsc::channel();
-    start("advice", node, move |node| advise(&node, fence, &questions));
+    let (sender, queries) = mpsc::channel();
+    start("advice", node, move |node| advise(&node, fence, &queries));
     sender
 }
 
-fn advise(node: &Node, fence: u64, questions: &Receiver<AdviceQuery>) {
-    for question in questions {
-        let answer = node.external.advisor.advise(&question);
-        if let Err(failure) = &answer {
-            log::warn!(target: "owner", job = question.job.as_str(), error:% = failure; "The placement advisor gave no valid answer.");
+fn advise(node: &Node, fence: u64, queries: &Receiver<AdviceQuery>) {
+    for query in queries {
+        let advice = node.external.advisor.advise(&query);
+        if let Err(failure) = &advice {
+            log::warn!(target: "owner", job = query.job.as_str(), error:% = failure; "The placement advisor gave no valid answer.");
         }
-        node.remote
-            .tell(move |core, cx| core.handle_advice(cx, fence, &question, answer.ok()));
+        node.actor
+            .tell(move |core, cx| core.handle_advice(cx, fence, &query, advice.ok()));
     }
 }
 
@@ -141,7 +141,7 @@
 
 fn has_ended(node: &Node, fence: u64) -> bool {
     let is_owner = node
-        .remote
+        .actor
         .ask(move |core, _| core.ownership_of(fence).is_some());
     is_owner != Ok(true)
 }
@@ -151,7 +151,7 @@
     loop {
         thread::sleep(RENEW_INTERVAL);
         let lease = node
-            .remote
+            .actor
             .ask(move |core, _| core.ownership_of(fence).map(|ownership| ownership.lease));
         let Ok(Some(lease)) = lease else {
             return;
@@ -163,7 +163,7 @@
             node.external.store.renew(lease)
         };
         if renewed == Ok(true) {
-            node.remote.tell(move |core, _| {
+            node.actor.tell(move |core, _| {
                 if let Some(ownership) = core.ownership_of(fence) {
                     ownership.confirm_at(sent);
                 }
@@ -176,7 +176,7 @@
             continue;
         };
         log::info!(target: "owner", fence, lease; "The owner lease has expired; a new one was granted.");
-        node.remote.tell(move |core, cx| {
+        node.actor.tell(move |core, cx| {
             if let Some(ownership) = core.ownership_of(fence) {
                 ownership.lease = lease;
                 ownership.mark_unconfirmed();
@@ -221,7 +221,7 @@
         if events.is_empty() {
             continue;
         }
-        node.remote
+        node.actor
             .tell(move |core, cx| core.handle_intake(cx, fence, events));
     }
 }
@@ -233,7 +233,7 @@
         while !has_ended(&node, fence) {
             match read_unknown(&node, fence) {
                 Ok(events) => {
-                    node.remote
+                    node.actor
                         .tell(move |core, cx| core.handle_reread(cx, fence, events));
                     return;
                 }
@@ -262,7 +262,7 @@
     loop {
         thread::sleep(rest);
         let result = node
-            .remote
+            .actor
             .ask(move |core, _| Some(core.ownership_of(fence)?.cell.take_interference()));
         let Ok(Some(model)) = result else {
             return;
@@ -298,7 +298,7 @@
         .filter_map(|item| keys::id(&item.key, keys::JOB))
         .collect();
     let unknown = node
-        .remote
+        .actor
         .ask(move |core, _| core.unknown_jobs(fence, ids))?;
     let mut events = Vec::new();
     for item in items {
@@ -342,8 +342,8 @@
 fn write_groups(node: &Node, fence: u64) {
     loop {
         let group = node
-            .remote
-            .ask_deferred(move |core, cx, answerer| core.next_group(cx, fence, answerer));
+            .actor
+            .ask_deferred(move |core, cx, responder| core.next_group(cx, fence, responder));
         let Ok(Some(group)) = group else {
             return;
         };
@@ -355,7 +355,7 @@
             log::warn!(target: "owner", records = group.cell_change.records.len(), error:% = failure; "The write of a group of records failed.");
             thread::sleep(STORE_RETRY_PAUSE);
         }
-        node.remote
+        node.actor
             .tell(move |core, cx| core.handle_write(cx, fence, group, result));
     }
 }
@@ -377,7 +377,7 @@
         let Ok(listing) = listing else {
             continue;
         };
-        node.remote
+        node.actor
             .tell(move |core, cx| core.handle_listing(cx, fence, listing));
     }
 }
--- a/components/node/src/owner_watch.rs
+++ b/components/node/src/owner_watch.rs
@@ -34,7 +34,7 @@
             }
         };
         let owning = node
-            .remote
+            .actor
             .ask(|core, _| core.ownership.as_ref().map(|ownership| ownership.fence));
         let Ok(owning) = owning else {
             return;
@@ -130,7 +130,7 @@
 /// Has the owner's key written again by the ownership with this fence.
 fn republish(node: &Node, fence: u64) {
     log::info!(target: "owner", fence; "The owner's key is missing or invalid and will be written again.");
-    node.remote.tell(move |core, cx| {
+    node.actor.tell(move |core, cx| {
         if let Some(ownership) = core.ownership_of(fence) {
             ownership.republish = true;
             core.wake_writer(cx);
--- a/components/node/src/ownership/commit.rs
+++ b/components/node/src/ownership/commit.rs
@@ -25,13 +25,13 @@
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        answerer: Responder<Option<Group>>,
+        responder: Responder<Option<Group>>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
-            answerer.send(None);
+            responder.send(None);
             return;
         };
-        ownership.writer = Some(answerer);
+        ownership.writer = Some(responder);
         self.wake_writer(cx);
     }
 
--- a/components/node/src/ownership/confirmation.rs
+++ b/components/node/src/ownership/confirmation.rs
@@ -8,8 +8,8 @@
 //! half of them answer a later poll without a higher fence, no other box owns the cell.
 //!
 //! A data hall may have been closed meanwhile. An owner that is confirmed by a write reads the
-//! closed halls again before it places anything. If the store answers nobody, no hall can have been
-//! closed, and the known ones remain valid.
+//! closed halls again before it places anything. If the store is down for all boxes, no hall can
+//! have been closed, and the known closures remain valid.
 
 use {
     super::Ownership,
--- a/components/node/src/ownership/halls.rs
+++ b/components/node/src/ownership/halls.rs
@@ -18,7 +18,7 @@
 }
 
 impl Halls {
-    /// Discards what was read before this time: placement waits for a later read.
+    /// Invalidates reads that started before this time: placement waits for a later read.
     pub fn invalidate(&mut self, since: u64) {
         self.needed_since = since;
     }
--- a/components/node/src/ownership/inputs.rs
+++ b/components/node/src/ownership/inputs.rs
@@ -93,18 +93,18 @@
         self.confirmed_ownership()?.cell.state(id)
     }
 
-    /// Applies the advisor's answer to a question; `None` when it gave no valid one.
+    /// Applies the advisor's answer to a query; `None` when it gave no valid one.
     pub(crate) fn handle_advice(
         &mut self,
         cx: &mut Cx<'_, Self>,
         fence: u64,
-        question: &AdviceQuery,
+        query: &AdviceQuery,
         advice: Option<Advice>,
     ) {
         let Some(ownership) = self.ownership_of(fence) else {
             return;
         };
-        ownership.cell.handle_advice(question, advice, time::now());
+        ownership.cell.handle_advice(query, advice, time::now());
         self.schedule_pass(cx);
     }
 
--- a/components/node/src/ownership/mod.rs
+++ b/components/node/src/ownership/mod.rs
@@ -62,8 +62,8 @@
     links: HashMap<Arc<str>, Link>,
     /// The relays, which connect to workers on behalf of this box.
     relays: Relays,
-    /// Sender for questions to the placement advisor; set with the first question.
-    questions: Option<Sender<AdviceQuery>>,
+    /// Sender for queries to the placement advisor; set with the first query.
+    queries: Option<Sender<AdviceQuery>>,
     /// Local worker tasks that wait for their next poll.
     pending_polls: HashMap<Arc<str>, Responder<Option<Poll>>>,
     /// Workers whose next poll waits until the ends of their tasks are stored.
@@ -104,7 +104,7 @@
             links: HashMap::new(),
             relays: Relays::default(),
             unwritten: HashSet::new(),
-            questions: None,
+            queries: None,
             pending_polls: HashMap::new(),
             writer: None,
             last_tick: claimed,
@@ -165,8 +165,8 @@
     /// Sends a worker's next poll to the local task or the relay that is connected to it.
     fn send_poll(&mut self, id: &Arc<str>) {
         let now = time::now();
-        if let Some(answerer) = self.pending_polls.remove(id) {
-            answerer.send(self.cell.next_poll(id, now));
+        if let Some(responder) = self.pending_polls.remove(id) {
+            responder.send(self.cell.next_poll(id, now));
             return;
         }
         let Some(Link::Relay(name)) = self.links.get(id) else {
@@ -250,19 +250,19 @@
         ownership.reset_hall_metrics();
         log::warn!(target: "owner", fence = ownership.fence, cause; "Cell ownership ended.");
         metrics::counter!("magpie_tenures_lost_total").increment(1);
-        if let Some(answerer) = ownership.handover {
-            answerer.send(true);
+        if let Some(responder) = ownership.handover {
+            responder.send(true);
         }
     }
 
     /// Releases the cell with the next group; answers true once that is done, or false if this box
     /// does not own the cell.
-    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, answerer: Responder<bool>) {
+    pub(crate) fn hand_over(&mut self, cx: &mut Cx<'_, Self>, responder: Responder<bool>) {
         let Some(ownership) = &mut self.ownership else {
-            answerer.send(false);
+            responder.send(false);
             return;
         };
-        ownership.handover = Some(answerer);
+        ownership.handover = Some(responder);
         self.wake_writer(cx);
     }
 
@@ -279,10 +279,10 @@
         ownership.cell.relocate(time::now());
         ownership.cell.expire_leases(time::now());
         ownership.disconnect_removed();
-        let is_intake_due = ownership.cell.is_reread_due();
+        let is_reread_due = ownership.cell.is_reread_due();
         let orphans = ownership.relays.expire_silent(time::now());
         let overdue = ownership.relays.take_overdue(time::now());
-        if is_intake_due {
+        if is_reread_due {
             owner_tasks::reread_intake(&self.node, fence);
         }
         self.reassign(fence, orphans);
--- a/components/node/src/ownership/placement.rs
+++ b/components/node/src/ownership/placement.rs
@@ -1,4 +1,4 @@
-//! Placement passes: when they run, and how their orders and questions are sent.
+//! Placement passes: when they run, and how their orders and queries are sent.
 
 use {
     super::Link,
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Places tasks, sends the resulting orders and questions, and wakes the writer. Places nothing
+    /// Places tasks, sends the resulting orders and queries, and wakes the writer. Places nothing
     /// while the cell is being released, the ownership is unconfirmed or the closed data halls are
     /// unknown.
     pub(super) fn run_pass(&mut self, cx: &mut Cx<'_, Self>) {
@@ -85,23 +85,23 @@
                 None => {}
             }
         }
-        self.send_questions();
+        self.send_queries();
         self.wake_writer(cx);
     }
 
-    /// Sends the cell's questions to the thread that requests placement advice.
-    pub(super) fn send_questions(&mut self) {
+    /// Sends the cell's queries to the thread that requests placement advice.
+    pub(super) fn send_queries(&mut self) {
         let node = self.node.clone();
         let Some(ownership) = &mut self.ownership else {
             return;
         };
         let fence = ownership.fence;
-        for question in ownership.cell.take_advice_queries() {
+        for query in ownership.cell.take_advice_queries() {
             let sender = ownership
-                .questions
+                .queries
                 .get_or_insert_with(|| owner_tasks::start_advice(&node, fence));
             // The thread ends only with the ownership, so the send does not fail.
-            let _ = sender.send(question);
+            let _ = sender.send(query);
         }
     }
 }
--- a/components/node/src/ownership/worker_links.rs
+++ b/components/node/src/ownership/worker_links.rs
@@ -198,22 +198,22 @@
         id: &Arc<str>,
         sent: u64,
         result: Result<Report, PollError>,
-        answerer: Responder<Option<Poll>>,
+        responder: Responder<Option<Poll>>,
     ) {
         let next = self.handle_report(cx, fence, id, sent, result);
         if next == Next::Poll && self.move_to_relay(fence, id) {
-            answerer.send(None);
+            responder.send(None);
             return;
         }
         let Some(ownership) = self.ownership_of(fence) else {
-            answerer.send(None);
+            responder.send(None);
             return;
         };
         match next {
-            Next::Poll => answerer.send(ownership.cell.next_poll(id, time::now())),
-            Next::Never => answerer.send(None),
+            Next::Poll => responder.send(ownership.cell.next_poll(id, time::now())),
+            Next::Never => responder.send(None),
             Next::Later => {
-                ownership.pending_polls.insert(id.clone(), answerer);
+                ownership.pending_polls.insert(id.clone(), responder);
             }
         }
     }
--- a/components/node/src/peer.rs
+++ b/components/node/src/peer.rs
@@ -82,7 +82,7 @@
         Err(failure) => return request.respond(server::Reply::failure(&failure)),
     };
     let has_narrow_link = node.settings.has_narrow_link();
-    node.remote.tell(move |core, cx| {
+    node.actor.tell(move |core, cx| {
         let response = Ok(core.handle_exchange(cx, exchange));
         request.respond(if has_narrow_link {
             server::Reply::compressed(&response)
@@ -95,7 +95,7 @@
 fn dispatch(node: &Node, request: PeerRequest) -> Result<PeerResponse, Failure> {
     match request {
         PeerRequest::State(id) => {
-            let state = node.remote.ask(move |core, _| core.state(&id))?;
+            let state = node.actor.ask(move |core, _| core.state(&id))?;
             Ok(PeerResponse::State(state))
         }
         PeerRequest::Waiting(queue) => Ok(PeerResponse::Waiting(queue_length(node, queue)?)),
@@ -113,7 +113,7 @@
 /// Number of waiting jobs of a queue; `None` when this box does not own the cell or its ownership
 /// is unconfirmed.
 pub(crate) fn queue_length(node: &Node, queue: Arc<str>) -> Result<Option<usize>, Failure> {
-    node.remote.ask(move |core, _| {
+    node.actor.ask(move |core, _| {
         let ownership = core.confirmed_ownership()?;
         Some(ownership.cell.queued_jobs(&queue))
     })
@@ -126,7 +126,7 @@
 ///
 /// The box is shutting down.
 pub fn closed_halls(node: &Node, passed: bool) -> Result<Option<Vec<ClosedHall>>, Failure> {
-    let own = node.remote.ask(|core, _| core.closed_halls())?;
+    let own = node.actor.ask(|core, _| core.closed_halls())?;
     if own.is_some() || passed {
         return Ok(own);
     }
@@ -138,7 +138,7 @@
 
 fn probe(node: &Node, release: bool) -> Result<PeerResponse, Failure> {
     let cut_off = node.shared.is_store_unreachable();
-    let owning = node.remote.ask(move |core, _| {
+    let owning = node.actor.ask(move |core, _| {
         if release && cut_off {
             core.end_ownership("the store is unreachable from here and another box can reach it");
         }
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -101,7 +101,7 @@
         let request = unanswered
             .take()
             .unwrap_or_else(|| next_request(node, session.as_mut()));
-        let asked = time::now();
+        let requested_at = time::now();
         let response = match exchange(node, &owner, &request) {
             Ok(response) => response,
             Err(failure) => {
@@ -120,9 +120,9 @@
         let idle_pause = Duration::from_millis(response.pause).max(IDLE_MIN_INTERVAL);
         node.shared
             .monitor
-            .record(response.heartbeat, asked, idle_pause);
+            .record(response.heartbeat, requested_at, idle_pause);
         let had_session = session.is_some();
-        session = apply_response(node, &owner, session, response, asked);
+        session = apply_response(node, &owner, session, response, requested_at);
         if had_session && session.is_none() {
             refresh.try_refresh(node, true);
         }
@@ -173,7 +173,7 @@
     owner: &Owner,
     session: Option<Session>,
     response: RelayResponse,
-    asked: u64,
+    requested_at: u64,
 ) -> Option<Session> {
     if response.session == 0 {
         return None;
@@ -183,7 +183,7 @@
         log::info!(target: "relay", owner = &*owner.name, session = response.session, fence = response.fence; "This box is a relay of the owner.");
         Session::new(&response)
     });
-    session.execute(node, response, asked);
+    session.execute(node, response, requested_at);
     Some(session)
 }
 
@@ -224,14 +224,14 @@
     }
 
     /// Executes the commands of a response, unless it is a repetition. The exchange with the owner
-    /// began at `asked`.
-    fn execute(&mut self, node: &Node, response: RelayResponse, asked: u64) {
+    /// began at `requested_at`.
+    fn execute(&mut self, node: &Node, response: RelayResponse, requested_at: u64) {
         self.pause = Duration::from_millis(response.pause);
         if response.batch <= self.last_response {
             return;
         }
         self.last_response = response.batch;
-        let transit = time::now().saturating_sub(asked);
+        let transit = time::now().saturating_sub(requested_at);
         let age = |at: u64| response.now.saturating_sub(at) + transit;
         self.revoke_starts(&response.commands);
         for command in response.commands {
--- a/components/node/src/relays/mod.rs
+++ b/components/node/src/relays/mod.rs
@@ -1,5 +1,5 @@
-//! The owner's registry of relays: which box talks to which worker, and the commands and orders in
-//! flight.
+//! The owner's registry of relays: which box polls which worker, and the commands and orders
+//! in flight.
 
 mod idle_requests;
 mod relay;
@@ -36,8 +36,8 @@
 /// After this time, in milliseconds, a worker may be assigned to a weak box of another hall: boxes
 /// of its own hall send requests every 0.4 s.
 const REMOTE_HALL_DELAY: u64 = 900;
-/// After this time, in milliseconds, the owner itself talks to a worker that no relay has capacity
-/// for: boxes send requests every 0.4 s.
+/// After this time, in milliseconds, the owner itself connects to a worker that no relay has
+/// capacity for: boxes send requests every 0.4 s.
 const UNASSIGNED_TIMEOUT: u64 = 1_500;
 
 /// Overhead of an exchange on the owner's link, in bytes each way: headers of HTTP and of the
@@ -49,11 +49,11 @@
 /// The owner's need for further relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
-    /// None: the cell is small, and the owner talks to the workers itself.
+    /// None: the cell is small, and the owner connects to the workers itself.
     None,
     /// The cell is large.
     Large,
-    /// The cell is large, and the owner talks to some workers itself because the relays lack
+    /// The cell is large, and the owner connects to some workers itself because the relays lack
     /// capacity.
     Short,
 }
@@ -248,8 +248,8 @@
 
     /// Adds a box as a relay if it is needed: a strong box whenever the cell is large; a weak box
     /// while a worker of its hall has no relay, or a worker of any hall has had none for long, or
-    /// the owner talks to some itself. Returns the workers of its former session, which have to be
-    /// assigned again; `None` if nothing has changed.
+    /// the owner connects to some itself. Returns the workers of its former session, which have to
+    /// be assigned again; `None` if nothing has changed.
     pub fn join(&mut self, request: &RelayRequest, need: Need, now: u64) -> Option<Vec<Arc<str>>> {
         let former = match self.by_name.get(&request.name) {
             Some(relay) if relay.session == request.session => return None,
--- a/components/node/src/worker.rs
+++ b/components/node/src/worker.rs
@@ -30,8 +30,8 @@
 
 async fn poll(node: Node, fence: u64, entry: Entry) {
     let id = entry.id.clone();
-    let first = node.remote.ask_async(move |core, _, answerer| {
-        answerer.send(core.first_poll(fence, &id));
+    let first = node.actor.ask_async(move |core, _, responder| {
+        responder.send(core.first_poll(fence, &id));
     });
     let Ok(mut next) = first.await else {
         return;
@@ -44,10 +44,10 @@
             runtime::sleep(POLL_RETRY_PAUSE).await;
         }
         let id = entry.id.clone();
-        let answer = node.remote.ask_async(move |core, cx, answerer| {
-            core.handle_poll(cx, fence, &id, sent, result, answerer);
+        let poll_next = node.actor.ask_async(move |core, cx, responder| {
+            core.handle_poll(cx, fence, &id, sent, result, responder);
         });
-        next = answer.await.unwrap_or_default();
+        next = poll_next.await.unwrap_or_default();
     }
 }
 
@@ -64,7 +64,7 @@
         }
         let id = entry.id.clone();
         let is_delivered = node
-            .remote
+            .actor
             .tell(move |core, cx| core.handle_outcome(cx, fence, &id, &order, outcome));
         if !is_delivered {
             return;
--- a/components/node/tests/relays.rs
+++ b/components/node/tests/relays.rs
@@ -209,7 +209,7 @@
 }
 
 /// Attempts to assign a waiting worker must not restart its waiting time; otherwise it never
-/// becomes overdue, and neither a relay nor the owner talks to it.
+/// becomes overdue, and neither a relay nor the owner connects to it.
 #[test]
 fn take_overdue_after_attempts() {
     let mut relays = Relays::default();
@@ -355,7 +355,7 @@
     assert!(other.join(&remote, Need::Large, 1_000).is_some());
 }
 
-/// A weak box joins while the owner talks to workers itself. Otherwise, as happened with 18 weak
+/// A weak box joins while the owner connects to workers itself. Otherwise, as happened with 18 weak
 /// boxes, the owner keeps the workers that were added while all relays were full.
 #[test]
 fn join_of_weak_box_for_workers_of_owner() {
--- a/components/sched/src/actor/mod.rs
+++ b/components/sched/src/actor/mod.rs
@@ -78,7 +78,7 @@
 /// The actor of a scheduler process.
 pub struct Scheduler {
     shared: Shared,
-    remote: ActorRef<Scheduler>,
+    actor: ActorRef<Scheduler>,
     cells: BTreeMap<Arc<str>, Owned>,
     directory: Directory,
     table: Arc<Table>,
@@ -98,11 +98,11 @@
 
 impl Scheduler {
     /// Creates a scheduler that owns no cells.
-    pub fn new(cx: CX![], shared: Shared, remote: ActorRef<Scheduler>) -> Self {
+    pub fn new(cx: CX![], shared: Shared, actor: ActorRef<Scheduler>) -> Self {
         after!(TICK, [cx], tick());
         Scheduler {
             shared,
-            remote,
+            actor,
             cells: BTreeMap::new(),
             directory: Directory::default(),
             table: Arc::default(),
@@ -172,7 +172,7 @@
                 epoch,
                 worker_index,
                 signal,
-                remote: self.remote.clone(),
+                actor: self.actor.clone(),
                 workers: self.shared.workers.clone(),
                 heartbeat: self.shared.heartbeat,
             };
@@ -233,7 +233,7 @@
             cell: cell.clone(),
             epoch: record.epoch,
             signal: writer,
-            remote: self.remote.clone(),
+            actor: self.actor.clone(),
             store: self.shared.store.clone(),
         };
         if task::spawn(&format!("book-{cell}"), move || writer.run()).is_err() {
--- a/components/sched/src/api.rs
+++ b/components/sched/src/api.rs
@@ -36,7 +36,7 @@
 /// The request handler.
 pub struct Port {
     /// The actor.
-    pub remote: ActorRef<Scheduler>,
+    pub actor: ActorRef<Scheduler>,
     /// The client for calls to other schedulers.
     pub client: Client,
     /// Whether the process accepts requests.
@@ -55,7 +55,7 @@
 impl Port {
     /// Handles one request.
     pub fn handle(&self, request: Request) {
-        let able = || self.remote.ask(|sched, _| sched.is_ready());
+        let able = || self.actor.ask(|sched, _| sched.is_ready());
         let ready = || self.ready.get() && able().unwrap_or(false);
         let Some(request) = ops::route(request, ready) else {
             return;
@@ -76,7 +76,7 @@
                 respond_with(request, |exchange: Exchange| self.exchange(exchange))
             }
             "/cells/takeover" => respond_with(request, |takeover: Takeover| {
-                self.remote
+                self.actor
                     .ask(move |sched, _| sched.accept_handover(takeover.cell))
             }),
             _ => request.respond(Reply::text(404, "no such path\n")),
@@ -104,13 +104,13 @@
                 self.forward(&id, submit.passed, "/jobs/submit", &forwarded);
             return request.respond(Reply::message(&status));
         }
-        let remote = self.remote.clone();
-        self.remote.tell(move |sched, _| {
-            let asked = id.clone();
+        let actor = self.actor.clone();
+        self.actor.tell(move |sched, _| {
+            let job_id = id.clone();
             let done = move |result: Result<(), Failure>| {
                 // Reads the status on the actor after the write, without blocking this thread.
-                remote.tell(move |sched, _| {
-                    let status = result.and_then(|()| sched.status(&asked));
+                actor.tell(move |sched, _| {
+                    let status = result.and_then(|()| sched.status(&job_id));
                     request.respond(Reply::message(&status));
                 });
             };
@@ -121,7 +121,7 @@
     /// Returns the id of a submission, and whether this process owns its cell.
     fn route(&self, submit: &Submit) -> Result<(Arc<str>, bool), Failure> {
         let submit = submit.clone();
-        self.remote.ask(move |sched, _| {
+        self.actor.ask(move |sched, _| {
             let id = match submit.id {
                 Some(id) => id,
                 None => job::id(&sched.select_cell(&submit.spec)?, submit.key),
@@ -162,19 +162,21 @@
     /// A hanging owner would delay the request and leave its outcome unknown, so the owner's
     /// summary is requested first.
     fn reachable_owner(&self, cell: &str) -> Result<Option<Arc<str>>, Failure> {
-        let asked = cell.to_owned();
-        let url = self.remote.ask(move |sched, _| sched.owner_url(&asked))?;
+        let cell_name = cell.to_owned();
+        let url = self
+            .actor
+            .ask(move |sched, _| sched.owner_url(&cell_name))?;
         let Some(url) = url else { return Ok(None) };
         let message = Exchange {
             want: Some(Arc::from(cell)),
             summaries: Vec::new(),
         };
-        let answer: Result<Vec<Summary>, Failure> =
+        let result: Result<Vec<Summary>, Failure> =
             self.client
                 .post(&format!("{url}/cells/exchange"), &message, PROBE_TIMEOUT);
-        match answer {
+        match result {
             Ok(summaries) => {
-                self.remote
+                self.actor
                     .tell(move |sched, cx| sched.merge(summaries, cx.now()));
                 Ok(Some(url))
             }
@@ -187,7 +189,7 @@
 
     fn show(&self, query: &JobQuery) -> Result<Status, Failure> {
         let id = query.id.clone();
-        let here = self.remote.ask(move |sched, _| sched.status(&id))?;
+        let here = self.actor.ask(move |sched, _| sched.status(&id))?;
         match here {
             Err(failure) if failure.cause == Cause::Refused => {
                 let forwarded = JobQuery {
@@ -208,7 +210,7 @@
         };
         let local = cancel.clone();
         let cancelled = self
-            .remote
+            .actor
             .ask_within(MAX_WRITE_WAIT, move |sched, _, responder| {
                 sched.cancel(&local.ids, responder);
             });
@@ -255,7 +257,7 @@
         let mut urls: Vec<Arc<str>> = Vec::new();
         for summary in summaries {
             let cell = summary.cell.clone();
-            let url = self.remote.ask(move |sched, _| sched.owner_url(&cell))?;
+            let url = self.actor.ask(move |sched, _| sched.owner_url(&cell))?;
             urls.extend(url.filter(|url| !urls.contains(url)));
         }
         for url in urls {
@@ -270,19 +272,19 @@
     }
 
     fn list(&self, query: &ListQuery) -> Result<Vec<Status>, Failure> {
-        let here = self.remote.ask(|sched, _| sched.statuses())?;
+        let here = self.actor.ask(|sched, _| sched.statuses())?;
         self.gather(query, "/jobs/list", here)
     }
 
     fn workers(&self, query: &ListQuery) -> Result<Vec<Worker>, Failure> {
-        let here = self.remote.ask(|sched, cx| sched.workers(cx.now()))?;
+        let here = self.actor.ask(|sched, cx| sched.workers(cx.now()))?;
         self.gather(query, "/workers/list", here)
     }
 
     fn drain(&self, drain: &Drain) -> Result<bool, Failure> {
         let local = drain.clone();
         let drained = self
-            .remote
+            .actor
             .ask_within(MAX_WRITE_WAIT, move |sched, _, responder| {
                 sched.drain(&local, responder);
             })??;
@@ -294,7 +296,7 @@
         }
         for summary in self.cells()? {
             let cell = summary.cell.clone();
-            let Some(url) = self.remote.ask(move |sched, _| sched.owner_url(&cell))? else {
+            let Some(url) = self.actor.ask(move |sched, _| sched.owner_url(&cell))? else {
                 continue;
             };
             let forwarded = Drain {
@@ -313,11 +315,11 @@
     }
 
     fn cells(&self) -> Result<Vec<Summary>, Failure> {
-        self.remote.ask(|sched, _| sched.summaries(None))
+        self.actor.ask(|sched, _| sched.summaries(None))
     }
 
     fn exchange(&self, exchange: Exchange) -> Result<Vec<Summary>, Failure> {
-        self.remote.ask(move |sched, _| {
+        self.actor.ask(move |sched, _| {
             sched.merge(exchange.summaries, Instant::now());
             sched.summaries(exchange.want.as_deref())
         })
--- a/components/sched/src/claim.rs
+++ b/components/sched/src/claim.rs
@@ -81,7 +81,7 @@
 ///
 /// Fails if the store fails or another box takes over the cell at the same time.
 pub fn take_over<A: CellOwner>(
-    remote: &ActorRef<A>,
+    actor: &ActorRef<A>,
     store: &dyn Store,
     (name, url): (&Arc<str>, &Arc<str>),
     cell: &Arc<str>,
@@ -95,7 +95,7 @@
         cell_record,
     };
     let cell = cell.clone();
-    remote.ask(move |sched, cx| sched.begin_ownership(cx, cell, claimed))
+    actor.ask(move |sched, cx| sched.begin_ownership(cx, cell, claimed))
 }
 
 /// The task that writes one cell's record.
@@ -107,7 +107,7 @@
     /// Wakes the task when a write is due, or stops it.
     pub signal: Signal,
     /// The actor.
-    pub remote: ActorRef<A>,
+    pub actor: ActorRef<A>,
     /// The store.
     pub store: Arc<dyn Store>,
 }
@@ -120,7 +120,7 @@
         while !self.signal.is_stopped() {
             let (cell, epoch) = (self.cell.clone(), self.epoch);
             let due = self
-                .remote
+                .actor
                 .ask(move |sched, _| sched.due_priority(&cell, epoch));
             let Ok(Ok(due)) = due else { return };
             let Some(priority) = due else {
@@ -148,7 +148,7 @@
     fn write_next(&self) -> Option<bool> {
         let (cell, epoch) = (self.cell.clone(), self.epoch);
         let batch = self
-            .remote
+            .actor
             .ask(move |sched, _| sched.take_batch(&cell, epoch));
         match batch {
             Ok(Ok(Some(batch))) => self.write(batch.version, &batch.bytes),
@@ -174,12 +174,12 @@
             match read_back::swap(self.store.as_ref(), &key, version, bytes) {
                 WriteOutcome::Written(version) => {
                     metrics::counter!("magpie_book_writes_total").increment(1);
-                    self.remote
+                    self.actor
                         .tell(move |sched, cx| sched.batch_written(cx, &cell, epoch, version));
                     return Some(true);
                 }
                 WriteOutcome::Conflict(_) | WriteOutcome::Superseded(_) => {
-                    self.remote.tell(move |sched, cx| {
+                    self.actor.tell(move |sched, cx| {
                         sched.yield_cell(&cell, "another owner claimed the cell record", cx.now())
                     });
                     return None;
@@ -188,7 +188,7 @@
                 // again.
                 WriteOutcome::NotRun(failure) if attempts == 0 => {
                     log::warn!(target: "sched", "The cell record was not written. cell={cell} {failure}");
-                    self.remote
+                    self.actor
                         .tell(move |sched, _| sched.batch_failed(&cell, epoch));
                     return Some(false);
                 }
--- a/components/sched/src/service.rs
+++ b/components/sched/src/service.rs
@@ -90,7 +90,7 @@
     tasks: Tasks,
     server: Server,
     ready: Readiness,
-    actor: ActorThread<Scheduler>,
+    actor_thread: ActorThread<Scheduler>,
     _watcher: BoxWatcher,
     follower: Follower,
     threads: Vec<JoinHandle<()>>,
@@ -99,7 +99,7 @@
 #[derive(Clone)]
 struct Tasks {
     shared: Shared,
-    remote: kernel::ActorRef<Scheduler>,
+    actor: kernel::ActorRef<Scheduler>,
     client: Client,
     signal: Signal,
 }
@@ -132,23 +132,23 @@
             placement: settings.placement,
         };
         let actor_shared = shared.clone();
-        let actor = ActorThread::start("sched", move |cx, remote| {
-            Scheduler::new(cx, actor_shared, remote)
+        let actor_thread = ActorThread::start("sched", move |cx, actor| {
+            Scheduler::new(cx, actor_shared, actor)
         })?;
-        let remote = actor.actor_ref().clone();
+        let actor = actor_thread.actor_ref().clone();
         let port = Port {
-            remote: remote.clone(),
+            actor: actor.clone(),
             client: client.clone(),
             ready: ready.clone(),
         };
         let _ = handler_port.set(port);
-        let on_list = remote.clone();
+        let on_list = actor.clone();
         let changed = Box::new(move |list: &Arc<infra::List>| {
             let list = list.clone();
             on_list.tell(move |sched, cx| sched.set_list(cx, list));
         });
         let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
-        let on_table = remote.clone();
+        let on_table = actor.clone();
         let follower = Follower::start(
             settings.name,
             watcher.view().clone(),
@@ -159,7 +159,7 @@
         )?;
         let tasks = Tasks {
             shared,
-            remote,
+            actor,
             client,
             signal: Signal::new(),
         };
@@ -169,7 +169,7 @@
             tasks,
             server,
             ready,
-            actor,
+            actor_thread,
             _watcher: watcher,
             follower,
             threads,
@@ -182,8 +182,8 @@
     }
 
     /// Returns the actor, for embedding and for tests.
-    pub fn remote(&self) -> &kernel::ActorRef<Scheduler> {
-        &self.tasks.remote
+    pub fn actor_ref(&self) -> &kernel::ActorRef<Scheduler> {
+        &self.tasks.actor
     }
 
     /// Stops gracefully: reports as not ready, stops placing tasks, persists the cells and hands
@@ -202,7 +202,7 @@
     fn shut_down(&mut self) {
         self.ready.set(false);
         self.tasks.signal.stop();
-        let _ = self.tasks.remote.ask(|sched, _| {
+        let _ = self.tasks.actor.ask(|sched, _| {
             for cell in sched.begin_stop() {
                 sched.end_ownership(&cell, "the process is stopping");
             }
@@ -212,7 +212,7 @@
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
-        self.actor.stop();
+        self.actor_thread.stop();
     }
 }
 
@@ -239,14 +239,14 @@
         let mut failures = 0;
         while !self.signal.is_stopped() {
             let claims = self
-                .remote
+                .actor
                 .ask(|sched, cx| sched.cells_to_claim(cx.now()))
                 .unwrap_or_default();
             let mut failed = false;
             for cell in claims {
                 let me = (&self.shared.name, &self.shared.url);
                 if let Err(failure) =
-                    claim::take_over(&self.remote, self.shared.store.as_ref(), me, &cell)
+                    claim::take_over(&self.actor, self.shared.store.as_ref(), me, &cell)
                 {
                     failed = true;
                     if failures == 0 {
@@ -270,7 +270,7 @@
     fn watch(&self) {
         while !self.signal.is_stopped() {
             let targets = self
-                .remote
+                .actor
                 .ask(|sched, cx| sched.watch_targets(cx.now()))
                 .unwrap_or_default();
             for target in targets {
@@ -284,13 +284,13 @@
     fn exchange(&self) {
         while !self.signal.is_stopped() {
             let others = self
-                .remote
+                .actor
                 .ask(|sched, _| sched.exchange_targets())
                 .unwrap_or_default();
             if let Some(target) = fastrand::choice(&others) {
                 self.call(target);
             }
-            let cells = self.remote.ask(|sched, _| sched.summaries(None).len());
+            let cells = self.actor.ask(|sched, _| sched.summaries(None).len());
             let cells = cells.unwrap_or(1).max(1) as u32;
             self.signal.wait(EXCHANGE_INTERVAL * cells);
         }
@@ -299,7 +299,7 @@
     fn call(&self, target: &Target) {
         let want = target.cell.clone();
         let known = self
-            .remote
+            .actor
             .ask(move |sched, _| sched.summaries(want.as_deref()));
         let Ok(summaries) = known else { return };
         let message = Exchange {
@@ -307,12 +307,12 @@
             summaries,
         };
         let address = format!("{}/cells/exchange", target.url);
-        let answer: Result<Vec<Summary>, Failure> =
+        let result: Result<Vec<Summary>, Failure> =
             self.client.post(&address, &message, EXCHANGE_TIMEOUT);
         let name = target.name.clone();
-        self.remote.tell(move |sched, cx| {
-            sched.record_call(&name, answer.is_ok(), cx.now());
-            if let Ok(summaries) = answer {
+        self.actor.tell(move |sched, cx| {
+            sched.record_call(&name, result.is_ok(), cx.now());
+            if let Ok(summaries) = result {
                 sched.merge(summaries, cx.now());
             }
         });
@@ -321,19 +321,19 @@
     /// Waits for unpersisted changes to be written, and asks the successors to take over the cells.
     fn hand_over(&self) {
         let cells = self
-            .remote
+            .actor
             .ask(|sched, _| sched.begin_stop())
             .unwrap_or_default();
         let end = Instant::now() + MAX_FLUSH_WAIT;
         let wait = Signal::new();
-        while Instant::now() < end && !self.remote.ask(|s, _| s.is_flushed()).unwrap_or(true) {
+        while Instant::now() < end && !self.actor.ask(|s, _| s.is_flushed()).unwrap_or(true) {
             wait.wait(Duration::from_millis(20));
         }
         for cell in cells {
-            let asked = cell.clone();
+            let owned_cell = cell.clone();
             let successor = self
-                .remote
-                .ask(move |sched, cx| sched.successor(&asked, cx.now()));
+                .actor
+                .ask(move |sched, cx| sched.successor(&owned_cell, cx.now()));
             let Ok(Some(target)) = successor else {
                 continue;
             };
--- a/components/sched/src/worker_link.rs
+++ b/components/sched/src/worker_link.rs
@@ -41,7 +41,7 @@
     /// Wakes the task when an order is due, or stops it.
     pub signal: Signal,
     /// The actor.
-    pub remote: ActorRef<A>,
+    pub actor: ActorRef<A>,
     /// The client for calls to workers.
     pub workers: Arc<dyn Workers>,
     /// Interval between exchanges when nothing is due.
@@ -55,7 +55,7 @@
         while !self.signal.is_stopped() {
             let (cell, epoch, worker_index) = (self.cell.clone(), self.epoch, self.worker_index);
             let next = self
-                .remote
+                .actor
                 .ask(move |sched, _| sched.next_order(&cell, epoch, worker_index));
             let Ok(Some((url, order))) = next else { return };
             let result = self.workers.exchange(&url, &order);
@@ -64,7 +64,7 @@
             }
             failures = if result.is_ok() { 0 } else { failures + 1 };
             let cell = self.cell.clone();
-            let wait = self.remote.ask(move |sched, cx| {
+            let wait = self.actor.ask(move |sched, cx| {
                 sched.handle_exchange(cx, (&cell, epoch, worker_index), &order, result)
             });
             match wait {
--- a/components/trial/src/entry.rs
+++ b/components/trial/src/entry.rs
@@ -87,21 +87,24 @@
 
     /// The versions of the table in force in its three processes.
     pub fn versions(&self) -> [Option<u64>; 3] {
-        let sched = self.sched.remote().ask(|sched, _| sched.table_version());
+        let sched = self.sched.actor_ref().ask(|sched, _| sched.table_version());
         [self.table.version(), sched, self.gate.version()].map(Result::ok)
     }
 
     /// True when the scheduler here owns a cell.
     pub fn owns(&self, cell: &Arc<str>) -> bool {
         let cell = cell.clone();
-        let owns = self.sched.remote().ask(move |sched, _| sched.owns(&cell));
+        let owns = self
+            .sched
+            .actor_ref()
+            .ask(move |sched, _| sched.owns(&cell));
         owns.unwrap_or(false)
     }
 
     /// True when every process here has a table and this many cells are known to be held.
     pub fn is_ready(&self, cells: usize) -> bool {
         let versions = self.versions();
-        let summaries = self.sched.remote().ask(|sched, _| sched.summaries(None));
+        let summaries = self.sched.actor_ref().ask(|sched, _| sched.summaries(None));
         let summaries = summaries.unwrap_or_default();
         let holding = summaries.iter().filter(|summary| summary.holding).count();
         versions
--- a/components/trial/tests/whole_path.rs
+++ b/components/trial/tests/whole_path.rs
@@ -304,7 +304,7 @@
     let frozen = fleet.take_owner(&cell).unwrap();
     // The actor stands still until the test lets it go on.
     let (thaw, frost) = std::sync::mpsc::channel::<()>();
-    assert!(frozen.sched.remote().tell(move |_, _| {
+    assert!(frozen.sched.actor_ref().tell(move |_, _| {
         let _ = frost.recv();
     }));
     wait(soon(), "nobody took the cell over", || {
--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -134,7 +134,7 @@
     fn is_ready(&self) -> bool {
         self.is_open.load(Ordering::Acquire)
             && send(self.ready, "GET", "/readiness", None)
-                .is_some_and(|answer| answer.status == 200)
+                .is_some_and(|response| response.status == 200)
     }
 
     /// Notifies the box of a cancellation, as another box would.
@@ -155,8 +155,8 @@
 
     /// Returns the number of its probes of the store, and of its other calls to the store.
     fn store_calls(&self) -> (u64, u64) {
-        let answer = send(self.inside, "GET", "/metrics", None).unwrap();
-        let text = String::from_utf8(answer.body).unwrap();
+        let response = send(self.inside, "GET", "/metrics", None).unwrap();
+        let text = String::from_utf8(response.body).unwrap();
         let (mut probes, mut others) = (0, 0);
         for line in text.lines() {
             let Some(rest) = line.strip_prefix("magpie_store_calls_total{call=") else {
@@ -277,8 +277,8 @@
         let paths: Vec<String> = jobs.map(|number| format!("/q/{number:016x}")).collect();
         for path in &paths {
             until("a job is accepted", || {
-                let answer = send(port, "POST", path, Some(&job(12)));
-                answer.is_some_and(|answer| answer.status == 200)
+                let response = send(port, "POST", path, Some(&job(12)));
+                response.is_some_and(|response| response.status == 200)
             });
         }
         for path in &paths {
@@ -339,11 +339,11 @@
 }
 
 fn status(port: u16, path: &str) -> u16 {
-    send(port, "GET", path, None).map_or(0, |answer| answer.status)
+    send(port, "GET", path, None).map_or(0, |response| response.status)
 }
 
 fn state(port: u16, path: &str) -> String {
-    let body = send(port, "GET", path, None).map_or(Vec::new(), |answer| answer.body);
+    let body = send(port, "GET", path, None).map_or(Vec::new(), |response| response.body);
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     body["state"].as_str().unwrap_or_default().to_owned()
 }
@@ -354,8 +354,8 @@
     let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     for process in &boxes {
-        let answer = send(process.callers, "POST", path, Some(&job(4))).unwrap();
-        assert_eq!(answer.status, 200);
+        let response = send(process.callers, "POST", path, Some(&job(4))).unwrap();
+        assert_eq!(response.status, 200);
     }
     for process in &boxes {
         until("the job is completed", || {
@@ -464,18 +464,18 @@
     assert_eq!(status(port, "/q/short"), 400);
     until("the queue responds", || status(port, "/q/") == 200);
     let bad = json!({ "specification": "x", "steps": [] });
-    let answer = send(port, "POST", "/q/00000000000000a1", Some(&bad)).unwrap();
-    assert_eq!(answer.status, 400);
+    let response = send(port, "POST", "/q/00000000000000a1", Some(&bad)).unwrap();
+    assert_eq!(response.status, 400);
     let large = json!({ "specification": "x".repeat(300_000), "steps": [] });
-    let answer = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
-    assert_eq!(answer.status, 413);
+    let response = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
+    assert_eq!(response.status, 413);
     cluster.kv.fail(Faults {
         busy: true,
         ..Faults::default()
     });
-    let answer = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
-    assert_eq!(answer.status, 503);
-    assert_eq!(answer.header("retry-after"), "1");
+    let response = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
+    assert_eq!(response.status, 503);
+    assert_eq!(response.header("retry-after"), "1");
     cluster.kv.fail(Faults::default());
     until("the rejected job is unknown", || {
         status(port, "/q/00000000000000a2") == 410
@@ -785,8 +785,8 @@
     let closure = json!({ "by": "night shift" });
     cluster.kv.put("op/evacuate/h1", &encode(&closure));
     let list = |port| {
-        let answer = send(port, "GET", "/halls", None)?;
-        String::from_utf8(answer.body).ok()
+        let response = send(port, "GET", "/halls", None)?;
+        String::from_utf8(response.body).ok()
     };
     let is_listed = |port| {
         list(port).is_some_and(|text| text.starts_with("h1 ") && text.ends_with(" night shift\n"))
@@ -795,8 +795,8 @@
         until("the hall is listed as closed", || is_listed(process.inside));
     }
     let path = "/q/00000000000000a1";
-    let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
-    assert_eq!(answer.status, 200);
+    let response = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
+    assert_eq!(response.status, 200);
     let first = cluster.owner().unwrap();
     let killed = boxes.remove(usize::from(first != "b0"));
     killed.signal("-KILL");
@@ -850,8 +850,8 @@
                 ..standin::runner::Faults::default()
             });
         });
-        let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
-        assert_eq!(answer.status, 200);
+        let response = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
+        assert_eq!(response.status, 200);
     }
     for runner in &cluster.runners {
         runner.fail(standin::runner::Faults::default());
