--- a/components/trial/src/entry.rs
+++ b/components/trial/src/entry.rs
@@ -88,14 +88,17 @@
     /// Returns the table versions in use by the table service, the scheduler and the gate; `None`
     /// for a service that does not answer.
     pub fn versions(&self) -> [Option<u64>; 3] {
-        let sched = self.sched.remote().ask(|sched, _| sched.table_version());
+        let sched = self.sched.actor_ref().ask(|sched, _| sched.table_version());
         [self.table.version(), sched, self.gate.table_version()].map(Result::ok)
     }
 
     /// True if the scheduler of this box owns the cell.
     pub fn owns(&self, cell: &Arc<str>) -> bool {
         let cell = cell.clone();
-        let owns = self.sched.remote().ask(move |sched, _| sched.owns(&cell));
+        let owns = self
+            .sched
+            .actor_ref()
+            .ask(move |sched, _| sched.owns(&cell));
         owns.unwrap_or(false)
     }
 
@@ -103,7 +106,7 @@
     /// owned.
     pub fn is_ready(&self, cells: usize) -> bool {
         let versions = self.versions();
-        let summaries = self.sched.remote().ask(|sched, _| sched.summaries(None));
+        let summaries = self.sched.actor_ref().ask(|sched, _| sched.summaries(None));
         let summaries = summaries.unwrap_or_default();
         let holding = summaries.iter().filter(|summary| summary.holding).count();
         versions
--- a/components/trial/tests/end_to_end.rs
+++ b/components/trial/tests/end_to_end.rs
@@ -319,7 +319,7 @@
     let paused = fleet.take_owner(&cell).unwrap();
     // Blocks the actor until the test sends on the channel.
     let (resume, resumed) = std::sync::mpsc::channel::<()>();
-    assert!(paused.sched.remote().tell(move |_, _| {
+    assert!(paused.sched.actor_ref().tell(move |_, _| {
         let _ = resumed.recv();
     }));
     wait_until(deadline(), "no other box took over the cell", || {
