--- a/programs/soak/src/fault.rs
+++ b/programs/soak/src/fault.rs
@@ -136,9 +136,9 @@
             Fault::StoreReset(number) => world.proxies[number].reset(),
             Fault::Compact => world.kv.compact(),
             Fault::WorkerSilent(number) => world.workers[number].proxy.blackhole(),
-            Fault::WorkerOneWay(number, is_request) => {
-                world.workers[number].proxy.blackhole_direction(direction_of(is_request))
-            }
+            Fault::WorkerOneWay(number, is_request) => world.workers[number]
+                .proxy
+                .blackhole_direction(direction_of(is_request)),
             Fault::WorkerReset(number) => world.workers[number].proxy.reset(),
             Fault::Crash(number) => {
                 self.stale.insert(index, world.crash(number));
