--- a/components/gate/src/actor.rs
+++ b/components/gate/src/actor.rs
@@ -220,17 +220,17 @@
             ))
         };
         if slots == 0 {
-            return busy("no backend server accepts requests");
+            return busy("no backend server takes requests now");
         }
         let ahead = self.waiting.get(class).map_or(0, VecDeque::len);
         if ahead >= slots * MAX_WAITING_PER_SLOT {
-            return busy("the queue of waiting requests is full");
+            return busy("too many requests wait");
         }
         let expected_wait = self
             .mean_latency(class)
             .mul_f64((ahead + 1) as f64 / slots as f64);
         if now + expected_wait > request.deadline {
-            return busy("the expected wait exceeds the request's deadline");
+            return busy("the deadline comes before the request's turn");
         }
         None
     }
@@ -282,7 +282,7 @@
                     continue;
                 }
                 metrics::counter!("magpie_gate_shed_total").increment(1);
-                let text = "no backend server had a free slot before the deadline";
+                let text = "no backend server had room before the deadline";
                 waiting
                     .responder
                     .send(Err(Failure::not_run(Cause::Busy, text)));
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -133,7 +133,7 @@
     if shared.closing.load(Ordering::Acquire) {
         return Err(Failure::not_run(
             Cause::Stopping,
-            "this gate is shutting down",
+            "this gate takes no requests",
         ));
     }
     let caller_request = read_request(shared, request, started)?;
@@ -169,7 +169,7 @@
     let class = header(request, CLASS_HEADER).to_owned();
     if !kernel::settings::is_name(&class) {
         return Err(invalid(
-            "the header x-magpie-class must contain a class of the table",
+            "the header x-magpie-class must name a class of the table",
         ));
     }
     let deadline = match header(request, DEADLINE_HEADER) {
@@ -201,10 +201,10 @@
         .take(shared.max_body + 1)
         .read_to_end(&mut body);
     if read.is_err() {
-        return Err(invalid("the request body is truncated"));
+        return Err(invalid("the body is cut"));
     }
     if body.len() as u64 > shared.max_body {
-        return Err(invalid("the request body is too large"));
+        return Err(invalid("the body is too large"));
     }
     let class = Arc::from(class);
     Ok(CallerRequest {
@@ -252,7 +252,7 @@
             break;
         }
     }
-    Err(last.unwrap_or_else(|| Failure::not_run(Cause::Busy, "no attempt was made")))
+    Err(last.unwrap_or_else(|| Failure::not_run(Cause::Busy, "no try was made")))
 }
 
 /// Selects the failure to report: an earlier failure of an attempt that may have run takes
--- a/components/table/src/accept.rs
+++ b/components/table/src/accept.rs
@@ -70,7 +70,7 @@
             }
         }
     }
-    let contended = || Failure::not_run(Cause::Busy, "too many concurrent edits; try again");
+    let contended = || Failure::not_run(Cause::Busy, "too many edits at once; try again");
     Err(unknown.unwrap_or_else(contended))
 }
 
