--- a/components/gate/src/choice.rs
+++ b/components/gate/src/balancing.rs
@@ -1,4 +1,5 @@
-//! Policies that choose a backend server. They register themselves and are chosen by name.
+//! Load-balancing policies: which available backend server gets a request. Policies register
+//! themselves as plug-ins and are selected by name.
 
 use {
     crate::pool::Pool,
@@ -9,67 +10,69 @@
     std::any::Any,
 };
 
-/// The kind under which these policies register.
+/// Plug-in kind of the load-balancing policies.
 pub const KIND: &str = "choice";
 
-/// A policy.
-pub trait Choice: Send {
-    /// The place of one of the candidates, each of which has room; there is at least one.
+/// A load-balancing policy.
+pub trait Balancer: Send {
+    /// Returns the pool index of one of `candidates`. The slice is not empty, and every candidate
+    /// has a free slot.
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize;
 }
 
-/// Makes the policy of this name.
+/// Creates the policy with this name.
 ///
 /// # Errors
 ///
-/// No policy has this name; the failure lists those that there are.
-pub fn make(name: &str) -> Result<Box<dyn Choice>, Failure> {
+/// `Invalid` if no policy has this name; the text lists the available names.
+pub fn create(name: &str) -> Result<Box<dyn Balancer>, Failure> {
     plugin::make(KIND, name)
 }
 
-/// Any server, each with the same chance.
+/// Selects a server uniformly at random.
 struct Random(fastrand::Rng);
 
-impl Choice for Random {
+impl Balancer for Random {
     fn choose(&mut self, candidates: &[usize], _: &Pool) -> usize {
         candidates[self.0.usize(..candidates.len())]
     }
 }
 
-/// The servers in turn.
+/// Selects the servers in turn.
 struct RoundRobin(usize);
 
-impl Choice for RoundRobin {
+impl Balancer for RoundRobin {
     fn choose(&mut self, candidates: &[usize], _: &Pool) -> usize {
         self.0 = self.0.wrapping_add(1);
         candidates[self.0 % candidates.len()]
     }
 }
 
-/// The server with the fewest requests of this gate.
-struct Least(fastrand::Rng);
+/// Selects the server with the fewest in-flight requests from this gate.
+struct LeastRequests(fastrand::Rng);
 
-impl Choice for Least {
+impl Balancer for LeastRequests {
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize {
         let start = self.0.usize(..candidates.len());
-        let turned = candidates[start..].iter().chain(&candidates[..start]);
-        let least = turned.min_by_key(|at| pool.server(**at).busy);
-        least.copied().unwrap_or(candidates[0])
+        let rotated = candidates[start..].iter().chain(&candidates[..start]);
+        let selected = rotated.min_by_key(|index| pool.server(**index).in_flight);
+        selected.copied().unwrap_or(candidates[0])
     }
 }
 
-/// Of two servers taken by chance, the one with the smaller latency times its requests: its cost
-/// does not grow with the number of servers, and gates that do not talk do not herd.
+/// Draws two servers at random and selects the one with the lower product of latency and in-flight
+/// requests. The cost is independent of the number of servers, and gates that do not share state do
+/// not herd on the same server.
 struct TwoChoices(fastrand::Rng);
 
-/// The cost of one more request on a server.
-fn cost(pool: &Pool, at: usize) -> f64 {
-    let server = pool.server(at);
-    // A server without an answer yet counts as fast, so that it is tried.
-    server.latency.max(1e-6) * f64::from(server.busy + 1)
+/// Estimated cost of one more request on a server: mean latency times in-flight requests.
+fn cost(pool: &Pool, index: usize) -> f64 {
+    let server = pool.server(index);
+    // A server without a latency sample counts as fast, so that it gets requests.
+    server.latency.max(1e-6) * f64::from(server.in_flight + 1)
 }
 
-impl Choice for TwoChoices {
+impl Balancer for TwoChoices {
     fn choose(&mut self, candidates: &[usize], pool: &Pool) -> usize {
         let first = candidates[self.0.usize(..candidates.len())];
         let second = candidates[self.0.usize(..candidates.len())];
@@ -85,15 +88,15 @@
     fastrand::Rng::new()
 }
 
-fn boxed(policy: impl Choice + 'static) -> Box<dyn Any> {
-    Box::new(Box::new(policy) as Box<dyn Choice>)
+fn boxed(policy: impl Balancer + 'static) -> Box<dyn Any> {
+    Box::new(Box::new(policy) as Box<dyn Balancer>)
 }
 
 plugin::submit! {
     Entry {
         kind: KIND,
         name: "random",
-        about: "Any server with room.",
+        about: "Any server with a free slot.",
         make: || boxed(Random(rng())),
     }
 }
@@ -102,7 +105,7 @@
     Entry {
         kind: KIND,
         name: "round-robin",
-        about: "The servers with room in turn.",
+        about: "The servers with free slots in turn.",
         make: || boxed(RoundRobin(0)),
     }
 }
@@ -112,7 +115,7 @@
         kind: KIND,
         name: "least",
         about: "The server with the fewest requests of this gate.",
-        make: || boxed(Least(rng())),
+        make: || boxed(LeastRequests(rng())),
     }
 }
 
@@ -133,7 +136,7 @@
     #[test_case("round-robin"; "round robin")]
     #[test_case("least"; "least")]
     #[test_case("two-choices"; "two choices")]
-    fn make_finds(name: &str) {
-        assert!(make(name).is_ok());
+    fn create_finds(name: &str) {
+        assert!(create(name).is_ok());
     }
 }
--- a/components/gate/src/forward.rs
+++ b/components/gate/src/forward.rs
@@ -1,9 +1,10 @@
-//! The task of one caller's request: find room, send, retry where it is safe, answer.
+//! Forwards a caller's request to a backend server, retries where that is safe, and returns the
+//! response with a verdict.
 
 use {
     crate::{
-        actor::{Gate, Ticket, Wanted},
-        answer::{self, CLASS_HEADER, DEADLINE_HEADER, REPEAT_HEADER, VERDICT_HEADER},
+        actor::{Gate, Slot, SlotRequest},
+        response::{self, CLASS_HEADER, DEADLINE_HEADER, REPEAT_HEADER, VERDICT_HEADER},
     },
     kernel::{ActorRef, Call, Client, Failure, HttpResponse, Verdict, verdict::Cause},
     oxhttp::model::{Body, Request, Response},
@@ -17,19 +18,20 @@
     },
 };
 
-/// How often one request is sent at most.
-const TRIES: usize = 3;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The status with which a backend server refuses a request that it did not run.
+/// Status of a backend server's refusal of a request that it did not run.
 const REFUSED_STATUS: u16 = 503;
 
-/// The header that says so, with the reason; a 503 without it may be anything.
+/// Header that marks a 503 response as such a refusal and contains the reason. A 503 without this
+/// header does not prove that the request was not run.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// The reason of a refusal that means that the server takes no more requests.
-const LEAVING: &str = "leaving";
+/// Refusal reason of a server that is leaving and accepts no further requests.
+const LEAVING_REASON: &str = "leaving";
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -43,87 +45,87 @@
     "host",
 ];
 
-/// What the callers' tasks share.
+/// State shared by the threads that handle callers' requests.
 #[derive(Clone)]
 pub struct Shared {
-    /// The actor.
+    /// Reference to the gate actor.
     pub gate: ActorRef<Gate>,
-    /// The client for calls on backend servers.
+    /// HTTP client for requests to backend servers.
     pub client: Client,
-    /// The time for a request whose caller names none.
-    pub deadline: Duration,
-    /// The largest body of a request, in bytes.
-    pub body: u64,
-    /// Requests in flight.
-    pub flights: Flights,
-    /// True while the gate refuses requests, since it stops.
+    /// Deadline of a request without an `x-magpie-deadline-ms` header.
+    pub default_deadline: Duration,
+    /// Maximum size of a request body, in bytes.
+    pub max_body: u64,
+    /// Counter of in-flight requests.
+    pub in_flight: InFlight,
+    /// True while the gate is shutting down and refuses requests.
     pub closing: Arc<AtomicBool>,
 }
 
-/// Counts requests in flight, from their arrival until their answers are written.
+/// Counts in-flight requests, from their arrival until their responses have been written.
 #[derive(Clone, Default)]
-pub struct Flights {
+pub struct InFlight {
     count: Arc<AtomicUsize>,
 }
 
-impl Flights {
-    /// A request arrives; it is in flight as long as the guard or a copy of it lives.
-    fn enter(&self) -> Flight {
+impl InFlight {
+    /// Counts a request as in flight until the last copy of the returned guard is dropped.
+    fn enter(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
-        Flight {
-            _guard: Arc::new(Guard {
+        InFlightGuard {
+            _guard: Arc::new(CountGuard {
                 count: self.count.clone(),
             }),
         }
     }
 
-    /// Requests in flight.
+    /// Returns the number of in-flight requests.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 }
 
-/// A request in flight.
+/// Guard of one in-flight request.
 #[derive(Clone)]
-struct Flight {
-    _guard: Arc<Guard>,
+struct InFlightGuard {
+    _guard: Arc<CountGuard>,
 }
 
-struct Guard {
+struct CountGuard {
     count: Arc<AtomicUsize>,
 }
 
-impl Drop for Guard {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// A caller's request, read in whole.
-struct Asked {
+/// A caller's request, with its body read completely.
+struct CallerRequest {
     method: String,
     path: String,
     headers: Vec<(String, String)>,
     body: Vec<u8>,
     class: Arc<str>,
-    repeat: bool,
+    may_repeat: bool,
     deadline: Instant,
 }
 
-/// Answers one request.
+/// Handles one request. Failures become responses with a JSON body and a verdict.
 pub fn handle(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
-    let flight = shared.flights.enter();
+    let guard = shared.in_flight.enter();
     let started = Instant::now();
-    let mut response = match answer_to(shared, request, started) {
+    let mut response = match process(shared, request, started) {
         Ok(response) => response,
-        Err(failure) => answer::failure(&failure),
+        Err(failure) => response::from_failure(&failure),
     };
-    // The server drops the response once all of it is written; the guard goes with it.
-    response.extensions_mut().insert(flight);
+    // The server drops the response, and with it the guard, after writing it completely.
+    response.extensions_mut().insert(guard);
     response
 }
 
-fn answer_to(
+fn process(
     shared: &Shared,
     request: &mut Request<Body>,
     started: Instant,
@@ -134,10 +136,10 @@
             "this gate takes no requests",
         ));
     }
-    let asked = read(shared, request, started)?;
-    let result = send(shared, &asked);
+    let caller_request = read_request(shared, request, started)?;
+    let result = send(shared, &caller_request);
     let latency = started.elapsed();
-    let (class, answered) = (asked.class, result.is_ok());
+    let (class, answered) = (caller_request.class, result.is_ok());
     metrics::histogram!("magpie_gate_request_seconds").record(latency.as_secs_f64());
     let verdict = result
         .as_ref()
@@ -145,8 +147,8 @@
     metrics::counter!("magpie_gate_requests_total", "verdict" => verdict.as_str()).increment(1);
     shared
         .gate
-        .tell(move |gate, _| gate.note(&class, latency, answered));
-    result.map(pass_back)
+        .tell(move |gate, _| gate.record_outcome(&class, latency, answered));
+    result.map(build_response)
 }
 
 fn header<'a>(request: &'a Request<Body>, name: &str) -> &'a str {
@@ -157,8 +159,12 @@
         .unwrap_or_default()
 }
 
-/// Reads a request in whole.
-fn read(shared: &Shared, request: &mut Request<Body>, started: Instant) -> Result<Asked, Failure> {
+/// Reads the headers and the complete body of a request and checks them.
+fn read_request(
+    shared: &Shared,
+    request: &mut Request<Body>,
+    started: Instant,
+) -> Result<CallerRequest, Failure> {
     let invalid = |text: &str| Failure::not_run(Cause::Invalid, text);
     let class = header(request, CLASS_HEADER).to_owned();
     if !kernel::settings::is_name(&class) {
@@ -167,14 +173,14 @@
         ));
     }
     let deadline = match header(request, DEADLINE_HEADER) {
-        "" => shared.deadline,
+        "" => shared.default_deadline,
         text => match text.parse() {
             Ok(time) if (1..=600_000).contains(&time) => Duration::from_millis(time),
             _ => return Err(invalid("x-magpie-deadline-ms must be from 1 to 600000")),
         },
     };
     let method = request.method().to_string();
-    let repeat = matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS")
+    let may_repeat = matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS")
         || !header(request, REPEAT_HEADER).is_empty();
     let path = request
         .uri()
@@ -192,63 +198,66 @@
     let mut body = Vec::new();
     let read = request
         .body_mut()
-        .take(shared.body + 1)
+        .take(shared.max_body + 1)
         .read_to_end(&mut body);
     if read.is_err() {
         return Err(invalid("the body is cut"));
     }
-    if body.len() as u64 > shared.body {
+    if body.len() as u64 > shared.max_body {
         return Err(invalid("the body is too large"));
     }
     let class = Arc::from(class);
-    Ok(Asked {
+    Ok(CallerRequest {
         method,
         path,
         headers,
         body,
         class,
-        repeat,
+        may_repeat,
         deadline: started + deadline,
     })
 }
 
-/// Sends a request to one server after another until it ran, or must not be sent again.
-fn send(shared: &Shared, asked: &Asked) -> Result<HttpResponse, Failure> {
+/// Sends the request to one server after another until one has run it, the attempts or the retry
+/// budget are exhausted, or a retry is unsafe.
+fn send(shared: &Shared, caller_request: &CallerRequest) -> Result<HttpResponse, Failure> {
     let mut tried = Vec::new();
     let mut last: Option<Failure> = None;
-    for attempt in 0..TRIES {
-        let wanted = Wanted {
-            class: asked.class.clone(),
-            deadline: asked.deadline,
+    for attempt in 0..MAX_ATTEMPTS {
+        let slot_request = SlotRequest {
+            class: caller_request.class.clone(),
+            deadline: caller_request.deadline,
             tried: tried.clone(),
         };
-        let ticket = shared.gate.ask_deferred(move |gate, cx, answerer| {
+        let slot = shared.gate.ask_deferred(move |gate, cx, responder| {
             if attempt == 0 {
-                gate.enter();
+                gate.record_request();
             }
-            gate.pick(cx, wanted, answerer);
+            gate.acquire_slot(cx, slot_request, responder);
         });
-        let ticket = match ticket.and_then(|ticket| ticket) {
-            Ok(ticket) => ticket,
-            // What an earlier try may have done goes before the failure to find room again.
+        let slot = match slot.and_then(|slot| slot) {
+            Ok(slot) => slot,
+            // The failure of an earlier attempt, which may have run, takes precedence over the
+            // failure to get another slot.
             Err(failure) => return Err(last.unwrap_or(failure)),
         };
-        tried.push(ticket.at);
-        let failure = match try_once(shared, asked, &ticket) {
-            Ok(answer) => return Ok(answer),
+        tried.push(slot.index);
+        let failure = match attempt_once(shared, caller_request, &slot) {
+            Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
-        let safe = failure.is_not_run() || asked.repeat;
-        last = Some(worse(last, failure));
-        if !safe || attempt + 1 == TRIES || !take_retry(shared) {
+        let safe = failure.is_not_run() || caller_request.may_repeat;
+        last = Some(more_severe(last, failure));
+        if !safe || attempt + 1 == MAX_ATTEMPTS || !take_retry(shared) {
             break;
         }
     }
     Err(last.unwrap_or_else(|| Failure::not_run(Cause::Busy, "no try was made")))
 }
 
-/// The failure to tell of two tries: one that may have run goes first.
-fn worse(last: Option<Failure>, next: Failure) -> Failure {
+/// Selects the failure to report: an earlier failure of an attempt that may have run takes
+/// precedence.
+fn more_severe(last: Option<Failure>, next: Failure) -> Failure {
     match last {
         Some(last) if !last.is_not_run() => last,
         _ => next,
@@ -262,68 +271,75 @@
         .unwrap_or(false)
 }
 
-/// Sends a request to one server.
-fn try_once(shared: &Shared, asked: &Asked, ticket: &Ticket) -> Result<HttpResponse, Failure> {
+/// Sends the request to one server and reports the result to the actor.
+fn attempt_once(
+    shared: &Shared,
+    caller_request: &CallerRequest,
+    slot: &Slot,
+) -> Result<HttpResponse, Failure> {
     let started = Instant::now();
-    let result = exchange(shared, asked, ticket, started);
-    let (at, latency) = (ticket.at, started.elapsed());
+    let result = exchange(shared, caller_request, slot, started);
+    let (index, latency) = (slot.index, started.elapsed());
     let refused = matches!(&result, Err(failure) if failure.cause == Cause::Refused);
-    let leaving = matches!(&result, Err(f) if f.cause == Cause::Refused && f.text == LEAVING);
-    // A refusal is an answer: the server is well.
+    let leaving =
+        matches!(&result, Err(f) if f.cause == Cause::Refused && f.text == LEAVING_REASON);
+    // A refusal is a response, so it does not count as a failure of the server.
     let ok = result.is_ok() || refused;
     shared.gate.tell(move |gate, cx| {
         if leaving {
-            gate.leaving(at);
+            gate.mark_leaving(index);
         }
-        gate.done(at, latency, ok, cx.now());
+        gate.release_slot(index, latency, ok, cx.now());
     });
     result
 }
 
 fn exchange(
     shared: &Shared,
-    asked: &Asked,
-    ticket: &Ticket,
+    caller_request: &CallerRequest,
+    slot: &Slot,
     started: Instant,
 ) -> Result<HttpResponse, Failure> {
-    let left = asked.deadline.saturating_duration_since(started);
-    if left.is_zero() {
+    let remaining = caller_request.deadline.saturating_duration_since(started);
+    if remaining.is_zero() {
         return Err(Failure::not_run(Cause::Timeout, "the deadline has passed"));
     }
-    let url = format!("{}{}", ticket.url, asked.path);
-    let deadline = left.as_millis().to_string();
+    let url = format!("{}{}", slot.url, caller_request.path);
+    let deadline = remaining.as_millis().to_string();
     let mut headers: Vec<(&str, &str)> = Vec::new();
-    for (name, value) in &asked.headers {
+    for (name, value) in &caller_request.headers {
         if name != DEADLINE_HEADER {
             headers.push((name, value));
         }
     }
     headers.push((DEADLINE_HEADER, &deadline));
     let call = Call {
-        method: &asked.method,
+        method: &caller_request.method,
         url: &url,
         headers: &headers,
-        body: &asked.body,
-        timeout: left.into(),
+        body: &caller_request.body,
+        timeout: remaining.into(),
     };
-    let answer = shared.client.send(&call)?;
-    let reason = answer.header(NOT_RUN_HEADER);
-    if answer.status == REFUSED_STATUS && !reason.is_empty() {
+    let response = shared.client.send(&call)?;
+    let reason = response.header(NOT_RUN_HEADER);
+    if response.status == REFUSED_STATUS && !reason.is_empty() {
         return Err(Failure::not_run(Cause::Refused, reason));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Passes a backend server's whole answer back.
-fn pass_back(answer: HttpResponse) -> Response<Body> {
+/// Builds the caller's response from the backend server's.
+fn build_response(backend_response: HttpResponse) -> Response<Body> {
     let mut builder = Response::builder()
-        .status(answer.status)
+        .status(backend_response.status)
         .header(VERDICT_HEADER, Verdict::Ran.as_str());
-    for (name, value) in &answer.headers {
-        // The verdict is the gate's own word, whatever a backend server sends.
+    for (name, value) in &backend_response.headers {
+        // The verdict comes from the gate; a verdict header from a backend server is dropped.
         if !HOP_HEADERS.contains(&name.as_str()) && name.as_str() != VERDICT_HEADER {
             builder = builder.header(name.as_str(), value.as_bytes());
         }
     }
-    builder.body(Body::from(answer.body)).unwrap_or_default()
+    builder
+        .body(Body::from(backend_response.body))
+        .unwrap_or_default()
 }
--- a/components/gate/src/pool.rs
+++ b/components/gate/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers as one gate sees them.
+//! Pool of backend servers: slots, latency and outlier ejection as seen by one gate.
 
 use {
     crate::share,
@@ -10,54 +10,54 @@
     },
 };
 
-/// The weight of the newest answer in a server's mean latency.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest sample in a server's moving average of latency.
+const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Failures in a row after which a server is left out.
-const FAILURES_OUT: u32 = 5;
+/// Consecutive failures after which a server is ejected.
+const EJECTION_FAILURES: u32 = 5;
 
-/// How long a server is left out.
-const OUT: Duration = Duration::from_secs(5);
+/// Duration of an ejection.
+const EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// The most servers of a class that are left out at once, in percent.
-const OUT_MOST: usize = 50;
+/// Maximum share of a class's servers that are ejected at once, in percent.
+const MAX_EJECTED_PERCENT: usize = 50;
 
-/// One backend server.
+/// State of a backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// The name.
+    /// Name of the server's box.
     pub name: Arc<str>,
-    /// The base address.
+    /// Base URL.
     pub url: Arc<str>,
-    /// Its data hall.
+    /// Data hall of the server.
     pub hall: Arc<str>,
-    /// The class that it answers.
+    /// Class of work that the server handles.
     pub class: Arc<str>,
-    /// Requests that this gate may have on it.
+    /// Maximum number of in-flight requests from this gate.
     pub share: u32,
-    /// Requests that this gate has on it.
-    pub busy: u32,
-    /// The mean latency, in seconds.
+    /// In-flight requests from this gate.
+    pub in_flight: u32,
+    /// Moving average of the latency, in seconds; 0 before the first response.
     pub latency: f64,
-    /// True when it gets no new requests for good.
+    /// True if the server is leaving and gets no further requests.
     pub leaving: bool,
-    /// True when the list has it.
+    /// True if the server is in the current list of boxes.
     pub listed: bool,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Until when it is left out.
-    pub out: Option<Instant>,
+    /// End of the current or last ejection.
+    pub ejected_until: Option<Instant>,
 }
 
 impl Server {
-    /// True when it may get a request now.
-    pub fn is_open(&self, now: Instant) -> bool {
-        let out = self.out.is_some_and(|until| now < until);
-        self.listed && !self.leaving && !out && self.busy < self.share
+    /// True if the server may get a request at `now`.
+    pub fn is_available(&self, now: Instant) -> bool {
+        let ejected = self.ejected_until.is_some_and(|until| now < until);
+        self.listed && !self.leaving && !ejected && self.in_flight < self.share
     }
 }
 
-/// All backend servers.
+/// All backend servers ever listed, by index, name and class.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
@@ -66,45 +66,47 @@
 }
 
 impl Pool {
-    /// The servers; a server keeps its place.
+    /// Returns all servers. The index of a server never changes.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// One server.
-    pub fn server(&self, at: usize) -> &Server {
-        &self.servers[at]
+    /// Returns the server at `index`.
+    pub fn server(&self, index: usize) -> &Server {
+        &self.servers[index]
     }
 
-    /// One server, to change its counts.
-    pub fn server_mut(&mut self, at: usize) -> &mut Server {
-        &mut self.servers[at]
+    /// Returns the server at `index` for modification.
+    pub fn server_mut(&mut self, index: usize) -> &mut Server {
+        &mut self.servers[index]
     }
 
-    /// The places of a class's servers.
+    /// Returns the indexes of a class's servers.
     pub fn of_class(&self, class: &str) -> &[usize] {
         self.classes.get(class).map_or(&[], Vec::as_slice)
     }
 
-    /// The slots of a class that this gate may use.
+    /// Number of slots of a class that this gate may use.
     pub fn slots(&self, class: &str) -> u32 {
-        let open = |at: &&usize| self.servers[**at].listed && !self.servers[**at].leaving;
+        let usable =
+            |index: &&usize| self.servers[**index].listed && !self.servers[**index].leaving;
         self.of_class(class)
             .iter()
-            .filter(open)
-            .map(|at| self.servers[*at].share)
+            .filter(usable)
+            .map(|index| self.servers[*index].share)
             .sum()
     }
 
-    /// Takes the platform's list over; the gate of this name computes its shares from it.
-    pub fn merge(&mut self, list: &List, gate: &str) {
+    /// Updates the servers from the platform's list of boxes and computes the shares of `gate`, the
+    /// name of this gate's box.
+    pub fn update(&mut self, list: &List, gate: &str) {
         let gates: BTreeSet<&str> = list
             .of_kind(Kind::Entry)
             .filter(|item| item.url("gate").is_some())
             .map(|item| &*item.name)
             .collect();
         let rank = gates.range(..gate).count() as u32;
-        // A gate that the list does not show yet counts itself in.
+        // A gate that is not in the list yet counts itself.
         let count = gates.len() as u32 + u32::from(!gates.contains(gate));
         for server in &mut self.servers {
             server.listed = false;
@@ -113,12 +115,12 @@
             let Some(url) = item.url("http") else {
                 continue;
             };
-            let at = self
+            let index = self
                 .names
                 .get(&item.name)
                 .copied()
                 .unwrap_or_else(|| self.add(item, url));
-            let server = &mut self.servers[at];
+            let server = &mut self.servers[index];
             server.listed = true;
             server.url = url.clone();
             server.leaving = item.state == State::Leaving;
@@ -127,56 +129,64 @@
     }
 
     fn add(&mut self, item: &Item, url: &Arc<str>) -> usize {
-        let at = self.servers.len();
-        self.names.insert(item.name.clone(), at);
-        self.classes.entry(item.class.clone()).or_default().push(at);
+        let index = self.servers.len();
+        self.names.insert(item.name.clone(), index);
+        self.classes
+            .entry(item.class.clone())
+            .or_default()
+            .push(index);
         self.servers.push(Server {
             name: item.name.clone(),
             url: url.clone(),
             hall: item.hall.clone(),
             class: item.class.clone(),
             share: 0,
-            busy: 0,
+            in_flight: 0,
             latency: 0.0,
             leaving: false,
             listed: true,
             failures: 0,
-            out: None,
+            ejected_until: None,
         });
-        at
+        index
     }
 
-    /// A request to a server ended.
-    pub fn done(&mut self, at: usize, latency: Duration, ok: bool, now: Instant) {
-        let server = &mut self.servers[at];
-        server.busy = server.busy.saturating_sub(1);
+    /// Records the end of a request to a server. `ok` is false if the server failed.
+    pub fn record_result(&mut self, index: usize, latency: Duration, ok: bool, now: Instant) {
+        let server = &mut self.servers[index];
+        server.in_flight = server.in_flight.saturating_sub(1);
         if ok {
             server.failures = 0;
             let seconds = latency.as_secs_f64();
             server.latency = if server.latency == 0.0 {
                 seconds
             } else {
-                server.latency + (seconds - server.latency) * NEWEST
+                server.latency + (seconds - server.latency) * LATENCY_WEIGHT
             };
             return;
         }
         server.failures += 1;
-        if server.failures >= FAILURES_OUT {
-            self.leave_out(at, now);
+        if server.failures >= EJECTION_FAILURES {
+            self.eject(index, now);
         }
     }
 
-    /// Leaves a server out for a while, unless too many of its class are out already.
-    fn leave_out(&mut self, at: usize, now: Instant) {
-        let peers = self.of_class(&self.servers[at].class);
-        let out = |at: &&usize| self.servers[**at].out.is_some_and(|until| now < until);
-        if (peers.iter().filter(out).count() + 1) * 100 > peers.len() * OUT_MOST {
+    /// Ejects a server for [`EJECTION_TIME`], unless too many servers of its class are ejected
+    /// already.
+    fn eject(&mut self, index: usize, now: Instant) {
+        let peers = self.of_class(&self.servers[index].class);
+        let ejected = |index: &&usize| {
+            self.servers[**index]
+                .ejected_until
+                .is_some_and(|until| now < until)
+        };
+        if (peers.iter().filter(ejected).count() + 1) * 100 > peers.len() * MAX_EJECTED_PERCENT {
             return;
         }
-        let server = &mut self.servers[at];
-        server.out = Some(now + OUT);
-        server.failures = FAILURES_OUT - 1;
-        log::warn!(target: "gate", "A backend server is left out, it fails. server={}", server.name);
+        let server = &mut self.servers[index];
+        server.ejected_until = Some(now + EJECTION_TIME);
+        server.failures = EJECTION_FAILURES - 1;
+        log::warn!(target: "gate", "A backend server was ejected after consecutive failures. server={}", server.name);
         metrics::counter!("magpie_gate_ejections_total").increment(1);
     }
 }
@@ -205,34 +215,34 @@
     }
 
     #[test]
-    fn merge_leaving_gets_nothing() {
+    fn update_leaving_server_gets_nothing() {
         let mut pool = Pool::default();
         let mut list = list(1);
-        pool.merge(&list, "g1");
-        assert!(pool.server(0).is_open(Instant::now()));
+        pool.update(&list, "g1");
+        assert!(pool.server(0).is_available(Instant::now()));
         assert_eq!(pool.slots("v"), 8);
         list.items[0].state = State::Leaving;
-        pool.merge(&list, "g1");
-        assert!(!pool.server(0).is_open(Instant::now()));
+        pool.update(&list, "g1");
+        assert!(!pool.server(0).is_available(Instant::now()));
         assert_eq!(pool.slots("v"), 0);
     }
 
     #[test]
-    fn done_ejects_half_at_most() {
+    fn record_result_ejects_half_at_most() {
         let mut pool = Pool::default();
-        pool.merge(&list(4), "g1");
+        pool.update(&list(4), "g1");
         let now = Instant::now();
-        for at in 0..4 {
-            for _ in 0..FAILURES_OUT {
-                pool.done(at, OUT, false, now);
+        for index in 0..4 {
+            for _ in 0..EJECTION_FAILURES {
+                pool.record_result(index, EJECTION_TIME, false, now);
             }
         }
         let open = pool
             .servers()
             .iter()
-            .filter(|server| server.is_open(now))
+            .filter(|server| server.is_available(now))
             .count();
         assert_eq!(open, 2);
-        assert!(pool.server(0).is_open(now + OUT));
+        assert!(pool.server(0).is_available(now + EJECTION_TIME));
     }
 }
--- a/components/gate/src/service.rs
+++ b/components/gate/src/service.rs
@@ -1,10 +1,10 @@
-//! A whole gate process: the callers' port, the operators' port, the actor and the tasks.
+//! The gate process: starts and stops its two ports, its actor and its background threads.
 
 use {
     crate::{
         actor::Gate,
-        choice::Choice,
-        forward::{self, Flights, Shared},
+        balancing::Balancer,
+        forward::{self, InFlight, Shared},
         share,
     },
     infra::boxes::{Boxes, List},
@@ -26,90 +26,91 @@
     table::Follower,
 };
 
-/// Tasks that serve the operators' port.
-const TASKS: usize = 2;
+/// Concurrent requests on the operators' port.
+const OPS_CONCURRENCY: usize = 2;
 
-/// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+/// Interval between reads of the list of boxes.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a caller's connection may be idle or slow in one step.
+/// Maximum duration of one read or write on a caller's connection, and of idle time between
+/// requests.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often a stop looks at what is in flight.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which `stop` checks for in-flight requests.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a gate process needs to start.
+/// Settings of a gate process.
 pub struct Settings {
-    /// The box's name, as in the platform's list.
+    /// Name of this box in the platform's list of boxes.
     pub name: Arc<str>,
-    /// The box's data hall.
+    /// Data hall of this box.
     pub hall: Arc<str>,
-    /// The address of the callers' port.
+    /// Address of the callers' port.
     pub listen: SocketAddr,
-    /// The address of the operators' port.
+    /// Address of the operators' port.
     pub ops: SocketAddr,
-    /// The secret of the internal ports.
+    /// Token for requests on the internal ports.
     pub token: Option<Token>,
-    /// The list of boxes.
+    /// Source of the list of boxes.
     pub boxes: Arc<dyn Boxes>,
-    /// The policy that chooses a backend server.
-    pub choice: Box<dyn Choice>,
-    /// The time for a request whose caller names none.
-    pub deadline: Duration,
-    /// The largest body of a request, in bytes.
-    pub body: u64,
-    /// The most callers' connections at once.
-    pub connections: usize,
+    /// Load-balancing policy.
+    pub balancer: Box<dyn Balancer>,
+    /// Deadline of a request without an `x-magpie-deadline-ms` header.
+    pub default_deadline: Duration,
+    /// Maximum size of a request body, in bytes.
+    pub max_body: u64,
+    /// Maximum number of concurrent callers' connections.
+    pub max_connections: usize,
 }
 
-/// A gate process that runs.
+/// A running gate process.
 pub struct Service {
     shared: Shared,
     callers: SocketAddr,
     ready: Readiness,
     server: Server,
     host: ActorThread<Gate>,
-    _roster: BoxWatcher,
+    _watcher: BoxWatcher,
     follower: Follower,
 }
 
 impl Service {
-    /// Starts the process's parts.
+    /// Starts the actor, the ports and the background threads.
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the system has no room for threads.
+    /// If an address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let (name, hall, choice) = (settings.name.clone(), settings.hall, settings.choice);
-        let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, choice))?;
+        let (name, hall, balancer) = (settings.name.clone(), settings.hall, settings.balancer);
+        let host = ActorThread::start("gate", move |_, _| Gate::new(name, hall, balancer))?;
         let gate = host.actor_ref().clone();
         let ready = Readiness::new();
         let shared = Shared {
             gate: gate.clone(),
             client: backend_client(),
-            deadline: settings.deadline,
-            body: settings.body,
-            flights: Flights::default(),
+            default_deadline: settings.default_deadline,
+            max_body: settings.max_body,
+            in_flight: InFlight::default(),
             closing: Arc::default(),
         };
         let server = open_ops(settings.ops, settings.token.clone(), &gate, &ready)?;
         let bounds = Bounds {
-            connections: settings.connections,
+            connections: settings.max_connections,
             io_timeout: CALLER_TIMEOUT,
         };
-        let theirs = shared.clone();
+        let task_shared = shared.clone();
         let callers = public_server::open(settings.listen, bounds, move |request| {
-            forward::handle(&theirs, request)
+            forward::handle(&task_shared, request)
         })?;
-        let on_list = gate.clone();
+        let list_gate = gate.clone();
         let changed = Box::new(move |list: &Arc<List>| {
             let list = list.clone();
-            on_list.tell(move |gate, cx| gate.set_list(&list, cx.now()));
+            list_gate.tell(move |gate, cx| gate.set_list(&list, cx.now()));
         });
-        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, changed)?;
+        let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, changed)?;
         let follower = Follower::start(
             settings.name,
-            roster.view().clone(),
+            watcher.view().clone(),
             Client::new(settings.token),
             Box::new(move |table| {
                 gate.tell(move |gate, _| gate.set_table(table));
@@ -122,62 +123,64 @@
             ready,
             server,
             host,
-            _roster: roster,
+            _watcher: watcher,
             follower,
         })
     }
 
-    /// The base address of the callers' port.
+    /// Base URL of the callers' port.
     pub fn url(&self) -> String {
         format!("http://{}", self.callers)
     }
 
-    /// The base address of the operators' port.
+    /// Base URL of the operators' port.
     pub fn ops_url(&self) -> String {
         self.server.url()
     }
 
-    /// The actor, for embedders and tests.
-    pub fn remote(&self) -> &ActorRef<Gate> {
+    /// Reference to the gate actor, for embedders and tests.
+    pub fn actor_ref(&self) -> &ActorRef<Gate> {
         &self.shared.gate
     }
 
-    /// The version of the table in force.
+    /// Version of the current table; 0 without one.
     ///
     /// # Errors
     ///
-    /// The process is stopping.
-    pub fn version(&self) -> Result<u64, Failure> {
+    /// `Stopping` if the actor has stopped.
+    pub fn table_version(&self) -> Result<u64, Failure> {
         self.shared.gate.ask(|gate, _| gate.table_version())
     }
 
-    /// Stops: not ready first, while requests are still served, so that the balancer sends no
-    /// more; then new ones are told "not run", and what is in flight ends, up to the deadline.
-    /// True when all of it did.
+    /// Shuts the gate down. It reports not ready for `linger` while it still serves requests, so
+    /// that the upstream balancer stops sending them; then it refuses new requests with the verdict
+    /// "not run" and waits up to `max_wait` for in-flight requests. Returns true if all of them
+    /// completed.
     ///
-    /// The callers' port stays open until the process ends.
-    pub fn stop(&mut self, linger: Duration, most: Duration) -> bool {
+    /// The callers' port stays open until the process exits.
+    pub fn stop(&mut self, linger: Duration, max_wait: Duration) -> bool {
         self.ready.set(false);
         let wait = Signal::new();
         wait.wait(linger);
         self.shared.closing.store(true, Ordering::Release);
-        let end = Instant::now() + most;
-        while self.shared.flights.count() > 0 && Instant::now() < end {
-            wait.wait(LOOK_EVERY);
+        let end = Instant::now() + max_wait;
+        while self.shared.in_flight.count() > 0 && Instant::now() < end {
+            wait.wait(STOP_POLL_INTERVAL);
         }
-        let whole = self.shared.flights.count() == 0;
+        let completed = self.shared.in_flight.count() == 0;
         self.follower.stop();
         self.server.close();
         self.host.stop();
-        whole
+        completed
     }
 }
 
-/// A client that keeps within the connections of a backend server.
+/// Creates the HTTP client for backend servers, with at most as many connections per server as it
+/// has slots.
 fn backend_client() -> Client {
     let limits = PoolLimits {
         max_idle: 2048,
-        per_host: share::SLOTS as usize,
+        per_host: share::SLOTS_PER_SERVER as usize,
         idle_timeout: Duration::from_secs(10),
     };
     Client::with_limits(None, limits)
@@ -191,9 +194,9 @@
 ) -> io::Result<Server> {
     let (gate, ready) = (gate.clone(), ready.clone());
     let handler = move |request: Request| {
-        let able = || gate.ask(|gate, _| gate.is_ready());
-        let shown = || ready.get() && able().unwrap_or(false);
-        let Some(request) = ops::route(request, shown) else {
+        let is_ready = || gate.ask(|gate, _| gate.is_ready());
+        let ready_state = || ready.get() && is_ready().unwrap_or(false);
+        let Some(request) = ops::route(request, ready_state) else {
             return;
         };
         match request.path.as_str() {
@@ -204,5 +207,5 @@
             _ => request.respond(Reply::text(404, "no such path\n")),
         }
     };
-    Server::open(address, TASKS, token, Arc::new(handler))
+    Server::open(address, OPS_CONCURRENCY, token, Arc::new(handler))
 }
--- a/components/standin/src/runner.rs
+++ b/components/standin/src/runner.rs
@@ -1,12 +1,12 @@
-//! A stand-in of the users' workers: runs under leases and fences, with ends that are listed until
-//! they are acknowledged. Each has a port of its own.
+//! Stand-in for the users' workers. Tasks run under leases and fencing tokens, and their ends are
+//! reported until acknowledged. Each worker listens on its own port.
 //!
-//! It keeps to the protocol of their platform, whose names therefore stand here too.
+//! It speaks the protocol of the users' platform, so the names on the wire are that platform's.
 
 use {
     crate::{
+        http_server::{self, ServerRequest, ServerResponse, reply},
         kv::{Kv, decode, encode},
-        port::{self, Asked, Told, reply},
     },
     kernel::{Reply, sync::lock, wall_clock},
     serde_json::{Value, json},
@@ -22,93 +22,96 @@
 };
 
 thread_local! {
-    /// When the life began to which the connection of this thread leads; 0 before its first call.
-    static LED_TO: Cell<u64> = const { Cell::new(0) };
+    /// Start time of the worker incarnation to which the connection of this thread was opened; 0
+    /// before its first call.
+    static CONNECTED_TO: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Connections that a port takes.
-const CONNECTIONS: usize = 64;
+/// Maximum number of connections of one worker.
+const MAX_CONNECTIONS: usize = 64;
 /// The longest lease, in milliseconds.
 const MAX_LEASE: u64 = 6_000;
-/// Starts are held to a room that has shrunk after this time: 3 s until all are in touch, and a heartbeat.
-const ROOM_TOLD: Duration = Duration::from_millis(4_100);
-/// The pause between two looks at a held poll.
-const LOOK: Duration = Duration::from_millis(5);
-/// A specification that begins so makes its tasks fail.
-pub const FAILING: &str = "fail";
-/// A specification that begins so names the step and the number, with a dot between them, of a task that crashes its
-/// worker once it has begun.
-pub const CRASHING: &str = "crash=";
-/// From the start of such a task until its worker crashes.
+/// After a worker has shrunk, starts beyond its new size are recorded as violations only after
+/// this time: 3 s until all schedulers are in contact, and one heartbeat.
+const SHRINK_GRACE: Duration = Duration::from_millis(4_100);
+/// Pause between two checks of a long poll.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Prefix of a specification whose tasks fail.
+pub const FAILING_PREFIX: &str = "fail";
+/// Prefix of a specification that names a task, as step and task number separated by a dot, which
+/// crashes its worker after it has started.
+pub const CRASHING_PREFIX: &str = "crash=";
+/// Time from the start of a crashing task until its worker crashes.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
-/// How long a worker is away that has crashed under a task.
-const CRASHED_FOR: Duration = Duration::from_millis(700);
-/// A specification that begins so names the time of each task in milliseconds.
-pub const TIMED: &str = "ms=";
+/// How long a worker stays down after it was crashed by a task.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(700);
+/// Prefix of a specification that gives the duration of each task in milliseconds.
+pub const DURATION_PREFIX: &str = "ms=";
 
 /// One run of a task on one worker.
 #[derive(Debug, Clone)]
-pub struct Ran {
-    /// The name of the task.
+pub struct TaskRun {
+    /// Task name.
     pub task: Arc<str>,
-    /// The life of the worker.
+    /// Worker incarnation.
     pub worker: Arc<str>,
-    /// When it began.
-    pub begun: Instant,
-    /// When it ended, to the moment also where nobody looked then, and how.
+    /// Start time.
+    pub started: Instant,
+    /// End time and cause. The time is exact even if no call was made at that moment.
     pub ended: Option<(Instant, &'static str)>,
-    /// When its end was acknowledged under a lease that had not lapsed since.
-    pub noted: Option<Instant>,
+    /// When the end was acknowledged, provided that the lease has not expired since the end.
+    pub acknowledged: Option<Instant>,
 }
 
-/// What all workers of a farm saw together.
+/// Events of all workers of a test, recorded together.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Tasks that run now, by name, and how many runs of each there are.
+pub struct RunLog {
+    /// Number of concurrent runs by task name.
     running: HashMap<String, u32>,
-    /// Starts, by the name of the task.
+    /// Number of starts by task name.
     pub starts: HashMap<String, u32>,
-    /// Tasks that ran twice at the same time.
-    pub doubled: Vec<String>,
-    /// All runs, in the order of their starts.
-    pub ran: Vec<Ran>,
-    /// Starts that were refused for want of room: when, task and worker.
-    pub over: Vec<(Instant, Arc<str>, Arc<str>)>,
+    /// Tasks of which two runs were active at the same time.
+    pub ran_twice: Vec<String>,
+    /// All runs, in order of their starts.
+    pub runs: Vec<TaskRun>,
+    /// Starts refused for lack of capacity: time, task and worker.
+    pub capacity_refusals: Vec<(Instant, Arc<str>, Arc<str>)>,
 }
 
-impl Seen {
-    /// Tasks that were started after a run of theirs had ended well and that end was acknowledged.
-    pub fn started_after_done(&self) -> Vec<Arc<str>> {
+impl RunLog {
+    /// Returns the tasks that were started again after a run of them had succeeded and its end had
+    /// been acknowledged.
+    pub fn restarted_after_done(&self) -> Vec<Arc<str>> {
         let mut done: HashMap<&str, Instant> = HashMap::new();
-        for ran in &self.ran {
+        for ran in &self.runs {
             if let Some((at, "done")) = ran.ended
-                && ran.noted.is_some()
+                && ran.acknowledged.is_some()
             {
                 let first = done.entry(&ran.task).or_insert(at);
                 *first = at.min(*first);
             }
         }
-        let is_again = |ran: &&Ran| done.get(&*ran.task).is_some_and(|&at| ran.begun > at);
-        let again = self.ran.iter().filter(is_again);
+        let is_again = |ran: &&TaskRun| done.get(&*ran.task).is_some_and(|&at| ran.started > at);
+        let again = self.runs.iter().filter(is_again);
         again.map(|ran| ran.task.clone()).collect()
     }
 }
 
-/// What goes wrong with a worker.
+/// Faults of a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Every connection is cut before anything is done.
+    /// Closes every connection before the call has any effect.
     pub reset: bool,
-    /// The answers of this many starts are lost after they were carried out.
+    /// Number of further starts that take effect but whose responses are lost.
     pub lost: u32,
-    /// Every connection is closed after its first answer.
-    pub closes: bool,
-    /// Starts are refused with 503.
-    pub unwell: bool,
-    /// Once as many answers were lost, another life is there.
-    pub then_other: bool,
-    /// Once as many answers were lost, starts are refused so.
-    pub then_unwell: bool,
+    /// Closes every connection after its first response.
+    pub closes_connections: bool,
+    /// Refuses starts with status 503.
+    pub refuses_starts: bool,
+    /// Changes to another incarnation once all `lost` responses have been lost.
+    pub then_restart: bool,
+    /// Sets `refuses_starts` once all `lost` responses have been lost.
+    pub then_refuses: bool,
 }
 
 struct Run {
@@ -116,66 +119,67 @@
     until: Instant,
     fails: bool,
     percent: u64,
-    /// Its place among all runs seen.
-    place: usize,
+    /// Index of the run in [`RunLog::runs`].
+    log_index: usize,
 }
 
-/// One end that is listed until it is acknowledged.
+/// The end of a run, reported until acknowledged.
 struct End {
     count: u64,
     name: String,
     run: u64,
     how: &'static str,
     at: Instant,
-    /// Its place among all runs seen.
-    place: usize,
+    /// Index of the run in [`RunLog::runs`].
+    log_index: usize,
 }
 
 struct Core {
     id: String,
-    /// Processors, in thousandths of a core.
+    /// Capacity in thousandths of a core.
     size: u64,
-    /// When it last got fewer.
+    /// When the capacity was last reduced.
     shrunk: Option<Instant>,
-    begun: Instant,
-    /// When this life began, in milliseconds since 1970.
-    born: u64,
-    /// It has crashed and is not back yet.
+    clock_start: Instant,
+    /// Start time of this incarnation, in milliseconds since 1970.
+    started_at: u64,
+    /// True while the worker is down after a crash.
     is_down: bool,
-    /// How often it has crashed under a task.
+    /// Number of crashes caused by tasks.
     crashes: u32,
-    /// The highest fence seen.
+    /// The highest fencing token seen.
     fence: u64,
-    /// Until when tasks may run, on this worker's clock in milliseconds.
+    /// End of the lease, on this worker's clock in milliseconds.
     lease: u64,
-    /// How long each task runs.
+    /// Default duration of a task.
     work: Duration,
     running: BTreeMap<String, Run>,
-    /// The highest run that was stopped or has ended, by task.
-    over: HashMap<String, u64>,
+    /// The highest run number that was stopped or has ended, by task name.
+    max_ended: HashMap<String, u64>,
     ended: Vec<End>,
-    /// When a lease that had lapsed was last renewed.
-    lapsed: Option<Instant>,
-    /// The number of the last end.
+    /// When a lease was last renewed after it had expired.
+    renewed_late: Option<Instant>,
+    /// Sequence number of the last end.
     count: u64,
-    seen: Arc<Mutex<Seen>>,
+    run_log: Arc<Mutex<RunLog>>,
     faults: Faults,
-    /// So many calls more get no answer and are carried out later.
-    late: u32,
-    /// Those calls.
-    held: Vec<Asked>,
+    /// Number of further calls that get no response and are carried out later.
+    deferred_calls: u32,
+    /// The deferred calls.
+    deferred: Vec<ServerRequest>,
 }
 
 /// One worker.
 #[derive(Clone)]
 pub struct Runner {
     core: Arc<Mutex<Core>>,
-    /// Where it records itself.
+    /// Store that holds the entry of this worker.
     kv: Kv,
 }
 
 impl Runner {
-    /// Opens a worker of so many cores, whose tasks take this time, and records it in the store.
+    /// Opens a worker with the given number of cores and default task duration, and writes its
+    /// entry to the store.
     ///
     /// # Errors
     ///
@@ -186,37 +190,39 @@
         id: &str,
         cores: u64,
         work: Duration,
-        seen: &Arc<Mutex<Seen>>,
+        run_log: &Arc<Mutex<RunLog>>,
     ) -> io::Result<Self> {
         let runner = Runner {
             core: Arc::new(Mutex::new(Core {
                 id: id.to_owned(),
                 size: cores * 1_000,
                 shrunk: None,
-                begun: Instant::now(),
-                born: wall_clock::millis(),
+                clock_start: Instant::now(),
+                started_at: wall_clock::millis(),
                 is_down: false,
                 crashes: 0,
                 fence: 0,
                 lease: 0,
                 work,
                 running: BTreeMap::new(),
-                over: HashMap::new(),
+                max_ended: HashMap::new(),
                 ended: Vec::new(),
-                lapsed: None,
+                renewed_late: None,
                 count: 0,
-                seen: seen.clone(),
+                run_log: run_log.clone(),
                 faults: Faults::default(),
-                late: 0,
-                held: Vec::new(),
+                deferred_calls: 0,
+                deferred: Vec::new(),
             })),
             kv: kv.clone(),
         };
-        let own = runner.clone();
+        let server_runner = runner.clone();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let url = port::open(any, CONNECTIONS, move |asked| own.handle(&asked))?;
+        let url = http_server::open(any, MAX_CONNECTIONS, move |request| {
+            server_runner.handle(&request)
+        })?;
         let entry = json!({
-            "born": runner.born(),
+            "born": runner.start_time(),
             "service": pool,
             "address": url.trim_start_matches("http://"),
             "zone": "h1",
@@ -233,14 +239,14 @@
         Ok(runner)
     }
 
-    /// Stands in another data hall than `h1` from now on, as its entry says.
-    pub fn stand_in(&self, hall: &str) {
+    /// Moves the worker to a data hall other than `h1` in its store entry.
+    pub fn set_hall(&self, hall: &str) {
         let id = self.id();
-        self.record(&id, &id, "zone", hall.into());
+        self.write_entry(&id, &id, "zone", hall.into());
     }
 
-    /// Records a life, as the entry of one has it but for one field.
-    fn record(&self, former: &str, id: &str, field: &str, value: Value) {
+    /// Copies the entry of `former` to `id` with one field replaced.
+    fn write_entry(&self, former: &str, id: &str, field: &str, value: Value) {
         let entry = self.kv.value(&format!("servers/{former}"));
         let text = decode(&entry.unwrap_or_default());
         let Ok(mut entry) = serde_json::from_slice::<Value>(&text) else {
@@ -250,66 +256,66 @@
         self.kv.put(&format!("servers/{id}"), &encode(&entry));
     }
 
-    /// Sets what goes wrong.
-    pub fn fail(&self, faults: Faults) {
+    /// Replaces the injected faults.
+    pub fn set_faults(&self, faults: Faults) {
         lock(&self.core).faults = faults;
     }
 
-    /// Crashes and starts again at once: a new life at the same address, which records itself in the
-    /// store. The entry of the former one stays, unless it has the same name.
+    /// Crashes the worker and restarts it at once as a new incarnation at the same address, with a
+    /// new store entry. The former entry stays unless it has the same name.
     pub fn restart(&self, id: &str) {
         let former = self.id();
-        self.restart_unlisted(id);
-        self.record(&former, id, "born", self.born().into());
+        self.restart_without_entry(id);
+        self.write_entry(&former, id, "born", self.start_time().into());
     }
 
-    /// The same, but for the entry in the store, which stays as it is.
-    pub fn restart_unlisted(&self, id: &str) {
+    /// Like [`Runner::restart`], but leaves the store entry as it is.
+    pub fn restart_without_entry(&self, id: &str) {
         let mut core = lock(&self.core);
-        core.lose_all();
+        core.end_all();
         core.id = id.to_owned();
-        core.begun = Instant::now();
-        core.born = wall_clock::millis().max(core.born + 1);
+        core.clock_start = Instant::now();
+        core.started_at = wall_clock::millis().max(core.started_at + 1);
         core.fence = 0;
         core.lease = 0;
-        core.over.clear();
+        core.max_ended.clear();
         core.ended.clear();
-        core.lapsed = None;
+        core.renewed_late = None;
         core.count = 0;
         core.is_down = false;
     }
 
-    /// Writes the present life into its entry.
-    pub fn list(&self) {
+    /// Updates the start time in the store entry to that of the current incarnation.
+    pub fn update_entry(&self) {
         let id = self.id();
-        self.record(&id, &id, "born", self.born().into());
+        self.write_entry(&id, &id, "born", self.start_time().into());
     }
 
-    /// When the present life began, in milliseconds since 1970.
-    pub fn born(&self) -> u64 {
-        lock(&self.core).born
+    /// Returns the start time of the current incarnation, in milliseconds since 1970.
+    pub fn start_time(&self) -> u64 {
+        lock(&self.core).started_at
     }
 
-    /// Leaves the next calls, so many, without an answer until [`Runner::carry_out`].
-    pub fn hold_back(&self, calls: u32) {
-        lock(&self.core).late = calls;
+    /// Leaves the next `calls` calls without a response until [`Runner::run_deferred`].
+    pub fn defer_calls(&self, calls: u32) {
+        lock(&self.core).deferred_calls = calls;
     }
 
-    /// Carries out the calls that were held back, whichever life is there by now.
-    pub fn carry_out(&self) {
+    /// Carries out the deferred calls, whichever incarnation is current by then.
+    pub fn run_deferred(&self) {
         let mut core = lock(&self.core);
-        core.late = 0;
-        let held = std::mem::take(&mut core.held);
+        core.deferred_calls = 0;
+        let deferred = std::mem::take(&mut core.deferred);
         drop(core);
-        for asked in held {
-            let Ok(body) = serde_json::from_slice::<Value>(&asked.body) else {
+        for request in deferred {
+            let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
                 continue;
             };
             let mut core = lock(&self.core);
-            if core.is_down || core.guard(&asked, &body).is_some() {
+            if core.is_down || core.check_caller(&request, &body).is_some() {
                 continue;
             }
-            match asked.path.as_str() {
+            match request.path.as_str() {
                 "/run-start" => drop(core.start(&body)),
                 "/run-stop" => drop(core.stop(&body)),
                 "/pace" => drop(core.pace(&body)),
@@ -319,17 +325,17 @@
         }
     }
 
-    /// The present life.
+    /// Returns the name of the current incarnation.
     pub fn id(&self) -> String {
         lock(&self.core).id.clone()
     }
 
-    /// Its cores.
+    /// Returns the number of cores.
     pub fn cores(&self) -> u64 {
         lock(&self.core).size / 1_000
     }
 
-    /// Gives it another number of cores. Its entry is the caller's to write.
+    /// Changes the number of cores. The caller has to update the store entry.
     pub fn resize(&self, cores: u64) {
         let mut core = lock(&self.core);
         let size = cores * 1_000;
@@ -339,43 +345,43 @@
         core.size = size;
     }
 
-    /// The number of tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         let mut core = lock(&self.core);
         core.advance();
         core.running.len()
     }
 
-    fn handle(&self, asked: &Asked) -> Told {
-        let mut told = self.answer(asked);
-        if let Told::Reply(reply) = &mut told
-            && lock(&self.core).faults.closes
+    fn handle(&self, request: &ServerRequest) -> ServerResponse {
+        let mut response = self.dispatch(request);
+        if let ServerResponse::Reply(reply) = &mut response
+            && lock(&self.core).faults.closes_connections
         {
             reply.headers.push(("connection", "close".to_owned()));
         }
-        told
+        response
     }
 
-    fn answer(&self, asked: &Asked) -> Told {
+    fn dispatch(&self, request: &ServerRequest) -> ServerResponse {
         let mut core = lock(&self.core);
-        let (faults, is_down, born) = (core.faults, core.is_down, core.born);
-        if faults.reset || is_down || !leads_to(born) {
-            return Told::Cut;
+        let (faults, is_down, started_at) = (core.faults, core.is_down, core.started_at);
+        if faults.reset || is_down || !is_connected_to(started_at) {
+            return ServerResponse::Disconnect;
         }
-        if core.late > 0 {
-            core.late -= 1;
-            core.held.push(asked.clone());
-            return Told::Cut;
+        if core.deferred_calls > 0 {
+            core.deferred_calls -= 1;
+            core.deferred.push(request.clone());
+            return ServerResponse::Disconnect;
         }
         drop(core);
-        let Ok(body) = serde_json::from_slice::<Value>(&asked.body) else {
+        let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
             return reply(400, &json!({})).into();
         };
-        let refusal = lock(&self.core).guard(asked, &body);
+        let refusal = lock(&self.core).check_caller(request, &body);
         if let Some(refusal) = refusal {
             return refusal.into();
         }
-        match asked.path.as_str() {
+        match request.path.as_str() {
             "/run-start" => self.start(&body),
             "/run-stop" => lock(&self.core).stop(&body).into(),
             "/pace" => lock(&self.core).pace(&body).into(),
@@ -384,82 +390,84 @@
         }
     }
 
-    fn start(&self, body: &Value) -> Told {
+    fn start(&self, body: &Value) -> ServerResponse {
         let mut core = lock(&self.core);
-        if core.faults.unwell {
+        if core.faults.refuses_starts {
             return reply(503, &json!({})).into();
         }
         let answer = core.start(body);
         if answer.status == 200 && is_crashing(body) {
-            self.crash_soon(core.id.clone(), core.born);
+            self.crash_soon(core.id.clone(), core.started_at);
         }
         if core.faults.lost > 0 {
             core.faults.lost -= 1;
-            core.faults.unwell |= core.faults.then_unwell && core.faults.lost == 0;
-            if core.faults.then_other && core.faults.lost == 0 {
+            core.faults.refuses_starts |= core.faults.then_refuses && core.faults.lost == 0;
+            if core.faults.then_restart && core.faults.lost == 0 {
                 core.id.push('+');
-                core.born += 1;
+                core.started_at += 1;
             }
-            return Told::Cut;
+            return ServerResponse::Disconnect;
         }
         answer.into()
     }
 
-    /// Crashes this life of the worker shortly, which comes back as another one at the same address.
-    fn crash_soon(&self, id: String, born: u64) {
-        let own = self.clone();
+    /// Crashes this incarnation after [`CRASH_AFTER`] and restarts the worker as a new one at the
+    /// same address after [`CRASH_DOWNTIME`].
+    fn crash_soon(&self, id: String, started_at: u64) {
+        let runner = self.clone();
         thread::spawn(move || {
             thread::sleep(CRASH_AFTER);
-            let mut core = lock(&own.core);
-            if core.born != born || core.is_down {
+            let mut core = lock(&runner.core);
+            if core.started_at != started_at || core.is_down {
                 return;
             }
-            core.lose_all();
+            core.end_all();
             core.is_down = true;
             core.crashes += 1;
             let next = format!("{id}+{}", core.crashes);
             drop(core);
-            thread::sleep(CRASHED_FOR);
-            if own.born() == born {
-                own.restart(&next);
+            thread::sleep(CRASH_DOWNTIME);
+            if runner.start_time() == started_at {
+                runner.restart(&next);
             }
         });
     }
 
-    /// How often the worker has crashed under a task.
+    /// Returns the number of crashes caused by tasks.
     pub fn crashes(&self) -> u32 {
         lock(&self.core).crashes
     }
 
-    /// Holds a poll until there is something to tell, or its time is over. A crash cuts it.
-    fn hold(&self, body: &Value) -> Told {
+    /// Holds a long poll until there is an end to report or its time is over. A crash disconnects
+    /// it.
+    fn hold(&self, body: &Value) -> ServerResponse {
         let until = Instant::now() + Duration::from_millis(number(body, "waitMs"));
         lock(&self.core).renew(body);
-        let born = self.born();
+        let started_at = self.start_time();
         loop {
             let mut core = lock(&self.core);
-            if core.born != born || core.is_down {
-                return Told::Cut;
+            if core.started_at != started_at || core.is_down {
+                return ServerResponse::Disconnect;
             }
             core.advance();
             if !core.ended.is_empty() || Instant::now() >= until {
                 return core.report().into();
             }
             drop(core);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 impl Core {
     fn clock(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64 + 1
+        self.clock_start.elapsed().as_millis() as u64 + 1
     }
 
-    /// Refuses what is meant for another life, or comes from a former owner.
-    fn guard(&mut self, asked: &Asked, body: &Value) -> Option<Reply> {
+    /// Refuses calls that are addressed to another incarnation or come from a former owner.
+    fn check_caller(&mut self, request: &ServerRequest, body: &Value) -> Option<Reply> {
         self.advance();
-        let meant = asked.header("expected-instance");
+        let meant = request.header("expected-instance");
         if !meant.is_empty() && meant != self.id {
             return Some(reply(421, &json!({})));
         }
@@ -475,49 +483,50 @@
         reply(409, &json!({ "clockMs": self.clock(), "reason": reason }))
     }
 
-    fn done(&self) -> Reply {
+    fn accepted(&self) -> Reply {
         reply(200, &json!({ "clockMs": self.clock() }))
     }
 
-    /// True when everybody should know how much room it has: starts are held to less room only after a while.
-    fn is_room_told(&self) -> bool {
-        self.shrunk.is_none_or(|at| at.elapsed() > ROOM_TOLD)
+    /// True if every scheduler should know the current capacity: starts are checked against a
+    /// reduced capacity only after [`SHRINK_GRACE`].
+    fn is_size_known(&self) -> bool {
+        self.shrunk.is_none_or(|at| at.elapsed() > SHRINK_GRACE)
     }
 
-    /// True when this very run of the task is going on.
+    /// True if exactly this run of the task is active.
     fn is_running(&self, name: &str, run: u64) -> bool {
-        let held = self.running.get(name);
-        held.is_some_and(|held| held.number == run)
+        let active = self.running.get(name);
+        active.is_some_and(|active| active.number == run)
     }
 
-    /// Forgets the ends that are acknowledged, and extends the lease.
+    /// Removes acknowledged ends and extends the lease.
     fn renew(&mut self, body: &Value) {
         let seen = number(body, "lastSeen");
         if self.clock() > self.lease {
-            self.lapsed = Some(Instant::now());
+            self.renewed_late = Some(Instant::now());
         }
-        let (told, kept) = std::mem::take(&mut self.ended)
+        let (acked, pending) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| end.count <= seen);
-        self.ended = kept;
-        self.note(told);
-        let most = self.clock() + MAX_LEASE;
-        self.lease = self.lease.max(number(body, "deadlineMs").min(most));
+        self.ended = pending;
+        self.acknowledge(acked);
+        let max_end = self.clock() + MAX_LEASE;
+        self.lease = self.lease.max(number(body, "deadlineMs").min(max_end));
     }
 
-    /// Notes which ends were acknowledged in time.
-    fn note(&self, told: Vec<End>) {
+    /// Records which of the removed ends were acknowledged in time.
+    fn acknowledge(&self, acked: Vec<End>) {
         let now = Instant::now();
-        let mut seen = lock(&self.seen);
-        for end in told {
-            if self.lapsed.is_none_or(|lapsed| lapsed < end.at) {
-                seen.ran[end.place].noted = Some(now);
+        let mut run_log = lock(&self.run_log);
+        for end in acked {
+            if self.renewed_late.is_none_or(|renewed| renewed < end.at) {
+                run_log.runs[end.log_index].acknowledged = Some(now);
             }
         }
     }
 
-    /// Loses what runs: nobody is told.
-    fn lose_all(&mut self) {
+    /// Ends all running tasks without reporting their ends.
+    fn end_all(&mut self) {
         self.advance();
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names {
@@ -526,17 +535,17 @@
         self.ended.clear();
     }
 
-    /// Ends what has run its time, and all of it when the lease is over.
+    /// Ends tasks that have reached their duration, and all tasks once the lease has expired.
     fn advance(&mut self) {
         let now = Instant::now();
-        let lapsed = self.clock() > self.lease;
-        let over = self.begun + Duration::from_millis(self.lease);
+        let expired = self.clock() > self.lease;
+        let lease_end = self.clock_start + Duration::from_millis(self.lease);
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names {
             let run = &self.running[&name];
             let until = run.until;
-            if lapsed {
-                self.end(&name, "lapsed", over.min(until));
+            if expired {
+                self.end(&name, "lapsed", lease_end.min(until));
             } else if now >= until {
                 let how = if run.fails { "failed" } else { "done" };
                 self.end(&name, how, until);
@@ -549,18 +558,18 @@
             return;
         };
         self.count += 1;
-        self.over.insert(name.to_owned(), run.number);
+        self.max_ended.insert(name.to_owned(), run.number);
         self.ended.push(End {
             count: self.count,
             name: name.to_owned(),
             run: run.number,
             how,
             at,
-            place: run.place,
+            log_index: run.log_index,
         });
-        let mut seen = lock(&self.seen);
-        seen.ran[run.place].ended = Some((at, how));
-        if let Some(running) = seen.running.get_mut(name) {
+        let mut run_log = lock(&self.run_log);
+        run_log.runs[run.log_index].ended = Some((at, how));
+        if let Some(running) = run_log.running.get_mut(name) {
             *running -= 1;
         }
     }
@@ -570,9 +579,10 @@
         let run = number(body, "run");
         let deadline = number(body, "deadlineMs");
         if self.is_running(&name, run) {
-            return self.done();
+            return self.accepted();
         }
-        if self.running.contains_key(&name) || self.over.get(&name).is_some_and(|&over| run <= over)
+        if self.running.contains_key(&name)
+            || self.max_ended.get(&name).is_some_and(|&ended| run <= ended)
         {
             return self.refuse("old");
         }
@@ -580,39 +590,39 @@
             return self.refuse("late");
         }
         if (self.running.len() as u64 + 1) * 1_000 > self.size {
-            if self.is_room_told() {
-                let over = (Instant::now(), name.into(), self.id.as_str().into());
-                lock(&self.seen).over.push(over);
+            if self.is_size_known() {
+                let refusal = (Instant::now(), name.into(), self.id.as_str().into());
+                lock(&self.run_log).capacity_refusals.push(refusal);
             }
             return self.refuse("room");
         }
         self.lease = self.lease.max(deadline.min(self.clock() + MAX_LEASE));
         let text = body["specification"].as_str().unwrap_or_default();
         let now = Instant::now();
-        let mut seen = lock(&self.seen);
-        let begun = Run {
+        let mut run_log = lock(&self.run_log);
+        let started = Run {
             number: run,
-            until: now + work_of(text).unwrap_or(self.work),
-            fails: text.starts_with(FAILING),
+            until: now + duration_from(text).unwrap_or(self.work),
+            fails: text.starts_with(FAILING_PREFIX),
             percent: 100,
-            place: seen.ran.len(),
+            log_index: run_log.runs.len(),
         };
-        seen.ran.push(Ran {
+        run_log.runs.push(TaskRun {
             task: name.as_str().into(),
             worker: self.id.as_str().into(),
-            begun: now,
+            started: now,
             ended: None,
-            noted: None,
+            acknowledged: None,
         });
-        self.running.insert(name.clone(), begun);
-        *seen.starts.entry(name.clone()).or_default() += 1;
-        let running = seen.running.entry(name.clone()).or_default();
+        self.running.insert(name.clone(), started);
+        *run_log.starts.entry(name.clone()).or_default() += 1;
+        let running = run_log.running.entry(name.clone()).or_default();
         *running += 1;
         if *running > 1 {
-            seen.doubled.push(name);
+            run_log.ran_twice.push(name);
         }
-        drop(seen);
-        self.done()
+        drop(run_log);
+        self.accepted()
     }
 
     fn stop(&mut self, body: &Value) -> Reply {
@@ -621,9 +631,9 @@
         if self.is_running(&name, run) {
             self.end(&name, "stopped", Instant::now());
         }
-        let over = self.over.entry(name).or_default();
-        *over = run.max(*over);
-        self.done()
+        let ended = self.max_ended.entry(name).or_default();
+        *ended = run.max(*ended);
+        self.accepted()
     }
 
     fn pace(&mut self, body: &Value) -> Reply {
@@ -631,7 +641,7 @@
         match self.running.get_mut(name) {
             Some(run) => {
                 run.percent = number(body, "percent");
-                self.done()
+                self.accepted()
             }
             None => self.refuse("old"),
         }
@@ -649,30 +659,35 @@
             .map(|end| json!([end.count, end.name, end.run, end.how, ""]))
             .collect();
         let report = json!({
-            "born": self.born, "clockMs": self.clock(), "running": running, "ended": ended,
+            "born": self.started_at, "clockMs": self.clock(), "running": running, "ended": ended,
         });
         reply(200, &report)
     }
 }
 
-/// True unless the connection of this thread was opened to an earlier life: a crash ends all connections.
-fn leads_to(born: u64) -> bool {
-    let led_to = LED_TO.get();
-    LED_TO.set(if led_to == 0 { born } else { led_to });
-    led_to == 0 || led_to == born
+/// True unless the connection of this thread was opened to an earlier incarnation: a crash ends
+/// all connections.
+fn is_connected_to(started_at: u64) -> bool {
+    let connected_to = CONNECTED_TO.get();
+    CONNECTED_TO.set(if connected_to == 0 {
+        started_at
+    } else {
+        connected_to
+    });
+    connected_to == 0 || connected_to == started_at
 }
 
 /// True for the start of a task that crashes its worker.
 fn is_crashing(body: &Value) -> bool {
     let text = body["specification"].as_str().unwrap_or_default();
     let name = body["task"].as_str().unwrap_or_default();
-    text.strip_prefix(CRASHING)
+    text.strip_prefix(CRASHING_PREFIX)
         .is_some_and(|crashing| name.ends_with(&format!(".{crashing}")))
 }
 
-/// The time of each task, where its specification names one.
-fn work_of(text: &str) -> Option<Duration> {
-    let millis = text.strip_prefix(TIMED)?.parse().ok()?;
+/// Returns the task duration given in a specification, if any.
+fn duration_from(text: &str) -> Option<Duration> {
+    let millis = text.strip_prefix(DURATION_PREFIX)?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
--- a/components/standin/src/store/mod.rs
+++ b/components/standin/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in of the key-value service.
+//! Stand-in for the key-value store.
 
-mod port;
+mod server;
 
-pub use port::Port;
+pub use server::Server;
 
 use {
     crate::clock::Clock,
@@ -20,42 +20,42 @@
     },
 };
 
-/// Faults that are switched on.
+/// Active faults.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Breaks off every call before any effect.
+    /// Disconnects every call before it has any effect.
     pub down: bool,
-    /// Delays every call by this many milliseconds.
+    /// Delay of every call in milliseconds.
     pub slow: u64,
-    /// Loses the replies of this many writes after their effect.
+    /// Number of further writes that take effect but whose replies are lost.
     pub lost: u32,
-    /// Drops this many writes before their effect, and their replies.
+    /// Number of further writes that are dropped without effect or reply.
     pub dropped: u32,
 }
 
-/// How many calls of each kind were made.
+/// Number of calls of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads.
     pub get: u64,
     /// Compare-and-swaps.
     pub swap: u64,
-    /// Watches, each waiting one counted once.
+    /// Watches, each counted once however long it waits.
     pub watch: u64,
-    /// Grants and renewals of leases.
+    /// Lease grants and renewals.
     pub lease: u64,
-    /// Calls refused for the rate.
+    /// Calls refused by the rate limit.
     pub refused: u64,
 }
 
-struct Kept {
+struct Entry {
     value: Versioned,
     lease: Option<u64>,
 }
 
 struct State {
-    keys: BTreeMap<String, Kept>,
+    keys: BTreeMap<String, Entry>,
     last: u64,
     leases: BTreeMap<u64, (u64, u64)>,
     faults: Faults,
@@ -64,14 +64,14 @@
     writes: TokenBucket,
 }
 
-/// The rules of the service, without its port.
+/// The store, without its HTTP server.
 pub struct Core {
     state: Mutex<State>,
     changed: Condvar,
     clock: Clock,
 }
 
-/// How many calls a second the service bears.
+/// Rate limits in calls per second.
 #[derive(Debug, Clone, Copy)]
 pub struct Rates {
     /// Reads and watches.
@@ -90,7 +90,7 @@
 }
 
 impl Core {
-    /// An empty service with these rates.
+    /// Creates an empty store with these rate limits.
     pub fn new(rates: Rates, clock: Clock) -> Self {
         let now = Instant::now();
         let state = State {
@@ -109,29 +109,29 @@
         }
     }
 
-    /// Switches faults on or off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.state).faults = faults;
         self.changed.notify_all();
     }
 
-    /// The faults that are switched on.
+    /// Returns the active faults.
     pub fn faults(&self) -> Faults {
         lock(&self.state).faults.clone()
     }
 
-    /// The calls so far.
+    /// Returns the call counts so far.
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts
     }
 
-    /// Grants a lease of this many milliseconds; keys bound to it go when it lapses.
+    /// Grants a lease of `length` milliseconds. Its keys are removed when it expires.
     ///
     /// # Errors
     ///
-    /// As any call.
+    /// The store is down or its rate limit is reached.
     pub fn grant(&self, length: u64) -> Result<u64, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.lease += 1;
         state.last += 1;
         let id = state.last;
@@ -140,13 +140,13 @@
         Ok(id)
     }
 
-    /// Renews a lease. False when it has lapsed.
+    /// Renews a lease. Returns false if it has expired.
     ///
     /// # Errors
     ///
-    /// As any call.
+    /// The store is down or its rate limit is reached.
     pub fn renew(&self, id: u64) -> Result<bool, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.lease += 1;
         let now = self.clock.now();
         let Some(lease) = state.leases.get_mut(&id) else {
@@ -156,28 +156,28 @@
         Ok(true)
     }
 
-    /// Makes a lease lapse now, with its keys.
-    pub fn lapse(&self, id: u64) {
+    /// Expires a lease at once and removes its keys.
+    pub fn expire_lease(&self, id: u64) {
         if let Some(lease) = lock(&self.state).leases.get_mut(&id) {
             lease.0 = 0;
         }
-        self.sweep();
+        self.remove_expired();
     }
 
-    /// Drops lapsed leases and their keys.
-    fn sweep(&self) {
+    /// Removes expired leases and their keys.
+    fn remove_expired(&self) {
         let mut state = lock(&self.state);
         let now = self.clock.now();
         let State { keys, leases, .. } = &mut *state;
         leases.retain(|_, (end, _)| *end > now);
-        keys.retain(|_, kept| kept.lease.is_none_or(|id| leases.contains_key(&id)));
+        keys.retain(|_, entry| entry.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 
-    /// The faults and rates that meet every call.
-    fn enter(&self, write: bool) -> Result<MutexGuard<'_, State>, Failure> {
+    /// Applies the fault and rate-limit checks that are common to all calls.
+    fn admit(&self, write: bool) -> Result<MutexGuard<'_, State>, Failure> {
         let mut state = lock(&self.state);
         if state.faults.down {
-            return Err(broken());
+            return Err(connection_broken());
         }
         let now = Instant::now();
         let bucket = if write {
@@ -192,11 +192,12 @@
         Ok(state)
     }
 
-    /// A compare-and-swap of a key that goes with a lease, or of a lasting one.
+    /// Compares and swaps a key, bound to a lease if one is given.
     ///
     /// # Errors
     ///
-    /// As any call; `Broken` with `may-have-run` when the reply is lost.
+    /// The store is down, its rate limit is reached or the value is too large; `Broken` with
+    /// `may-have-run` when the reply is lost.
     pub fn swap_leased(
         &self,
         key: &str,
@@ -204,16 +205,16 @@
         bytes: &[u8],
         lease: Option<u64>,
     ) -> Result<Swap, Failure> {
-        let mut state = self.enter(true)?;
+        let mut state = self.admit(true)?;
         state.counts.swap += 1;
         if bytes.len() > MAX_VALUE {
             return Err(Failure::not_run(Cause::Invalid, "the value is too large"));
         }
         if state.faults.dropped > 0 {
             state.faults.dropped -= 1;
-            return Err(broken());
+            return Err(connection_broken());
         }
-        let present = state.keys.get(key).map_or(0, |kept| kept.value.version);
+        let present = state.keys.get(key).map_or(0, |entry| entry.value.version);
         if present != expected {
             return Ok(Swap::Conflict(present));
         }
@@ -223,26 +224,26 @@
             version,
             bytes: bytes.into(),
         };
-        state.keys.insert(key.to_owned(), Kept { value, lease });
+        state.keys.insert(key.to_owned(), Entry { value, lease });
         self.changed.notify_all();
         if state.faults.lost > 0 {
             state.faults.lost -= 1;
-            return Err(broken());
+            return Err(connection_broken());
         }
         Ok(Swap::Written(version))
     }
 }
 
-fn broken() -> Failure {
+fn connection_broken() -> Failure {
     Failure::may_have_run(Cause::Broken, "the store broke off")
 }
 
 impl Store for Core {
     fn get(&self, key: &str) -> Result<Option<Versioned>, Failure> {
-        self.sweep();
-        let mut state = self.enter(false)?;
+        self.remove_expired();
+        let mut state = self.admit(false)?;
         state.counts.get += 1;
-        Ok(state.keys.get(key).map(|kept| kept.value.clone()))
+        Ok(state.keys.get(key).map(|entry| entry.value.clone()))
     }
 
     fn swap(&self, key: &str, expected: u64, bytes: &[u8]) -> Result<Swap, Failure> {
@@ -251,16 +252,16 @@
 
     fn watch(&self, key: &str, after: u64, time: Duration) -> Result<Option<Versioned>, Failure> {
         let end = Instant::now() + time;
-        self.enter(false)?.counts.watch += 1;
+        self.admit(false)?.counts.watch += 1;
         let mut state = lock(&self.state);
         loop {
             if state.faults.down {
-                return Err(broken());
+                return Err(connection_broken());
             }
-            if let Some(kept) = state.keys.get(key)
-                && kept.value.version > after
+            if let Some(entry) = state.keys.get(key)
+                && entry.value.version > after
             {
-                return Ok(Some(kept.value.clone()));
+                return Ok(Some(entry.value.clone()));
             }
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -277,13 +278,13 @@
 #[cfg(test)]
 mod tests {
     use {
-        super::*, crate::line::Line, infra::store, kernel::Client, std::sync::Arc,
+        super::*, crate::proxy::Proxy, infra::store, kernel::Client, std::sync::Arc,
         test_case::test_case,
     };
 
-    fn port() -> (Port, store::Http) {
+    fn port() -> (Server, store::Http) {
         let core = Arc::new(Core::new(Rates::default(), Clock::real()));
-        let port = Port::open(([127, 0, 0, 1], 0).into(), core).unwrap();
+        let port = Server::open(([127, 0, 0, 1], 0).into(), core).unwrap();
         let http = store::Http::new(&port.url(), Client::new(None));
         (port, http)
     }
@@ -310,18 +311,19 @@
         assert_eq!((counts.get, counts.swap, counts.watch), (2, 2, 2));
     }
 
-    /// A value of 1 MB takes 2.5 s on its way, longer than a call may wait for its answer to begin.
+    /// At this rate, a value of 1 MB takes 2.5 s to transfer, longer than a call may wait for its
+    /// response to begin.
     #[test_case(|http| http.get("k"); "read")]
     #[test_case(|http| http.watch("k", 0, Duration::from_millis(5)); "watch")]
-    fn large_value_over_slow_line(
+    fn large_value_over_slow_connection(
         call: fn(&store::Http) -> Result<Option<store::Versioned>, Failure>,
     ) {
         let (port, _) = port();
         let value = vec![b'v'; 1_000_000];
         let _ = port.core().swap("k", 0, &value).unwrap();
-        let line = Line::open(port.url().trim_start_matches("http://").parse().unwrap()).unwrap();
-        line.limit(400_000);
-        let http = store::Http::new(&format!("http://{}", line.address()), Client::new(None));
+        let proxy = Proxy::open(port.url().trim_start_matches("http://").parse().unwrap()).unwrap();
+        proxy.set_rate(400_000);
+        let http = store::Http::new(&format!("http://{}", proxy.address()), Client::new(None));
         assert_eq!(call(&http).unwrap().unwrap().bytes.len(), value.len());
     }
 
--- a/components/standin/src/worker.rs
+++ b/components/standin/src/worker.rs
@@ -1,11 +1,11 @@
-//! A stand-in of workers: many of them behind one port, each under a path of its own.
+//! Stand-in for the workers: many of them behind one HTTP server, each under its own path.
 
 use {
     crate::{
+        auditor::Auditor,
         clock::Clock,
+        http_server::{self, ServerRequest, ServerResponse},
         ledger::{Faults, Ledger},
-        port::{self, Asked, Told},
-        witness::Witness,
     },
     infra::{
         Size,
@@ -27,29 +27,30 @@
     },
 };
 
-/// Connections that the port takes.
-const CONNECTIONS: usize = 16_384;
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 16_384;
 
-/// How often the time is let pass on every worker.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which all workers advance to the current time.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 type Ledgers = BTreeMap<Arc<str>, Mutex<Ledger>>;
 
-/// The workers, without a port. As [`Workers`] it is called by name instead of by address.
+/// The workers, without an HTTP server. Its [`Workers`] implementation takes names instead of
+/// URLs.
 #[derive(Clone)]
-pub struct Farm {
+pub struct WorkerSet {
     ledgers: Arc<RwLock<Ledgers>>,
     clock: Clock,
-    witness: Witness,
+    auditor: Auditor,
 }
 
-impl Farm {
-    /// A farm without workers.
-    pub fn new(clock: Clock, witness: Witness) -> Self {
-        Farm {
+impl WorkerSet {
+    /// Creates a set without workers.
+    pub fn new(clock: Clock, auditor: Auditor) -> Self {
+        WorkerSet {
             ledgers: Arc::default(),
             clock,
-            witness,
+            auditor,
         }
     }
 
@@ -61,21 +62,21 @@
             boot,
             size,
             self.clock.clone(),
-            self.witness.clone(),
+            self.auditor.clone(),
         );
         if let Ok(mut ledgers) = self.ledgers.write() {
             ledgers.insert(name.clone(), Mutex::new(ledger));
         }
     }
 
-    /// Runs a closure on a worker's ledger. `None` when there is no such worker.
+    /// Runs a closure on the ledger of a worker. Returns `None` if there is no such worker.
     pub fn with<R>(&self, name: &str, run: impl FnOnce(&mut Ledger) -> R) -> Option<R> {
         let ledgers = self.ledgers.read().ok()?;
         let mut ledger = lock(ledgers.get(name)?);
         Some(run(&mut ledger))
     }
 
-    /// Lets the time pass on every worker.
+    /// Advances all workers to the current time.
     pub fn advance(&self) {
         let Ok(ledgers) = self.ledgers.read() else {
             return;
@@ -85,23 +86,25 @@
         }
     }
 
-    /// Opens the port; workers are under `/w/NAME`.
+    /// Opens the HTTP server; workers are under `/w/NAME`.
     ///
     /// # Errors
     ///
     /// The address cannot be bound.
-    pub fn open(&self, address: SocketAddr) -> io::Result<Port> {
-        let farm = self.clone();
-        let url = port::open(address, CONNECTIONS, move |asked| handle(&farm, &asked))?;
+    pub fn open(&self, address: SocketAddr) -> io::Result<Server> {
+        let worker_set = self.clone();
+        let url = http_server::open(address, MAX_CONNECTIONS, move |request| {
+            handle(&worker_set, &request)
+        })?;
         let signal = Signal::new();
-        let (farm, bell) = (self.clone(), signal.clone());
+        let (worker_set, stop_signal) = (self.clone(), signal.clone());
         let ticker = task::spawn("workers-tick", move || {
-            while !bell.is_stopped() {
-                farm.advance();
-                bell.wait(TICK);
+            while !stop_signal.is_stopped() {
+                worker_set.advance();
+                stop_signal.wait(TICK_INTERVAL);
             }
         })?;
-        Ok(Port {
+        Ok(Server {
             url,
             signal,
             ticker: Some(ticker),
@@ -109,7 +112,7 @@
     }
 }
 
-impl Workers for Farm {
+impl Workers for WorkerSet {
     fn exchange(&self, base: &str, order: &Order) -> Result<Report, Failure> {
         let broken = || Failure::may_have_run(Cause::Broken, "the worker broke off");
         let outcome = self.with(base, |ledger| {
@@ -123,26 +126,26 @@
             }
             report
         });
-        let gone = || Failure::not_run(Cause::Unreachable, format!("no worker {base}"));
-        outcome.unwrap_or_else(|| Err(gone()))
+        let unknown = || Failure::not_run(Cause::Unreachable, format!("no worker {base}"));
+        outcome.unwrap_or_else(|| Err(unknown()))
     }
 }
 
-/// The port of the workers.
-pub struct Port {
+/// HTTP server of the workers.
+pub struct Server {
     url: String,
     signal: Signal,
     ticker: Option<JoinHandle<()>>,
 }
 
-impl Port {
-    /// The base address of a worker.
+impl Server {
+    /// Returns the base URL of a worker.
     pub fn url(&self, name: &str) -> String {
         format!("{}/w/{name}", self.url)
     }
 }
 
-impl Drop for Port {
+impl Drop for Server {
     fn drop(&mut self) {
         self.signal.stop();
         if let Some(thread) = self.ticker.take() {
@@ -151,39 +154,39 @@
     }
 }
 
-fn handle(farm: &Farm, asked: &Asked) -> Told {
-    let path = asked.path.strip_prefix("/w/");
+fn handle(worker_set: &WorkerSet, request: &ServerRequest) -> ServerResponse {
+    let path = request.path.strip_prefix("/w/");
     let Some((name, action)) = path.and_then(|rest| rest.split_once('/')) else {
         return Reply::text(404, "no such path\n").into();
     };
     match action {
-        "exchange" => exchange(farm, name, asked),
-        "faults" => set_faults(farm, name, asked).into(),
+        "exchange" => exchange(worker_set, name, request),
+        "faults" => set_faults(worker_set, name, request).into(),
         "reboot" => {
-            farm.with(name, Ledger::reboot);
+            worker_set.with(name, Ledger::reboot);
             Reply::text(200, "rebooted\n").into()
         }
         _ => Reply::text(404, "no such path\n").into(),
     }
 }
 
-fn set_faults(farm: &Farm, name: &str, asked: &Asked) -> Reply {
-    let faults = match serde_json::from_slice::<Faults>(&asked.body) {
+fn set_faults(worker_set: &WorkerSet, name: &str, request: &ServerRequest) -> Reply {
+    let faults = match serde_json::from_slice::<Faults>(&request.body) {
         Ok(faults) => faults,
         Err(e) => return Reply::text(400, e.to_string()),
     };
-    match farm.with(name, |ledger| ledger.faults = faults) {
+    match worker_set.with(name, |ledger| ledger.faults = faults) {
         Some(()) => Reply::text(200, "set\n"),
         None => Reply::text(404, "no such worker\n"),
     }
 }
 
-fn exchange(farm: &Farm, name: &str, asked: &Asked) -> Told {
-    let order: Order = match serde_json::from_slice(&asked.body) {
+fn exchange(worker_set: &WorkerSet, name: &str, request: &ServerRequest) -> ServerResponse {
+    let order: Order = match serde_json::from_slice(&request.body) {
         Ok(order) => order,
         Err(e) => return Reply::text(400, e.to_string()).into(),
     };
-    let failure = match farm.exchange(name, &order) {
+    let failure = match worker_set.exchange(name, &order) {
         Ok(report) => {
             let body = serde_json::to_vec(&report).unwrap_or_default();
             return Reply::bytes(200, "application/json", body).into();
@@ -194,6 +197,6 @@
         Cause::Conflict => Reply::text(worker::FENCED_STATUS, failure.text).into(),
         Cause::Refused => Reply::text(worker::STALE_STATUS, failure.text).into(),
         Cause::Unreachable => Reply::text(404, "no such worker\n").into(),
-        _ => Told::Cut,
+        _ => ServerResponse::Disconnect,
     }
 }
--- a/components/table/src/service.rs
+++ b/components/table/src/service.rs
@@ -1,11 +1,12 @@
-//! A whole table process: the port, the actor and the tasks.
+//! The table process: starts and stops its port, its actor and its background threads, and
+//! handles requests.
 
 use {
     crate::{
         accept,
-        keeper::Keeper,
+        actor::TableActor,
         message::{Compare, Current, Outcome, Submit, Update, Watch},
-        spread::{self, Shared},
+        replication::{self, Shared},
     },
     infra::{Store, boxes::Boxes},
     kernel::{
@@ -28,52 +29,52 @@
     },
 };
 
-/// Tasks that serve the port; an edit holds one while the store answers.
-const TASKS: usize = 8;
+/// Concurrent requests on the port. An edit occupies one until the store responds.
+const CONCURRENCY: usize = 8;
 
-/// Edits that are made or wait at once; the other tasks stay free.
-const MAX_EDITORS: usize = 4;
+/// Maximum number of running and waiting edits, so that the port can handle other requests.
+const MAX_PENDING_EDITS: usize = 4;
 
-/// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+/// Interval between reads of the list of boxes.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a table process needs to start.
+/// Settings of a table process.
 pub struct Settings {
-    /// The box's name, as in the platform's list.
+    /// Name of this box in the platform's list of boxes.
     pub name: Arc<str>,
-    /// The address of the port.
+    /// Address of the port.
     pub listen: SocketAddr,
-    /// The secret of the internal ports.
+    /// Token for requests on the internal ports.
     pub token: Option<Token>,
-    /// The store.
+    /// Store that holds the table.
     pub store: Arc<dyn Store>,
-    /// The list of boxes.
+    /// Source of the list of boxes.
     pub boxes: Arc<dyn Boxes>,
 }
 
-/// A table process that runs.
+/// A running table process.
 pub struct Service {
     shared: Shared,
     server: Server,
     ready: Readiness,
-    host: ActorThread<Keeper>,
-    _roster: BoxWatcher,
+    host: ActorThread<TableActor>,
+    _watcher: BoxWatcher,
 }
 
 impl Service {
-    /// Starts the process's parts.
+    /// Starts the actor, the port and the background threads.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or the system has no room for threads.
+    /// If the address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        let host = ActorThread::start("table", |cx, _| Keeper::new(cx))?;
-        let roster = BoxWatcher::start(settings.boxes, LIST_EVERY, Box::new(|_| {}))?;
+        let host = ActorThread::start("table", |cx, _| TableActor::new(cx))?;
+        let watcher = BoxWatcher::start(settings.boxes, LIST_INTERVAL, Box::new(|_| {}))?;
         let shared = Shared {
             name: settings.name,
-            keeper: host.actor_ref().clone(),
+            actor: host.actor_ref().clone(),
             store: settings.store,
-            view: roster.view().clone(),
+            view: watcher.view().clone(),
             client: Client::new(settings.token.clone()),
             signal: Signal::new(),
         };
@@ -81,44 +82,48 @@
         let port = Port {
             shared: shared.clone(),
             ready: ready.clone(),
-            editing: Mutex::new(()),
-            editors: AtomicUsize::new(0),
+            edit_lock: Mutex::new(()),
+            pending_edits: AtomicUsize::new(0),
         };
         let handler = Arc::new(move |request| port.handle(request));
-        let server = Server::open(settings.listen, TASKS, settings.token, handler)?;
-        // A stop does not wait for these two: one may be in a long watch of the store, and ends
-        // after it without any effect.
-        let theirs = shared.clone();
-        task::spawn("table-watch", move || spread::watch_task(&theirs))?;
-        let theirs = shared.clone();
-        task::spawn("table-compare", move || spread::compare_task(&theirs))?;
+        let server = Server::open(settings.listen, CONCURRENCY, settings.token, handler)?;
+        // `stop` does not join these threads: one may be in a long watch of the store, and it ends
+        // after the watch without any effect.
+        let task_shared = shared.clone();
+        task::spawn("table-watch", move || {
+            replication::run_store_watch(&task_shared)
+        })?;
+        let task_shared = shared.clone();
+        task::spawn("table-compare", move || {
+            replication::run_comparisons(&task_shared)
+        })?;
         ready.set(true);
         Ok(Service {
             shared,
             server,
             ready,
             host,
-            _roster: roster,
+            _watcher: watcher,
         })
     }
 
-    /// The base address of the port.
+    /// Base URL of the port.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// The version of the table in force.
+    /// Version of the current table; 0 for an empty one.
     ///
     /// # Errors
     ///
-    /// The process is stopping.
+    /// `Stopping` if the actor has stopped.
     pub fn version(&self) -> Result<u64, Failure> {
         self.shared
-            .keeper
-            .ask(|keeper, _| keeper.book().table.version)
+            .actor
+            .ask(|actor, _| actor.stored().table.version)
     }
 
-    /// Stops: not ready first, then what is in flight ends.
+    /// Shuts the process down. It reports not ready first, then completes in-flight requests.
     pub fn stop(&mut self) {
         self.ready.set(false);
         self.shared.signal.stop();
@@ -136,16 +141,16 @@
 struct Port {
     shared: Shared,
     ready: Readiness,
-    /// Edits of one process go one after another.
-    editing: Mutex<()>,
-    /// Edits that are made or wait.
-    editors: AtomicUsize,
+    /// Serializes the edits of this process.
+    edit_lock: Mutex<()>,
+    /// Number of running and waiting edits.
+    pending_edits: AtomicUsize,
 }
 
 impl Port {
     fn handle(&self, request: Request) {
-        let known = || self.shared.keeper.ask(|keeper, _| keeper.known());
-        let ready = || self.ready.get() && known().unwrap_or(false);
+        let is_loaded = || self.shared.actor.ask(|actor, _| actor.is_loaded());
+        let ready = || self.ready.get() && is_loaded().unwrap_or(false);
         let Some(request) = ops::route(request, ready) else {
             return;
         };
@@ -164,8 +169,8 @@
             "/table/compare" => {
                 let compared = request.message().and_then(|theirs: Compare| {
                     self.shared
-                        .keeper
-                        .ask(move |keeper, _| keeper.compare(theirs.version))
+                        .actor
+                        .ask(move |actor, _| actor.compare(theirs.version))
                 });
                 request.respond(Reply::message(&compared));
             }
@@ -179,63 +184,64 @@
             Err(failure) => return request.respond(Reply::failure(&failure)),
         };
         let wait = Duration::from_millis(watch.wait.min(60_000));
-        self.shared.keeper.tell(move |keeper, _| {
-            keeper.watch(watch.after, wait, Instant::now(), request);
+        self.shared.actor.tell(move |actor, _| {
+            actor.watch(watch.after, wait, Instant::now(), request);
         });
     }
 
     fn current(&self) -> Result<Current, Failure> {
-        let book = self.shared.keeper.ask(|keeper, _| keeper.book().clone())?;
-        let history = book.history.iter().cloned().collect();
+        let stored = self.shared.actor.ask(|actor, _| actor.stored().clone())?;
+        let history = stored.history.iter().cloned().collect();
         Ok(Current {
-            table: Arc::new(book.table.clone()),
+            table: Arc::new(stored.table.clone()),
             history,
         })
     }
 
     fn push(&self, update: Update) -> Result<u64, Failure> {
-        self.shared.keeper.ask(move |keeper, _| {
-            // What does not join on is taken whole at the next comparison.
-            keeper.update(update);
-            keeper.book().table.version
+        self.shared.actor.ask(move |actor, _| {
+            // If the changes do not follow the current version, the next comparison fetches the
+            // missing ones.
+            actor.apply_update(update);
+            actor.stored().table.version
         })
     }
 
-    /// Makes an edit, unless too many wait: while the store hangs they would take up the port,
-    /// which followers and other boxes need.
+    /// Makes an edit unless too many are pending. While the store does not respond, pending edits
+    /// would otherwise occupy the port, which followers and other boxes need.
     fn edit(&self, submit: &Submit) -> Result<Outcome, Failure> {
-        let before = self.editors.fetch_add(1, Ordering::AcqRel);
-        let outcome = if before < MAX_EDITORS {
-            self.edit_next(submit)
+        let before = self.pending_edits.fetch_add(1, Ordering::AcqRel);
+        let outcome = if before < MAX_PENDING_EDITS {
+            self.edit_locked(submit)
         } else {
             let text = "too many edits wait for the store; try again";
             Err(Failure::not_run(Cause::Busy, text))
         };
-        self.editors.fetch_sub(1, Ordering::AcqRel);
+        self.pending_edits.fetch_sub(1, Ordering::AcqRel);
         outcome
     }
 
-    fn edit_next(&self, submit: &Submit) -> Result<Outcome, Failure> {
-        let _one = lock(&self.editing);
+    fn edit_locked(&self, submit: &Submit) -> Result<Outcome, Failure> {
+        let _guard = lock(&self.edit_lock);
         let started = Instant::now();
-        let edited = accept::accept(self.shared.store.as_ref(), &submit.edit);
-        let (outcome, book) = match edited {
-            Ok(edited) => edited,
+        let result = accept::accept(self.shared.store.as_ref(), &submit.edit);
+        let (outcome, stored) = match result {
+            Ok(accepted) => accepted,
             Err(failure) => {
-                log::warn!(target: "table", "An edit was not brought in. {failure}");
+                log::warn!(target: "table", "An edit failed. {failure}");
                 return Err(failure);
             }
         };
         metrics::histogram!("magpie_table_edit_seconds").record(started.elapsed().as_secs_f64());
-        if let Some(book) = book {
+        if let Some(stored) = stored {
             let before = self
                 .shared
-                .keeper
-                .ask(|keeper, _| keeper.book().table.version)?;
+                .actor
+                .ask(|actor, _| actor.stored().table.version)?;
             self.shared
-                .keeper
-                .ask(move |keeper, _| keeper.install(book))?;
-            spread::push_all(&self.shared, before);
+                .actor
+                .ask(move |actor, _| actor.install(stored))?;
+            replication::push_all(&self.shared, before);
         }
         Ok(outcome)
     }
--- a/components/table/src/sheet.rs
+++ b/components/table/src/sheet.rs
@@ -1,4 +1,4 @@
-//! The table as a spreadsheet saves it: CSV, checked cell by cell.
+//! Reads and writes the table as a CSV sheet, and checks each cell.
 
 use {
     crate::row::{Kind, Row},
@@ -9,7 +9,7 @@
     },
 };
 
-/// The columns, in their order.
+/// Names of the columns, in order.
 pub const COLUMNS: [&str; 12] = [
     "class",
     "team",
@@ -25,39 +25,39 @@
     "team_processors",
 ];
 
-/// row {row}, column {column}: '{value}' is wrong; right is {rule}
+/// row {row}, column {column}: '{value}' is invalid; expected {rule}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub struct Fault {
-    /// The line of the sheet; the header is line 1.
+pub struct CellError {
+    /// Line of the sheet; the header is line 1. 0 for errors that concern several rows.
     pub row: u64,
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// The cell as it is.
+    /// Value of the cell.
     pub value: String,
-    /// What would be right.
+    /// Values that are valid.
     pub rule: String,
 }
 
-/// Reads a sheet.
+/// Parses a sheet.
 ///
 /// # Errors
 ///
-/// Every cell that is wrong; a sheet with one wrong cell is not read at all.
-pub fn parse(text: &str) -> Result<Vec<Row>, Vec<Fault>> {
+/// All errors in the sheet. A sheet with any error is refused as a whole.
+pub fn parse(text: &str) -> Result<Vec<Row>, Vec<CellError>> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
         .from_reader(text.as_bytes());
     let header: Vec<String> = match reader.headers() {
-        // A byte order mark, as some spreadsheets write it, is no part of the first name.
+        // Some spreadsheet programs write a byte order mark, which is not part of the first name.
         Ok(header) => header
             .iter()
             .map(|h| h.trim_start_matches('\u{feff}').to_owned())
             .collect(),
-        Err(e) => return Err(vec![fault(1, "header", "", &e.to_string())]),
+        Err(e) => return Err(vec![cell_error(1, "header", "", &e.to_string())]),
     };
-    let mut faults = check_header(&header);
-    if !faults.is_empty() {
-        return Err(faults);
+    let mut errors = check_header(&header);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     let mut rows = Vec::new();
     let mut classes = BTreeSet::new();
@@ -66,7 +66,7 @@
         let record = match record {
             Ok(record) => record,
             Err(e) => {
-                faults.push(fault(line, "row", "", &format!("valid CSV: {e}")));
+                errors.push(cell_error(line, "row", "", &format!("valid CSV: {e}")));
                 continue;
             }
         };
@@ -76,7 +76,7 @@
             .zip(record.iter().map(str::trim))
             .collect();
         if record.len() > header.len() {
-            faults.push(fault(
+            errors.push(cell_error(
                 line,
                 "row",
                 &record.len().to_string(),
@@ -86,28 +86,28 @@
         let mut cells = Cells {
             line,
             cells,
-            faults: &mut faults,
+            errors: &mut errors,
         };
         let row = cells.row();
         if !classes.insert(row.class.clone()) {
             let rule = "a class that no other row has";
-            faults.push(fault(line, "class", &row.class, rule));
+            errors.push(cell_error(line, "class", &row.class, rule));
         }
         rows.push(row);
     }
-    for rule in check_rows(&rows) {
-        faults.push(fault(0, "team_processors", "", &rule));
+    for rule in check_team_quotas(&rows) {
+        errors.push(cell_error(0, "team_processors", "", &rule));
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(rows)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-fn fault(row: u64, column: &str, value: &str, rule: &str) -> Fault {
+fn cell_error(row: u64, column: &str, value: &str, rule: &str) -> CellError {
     let (column, value, rule) = (column.to_owned(), value.to_owned(), rule.to_owned());
-    Fault {
+    CellError {
         row,
         column,
         value,
@@ -115,27 +115,27 @@
     }
 }
 
-fn check_header(header: &[String]) -> Vec<Fault> {
-    let mut faults = Vec::new();
+fn check_header(header: &[String]) -> Vec<CellError> {
+    let mut errors = Vec::new();
     for name in header {
         if !COLUMNS.contains(&name.as_str()) {
             let rule = format!("one of {}", COLUMNS.join(", "));
-            faults.push(fault(1, "header", name, &rule));
+            errors.push(cell_error(1, "header", name, &rule));
         }
     }
     for name in COLUMNS {
         if header.iter().filter(|h| *h == name).count() != 1 {
-            faults.push(fault(1, "header", name, "each column once"));
+            errors.push(cell_error(1, "header", name, "each column once"));
         }
     }
-    faults
+    errors
 }
 
-/// The cells of one line.
+/// Cells of one line, by column.
 struct Cells<'a> {
     line: u64,
     cells: BTreeMap<&'a str, &'a str>,
-    faults: &'a mut Vec<Fault>,
+    errors: &'a mut Vec<CellError>,
 }
 
 impl Cells<'_> {
@@ -143,15 +143,16 @@
         self.cells.get(column).copied().unwrap_or_default()
     }
 
-    fn wrong(&mut self, column: &str, rule: &str) {
+    fn reject(&mut self, column: &str, rule: &str) {
         let value = self.text(column).to_owned();
-        self.faults.push(fault(self.line, column, &value, rule));
+        self.errors
+            .push(cell_error(self.line, column, &value, rule));
     }
 
     fn name(&mut self, column: &str) -> Arc<str> {
         let name = Arc::from(self.text(column));
         if !kernel::settings::is_name(&name) {
-            self.wrong(
+            self.reject(
                 column,
                 "a name of 1 to 64 letters, digits, dots, dashes, underscores",
             );
@@ -163,13 +164,13 @@
         match self.text(column).parse() {
             Ok(number) if (low..=high).contains(&number) => number,
             _ => {
-                self.wrong(column, &format!("a whole number from {low} to {high}"));
+                self.reject(column, &format!("a whole number from {low} to {high}"));
                 low
             }
         }
     }
 
-    /// A cell that may be empty, which means no limit.
+    /// Parses a limit and multiplies it by `factor`. An empty cell means no limit.
     fn limit(&mut self, column: &str, factor: f64) -> Option<u32> {
         let text = self.text(column);
         if text.is_empty() {
@@ -180,13 +181,13 @@
                 Some((number * factor).round() as u32)
             }
             _ => {
-                self.wrong(column, "a number from 0 up, or nothing for no limit");
+                self.reject(column, "a number from 0 up, or nothing for no limit");
                 None
             }
         }
     }
 
-    fn whole(&mut self, column: &str) -> Option<u32> {
+    fn optional_integer(&mut self, column: &str) -> Option<u32> {
         if self.text(column).is_empty() {
             return None;
         }
@@ -195,7 +196,7 @@
 
     fn kind(&mut self) -> Kind {
         self.text("kind").parse().unwrap_or_else(|()| {
-            self.wrong("kind", "service, batch or standing");
+            self.reject("kind", "service, batch or standing");
             Kind::Batch
         })
     }
@@ -205,7 +206,7 @@
         let mut names = Vec::new();
         for name in text.split_whitespace() {
             if !kernel::settings::is_name(name) {
-                self.wrong(
+                self.reject(
                     "generations",
                     "names with spaces between them, or nothing for all",
                 );
@@ -226,66 +227,66 @@
             weight: self.number("weight", 1, 1000),
             cpu: self.limit("max_processors", 1000.0),
             memory: self.limit("max_memory_gb", 1000.0),
-            accel: self.whole("max_accelerators"),
-            running: self.whole("max_running"),
+            accel: self.optional_integer("max_accelerators"),
+            running: self.optional_integer("max_running"),
             generations: self.generations(),
-            target: self.whole("target_ms"),
+            target: self.optional_integer("target_ms"),
             quota: self.limit("team_processors", 1000.0),
             revision: 0,
         };
         if (kind == Kind::Service) != row.target.is_some() {
-            self.wrong(
+            self.reject(
                 "target_ms",
                 "a target for a service, and nothing for any other kind",
             );
         }
         if row.target == Some(0) {
-            self.wrong("target_ms", "a whole number from 1 up");
+            self.reject("target_ms", "a whole number from 1 up");
         }
         row
     }
 }
 
-/// Rules over several rows: one quota a team.
-fn check_rows(rows: &[Row]) -> Vec<String> {
+/// Checks that all rows of a team have the same quota. Returns the violated rules.
+fn check_team_quotas(rows: &[Row]) -> Vec<String> {
     let mut quotas: BTreeMap<Arc<str>, Option<u32>> = BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for row in rows {
         let quota = quotas.entry(row.team.clone()).or_insert(row.quota);
         if *quota != row.quota {
-            broken.push(format!(
+            violations.push(format!(
                 "the same team_processors in every row of team {}",
                 row.team
             ));
         }
     }
-    broken.dedup();
-    broken
+    violations.dedup();
+    violations
 }
 
-/// The rules that rows break which came in another way than by a sheet.
-pub fn check_again(rows: &[Row]) -> Vec<String> {
+/// Checks rows that were not read from a sheet, by the same rules. Returns the violations.
+pub fn validate_rows(rows: &[Row]) -> Vec<String> {
     match parse(&render(rows)) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.iter().map(Fault::to_string).collect(),
+        Err(errors) => errors.iter().map(CellError::to_string).collect(),
     }
 }
 
-/// Writes rows as a sheet.
+/// Formats rows as a sheet.
 pub fn render(rows: &[Row]) -> String {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let mut write = |record: &[String]| writer.write_record(record).is_ok();
     write(&COLUMNS.map(str::to_owned));
     for row in rows {
-        write(&record(row));
+        write(&cells(row));
     }
     let bytes = writer.into_inner().unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// The cells of a row, in the order of the columns.
-pub fn record(row: &Row) -> [String; 12] {
-    let whole = |n: Option<u32>| n.map(|n| n.to_string()).unwrap_or_default();
+/// Returns the cells of a row in the order of [`COLUMNS`].
+pub fn cells(row: &Row) -> [String; 12] {
+    let integer = |n: Option<u32>| n.map(|n| n.to_string()).unwrap_or_default();
     let thousandths = |n: Option<u32>| {
         n.map(|n| (f64::from(n) / 1000.0).to_string())
             .unwrap_or_default()
@@ -298,10 +299,10 @@
         row.weight.to_string(),
         thousandths(row.cpu),
         thousandths(row.memory),
-        whole(row.accel),
-        whole(row.running),
+        integer(row.accel),
+        integer(row.running),
         row.generations.join(" "),
-        whole(row.target),
+        integer(row.target),
         thousandths(row.quota),
     ]
 }
@@ -313,7 +314,7 @@
     const HEADER: &str = "class,team,kind,priority,weight,max_processors,max_memory_gb,\
         max_accelerators,max_running,generations,target_ms,team_processors";
 
-    #[test_case("a,t,batch,3,100,,,,,,,", "", "", ""; "right")]
+    #[test_case("a,t,batch,3,100,,,,,,,", "", "", ""; "valid")]
     #[test_case("a b,t,batch,3,100,,,,,,,", "class", "a b", "a name"; "class")]
     #[test_case("a,t,batsh,3,100,,,,,,,", "kind", "batsh", "service, batch or"; "kind")]
     #[test_case("a,t,batch,12,100,,,,,,,", "priority", "12", "from 0 to 9"; "priority")]
@@ -330,12 +331,12 @@
             assert_eq!(parsed.unwrap().len(), 1);
             return;
         }
-        let faults = parsed.unwrap_err();
+        let errors = parsed.unwrap_err();
         assert_eq!(
-            (faults[0].column.as_str(), faults[0].value.as_str()),
+            (errors[0].column.as_str(), errors[0].value.as_str()),
             (column, value)
         );
-        assert!(faults[0].rule.contains(rule), "{}", faults[0]);
+        assert!(errors[0].rule.contains(rule), "{}", errors[0]);
     }
 
     #[test]
@@ -346,8 +347,8 @@
 
     #[test]
     fn parse_unknown_column() {
-        let faults = parse("class,team,speed\n").unwrap_err();
-        assert_eq!(faults[0].value, "speed");
+        let errors = parse("class,team,speed\n").unwrap_err();
+        assert_eq!(errors[0].value, "speed");
     }
 
     proptest! {
--- a/programs/box/tests/end_to_end.rs
+++ b/programs/box/tests/end_to_end.rs
@@ -16,7 +16,7 @@
     standin::{
         Kv, Runner,
         kv::{Faults, decode, encode},
-        runner::Seen,
+        runner::RunLog,
     },
     std::{
         io::{BufRead, BufReader},
@@ -134,7 +134,7 @@
     fn is_ready(&self) -> bool {
         self.is_open.load(Ordering::Acquire)
             && send(self.ready, "GET", "/readiness", None)
-                .is_some_and(|answer| answer.status == 200)
+                .is_some_and(|response| response.status == 200)
     }
 
     /// Notifies the box of a cancellation, as another box would.
@@ -155,8 +155,8 @@
 
     /// Returns the number of its probes of the store, and of its other calls to the store.
     fn store_calls(&self) -> (u64, u64) {
-        let answer = send(self.inside, "GET", "/metrics", None).unwrap();
-        let text = String::from_utf8(answer.body).unwrap();
+        let response = send(self.inside, "GET", "/metrics", None).unwrap();
+        let text = String::from_utf8(response.body).unwrap();
         let (mut probes, mut others) = (0, 0);
         for line in text.lines() {
             let Some(rest) = line.strip_prefix("magpie_store_calls_total{call=") else {
@@ -204,7 +204,7 @@
 struct Cluster {
     kv: Kv,
     store: String,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<RunLog>>,
     runners: Vec<Runner>,
 }
 
@@ -212,7 +212,7 @@
     fn new(work: Duration) -> Self {
         let kv = Kv::default();
         let url = kv.open(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let seen = Arc::new(Mutex::new(RunLog::default()));
         let mut runners = Vec::new();
         for number in 0..3 {
             let id = format!("i-{number}");
@@ -258,9 +258,11 @@
             match send(process.callers, "DELETE", &path, None).unwrap().status {
                 200 => return true,
                 503 => {
-                    let was_tried = self.kv.was_tried(&format!("magpie/in/cancel/{id}"));
+                    let was_write_attempted = self
+                        .kv
+                        .was_write_attempted(&format!("magpie/in/cancel/{id}"));
                     assert!(
-                        is_outcome_unknown || !was_tried,
+                        is_outcome_unknown || !was_write_attempted,
                         "a rejected cancellation was written"
                     );
                 }
@@ -277,8 +279,8 @@
         let paths: Vec<String> = jobs.map(|number| format!("/q/{number:016x}")).collect();
         for path in &paths {
             until("a job is accepted", || {
-                let answer = send(port, "POST", path, Some(&job(12)));
-                answer.is_some_and(|answer| answer.status == 200)
+                let response = send(port, "POST", path, Some(&job(12)));
+                response.is_some_and(|response| response.status == 200)
             });
         }
         for path in &paths {
@@ -339,11 +341,11 @@
 }
 
 fn status(port: u16, path: &str) -> u16 {
-    send(port, "GET", path, None).map_or(0, |answer| answer.status)
+    send(port, "GET", path, None).map_or(0, |response| response.status)
 }
 
 fn state(port: u16, path: &str) -> String {
-    let body = send(port, "GET", path, None).map_or(Vec::new(), |answer| answer.body);
+    let body = send(port, "GET", path, None).map_or(Vec::new(), |response| response.body);
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     body["state"].as_str().unwrap_or_default().to_owned()
 }
@@ -354,8 +356,8 @@
     let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     for process in &boxes {
-        let answer = send(process.callers, "POST", path, Some(&job(4))).unwrap();
-        assert_eq!(answer.status, 200);
+        let response = send(process.callers, "POST", path, Some(&job(4))).unwrap();
+        assert_eq!(response.status, 200);
     }
     for process in &boxes {
         until("the job is completed", || {
@@ -365,7 +367,7 @@
     let seen = lock(&cluster.seen);
     assert_eq!(seen.starts.len(), 5);
     assert!(seen.starts.values().all(|&starts| starts == 1));
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
 }
 
 /// Maximum number of threads of a box that neither owns the cell nor relays.
@@ -413,12 +415,12 @@
     let boxes = cluster.boxes(2);
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
-    cluster.kv.fail(Faults {
+    cluster.kv.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
     until("no box is ready", || !boxes.iter().any(Process::is_ready));
-    cluster.kv.fail(Faults::default());
+    cluster.kv.set_faults(Faults::default());
     for process in &boxes {
         until("the box is ready again", || process.is_ready());
         until("the job is completed", || {
@@ -464,19 +466,19 @@
     assert_eq!(status(port, "/q/short"), 400);
     until("the queue responds", || status(port, "/q/") == 200);
     let bad = json!({ "specification": "x", "steps": [] });
-    let answer = send(port, "POST", "/q/00000000000000a1", Some(&bad)).unwrap();
-    assert_eq!(answer.status, 400);
+    let response = send(port, "POST", "/q/00000000000000a1", Some(&bad)).unwrap();
+    assert_eq!(response.status, 400);
     let large = json!({ "specification": "x".repeat(300_000), "steps": [] });
-    let answer = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
-    assert_eq!(answer.status, 413);
-    cluster.kv.fail(Faults {
+    let response = send(port, "POST", "/q/00000000000000a1", Some(&large)).unwrap();
+    assert_eq!(response.status, 413);
+    cluster.kv.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
-    let answer = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
-    assert_eq!(answer.status, 503);
-    assert_eq!(answer.header("retry-after"), "1");
-    cluster.kv.fail(Faults::default());
+    let response = send(port, "POST", "/q/00000000000000a2", Some(&job(1))).unwrap();
+    assert_eq!(response.status, 503);
+    assert_eq!(response.header("retry-after"), "1");
+    cluster.kv.set_faults(Faults::default());
     until("the rejected job is unknown", || {
         status(port, "/q/00000000000000a2") == 410
     });
@@ -491,7 +493,7 @@
     let port = boxes[0].callers;
     until("the cell has an owner", || cluster.owner().is_some());
     let path = "/q/00000000000000a1";
-    cluster.kv.fail(Faults {
+    cluster.kv.set_faults(Faults {
         lost: 1,
         ..Faults::default()
     });
@@ -536,8 +538,8 @@
     let path = "/q/00000000000000a1";
     send(boxes[0].callers, "POST", path, Some(&job(4))).unwrap();
     until("its tasks run", || cluster.running() == 4);
-    cluster.kv.fail(Faults {
-        deaf: true,
+    cluster.kv.set_faults(Faults {
+        watches_silent: true,
         ..Faults::default()
     });
     cluster.cancel(&boxes[box_index], "00000000000000a1");
@@ -571,7 +573,7 @@
     let boxes = cluster.boxes(1);
     let port = boxes[0].callers;
     until("the cell has an owner", || cluster.owner().is_some());
-    cluster.kv.fail(faults);
+    cluster.kv.set_faults(faults);
     let submit = |id: &str| {
         let path = format!("/q/{id}");
         send(port, "POST", &path, Some(&job(1))).unwrap().status
@@ -580,9 +582,13 @@
     submit("00000000000000a0");
     for id in ["00000000000000a1", "00000000000000a2", "00000000000000a3"] {
         assert_eq!(submit(id), 503);
-        assert!(!cluster.kv.was_tried(&format!("magpie/in/job/{id}")));
+        assert!(
+            !cluster
+                .kv
+                .was_write_attempted(&format!("magpie/in/job/{id}"))
+        );
     }
-    cluster.kv.fail(Faults::default());
+    cluster.kv.set_faults(Faults::default());
     until("the rejected job is accepted", || {
         submit("00000000000000a1") == 200
     });
@@ -625,7 +631,7 @@
         state(boxes[0].callers, path) == "completed"
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
     assert!(seen.starts.values().all(|&starts| starts == 1));
 }
 
@@ -655,7 +661,7 @@
         cluster.kv.calls() > before + 52
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty(), "{:?}", seen.doubled);
+    assert!(seen.ran_twice.is_empty(), "{:?}", seen.ran_twice);
     assert_eq!(seen.starts.values().sum::<u32>(), 16);
 }
 
@@ -709,7 +715,7 @@
     for (number, runner) in cluster.runners.iter().enumerate() {
         let id = format!("i-{number}");
         if is_entry_stale {
-            runner.restart_unlisted(&id);
+            runner.restart_without_entry(&id);
         } else {
             runner.restart(&id);
         }
@@ -724,7 +730,7 @@
     }
     thread::sleep(ENTRY_DELAY);
     for runner in &cluster.runners {
-        runner.list();
+        runner.update_entry();
     }
     cluster.run_jobs(&boxes, 5..9);
     until("the job from before the restart is completed", || {
@@ -732,11 +738,11 @@
     });
     let seen = lock(&cluster.seen);
     assert!(
-        seen.doubled.is_empty(),
+        seen.ran_twice.is_empty(),
         "run concurrently: {:?}",
-        seen.doubled
+        seen.ran_twice
     );
-    let again = seen.started_after_done();
+    let again = seen.restarted_after_done();
     assert!(again.is_empty(), "run again: {again:?}");
 }
 
@@ -785,8 +791,8 @@
     let closure = json!({ "by": "night shift" });
     cluster.kv.put("op/evacuate/h1", &encode(&closure));
     let list = |port| {
-        let answer = send(port, "GET", "/halls", None)?;
-        String::from_utf8(answer.body).ok()
+        let response = send(port, "GET", "/halls", None)?;
+        String::from_utf8(response.body).ok()
     };
     let is_listed = |port| {
         list(port).is_some_and(|text| text.starts_with("h1 ") && text.ends_with(" night shift\n"))
@@ -795,8 +801,8 @@
         until("the hall is listed as closed", || is_listed(process.inside));
     }
     let path = "/q/00000000000000a1";
-    let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
-    assert_eq!(answer.status, 200);
+    let response = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
+    assert_eq!(response.status, 200);
     let first = cluster.owner().unwrap();
     let killed = boxes.remove(usize::from(first != "b0"));
     killed.signal("-KILL");
@@ -845,22 +851,22 @@
     {
         let boxes = cluster.boxes(2);
         cluster.runners.iter().for_each(|runner| {
-            runner.fail(standin::runner::Faults {
-                unwell: true,
+            runner.set_faults(standin::runner::Faults {
+                refuses_starts: true,
                 ..standin::runner::Faults::default()
             });
         });
-        let answer = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
-        assert_eq!(answer.status, 200);
+        let response = send(boxes[0].callers, "POST", path, Some(&job(3))).unwrap();
+        assert_eq!(response.status, 200);
     }
     for runner in &cluster.runners {
-        runner.fail(standin::runner::Faults::default());
+        runner.set_faults(standin::runner::Faults::default());
     }
     let boxes = cluster.boxes(2);
     until("the job is completed", || {
         state(boxes[1].callers, path) == "completed"
     });
-    assert!(lock(&cluster.seen).doubled.is_empty());
+    assert!(lock(&cluster.seen).ran_twice.is_empty());
 }
 
 /// A relay calls most workers; when it is killed, the owner continues without it.
@@ -883,6 +889,6 @@
         state(port, second) == "completed"
     });
     let seen = lock(&cluster.seen);
-    assert!(seen.doubled.is_empty());
+    assert!(seen.ran_twice.is_empty());
     assert_eq!(seen.starts.len(), 22);
 }
